--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -30,4 +30,4 @@
 pub use retry::{Attempt, Failure, HedgeDecision, NoRetry, RetryBudget, RetryDecision, decide, decide_hedge};
 pub use service_model::ServiceModel;
 pub use settings::{Mechanisms, Settings, SettingsBuilder};
-pub use share_limiter::{Limits, Share, ShareLimiter, ShareView, Take};
+pub use share_limiter::{LimitDecision, Limits, Share, ShareLimiter, ShareView};
--- a/crates/admission/src/share_limiter.rs
+++ b/crates/admission/src/share_limiter.rs
@@ -109,11 +109,11 @@
 
 /// Answer to a request under a workspace's limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Take {
+pub enum LimitDecision {
     /// Within the limits, and counted.
     Granted,
     /// Not now, and not counted; when to come back, absent if the limit is zero.
-    Later(Option<Duration>),
+    Denied(Option<Duration>),
 }
 
 /// This router's part of one workspace's limits.
@@ -157,7 +157,7 @@
     }
 
     /// Asks for one request of about `tokens`; the count is corrected by [`ShareLimiter::settle`].
-    pub fn take(&mut self, tokens: u64, now: Duration) -> Take {
+    pub fn try_acquire(&mut self, tokens: u64, now: Duration) -> LimitDecision {
         let requests = self
             .requests
             .as_mut()
@@ -167,15 +167,15 @@
             .as_mut()
             .map_or(Some(Duration::ZERO), |bucket| bucket.wait(1.0, now));
         let (Some(requests), Some(backlog)) = (requests, backlog) else {
-            return Take::Later(None);
+            return LimitDecision::Denied(None);
         };
         let wait = requests.max(backlog);
         if !wait.is_zero() {
-            return Take::Later(Some(wait));
+            return LimitDecision::Denied(Some(wait));
         }
         charge(&mut self.requests, 1.0, now);
         charge(&mut self.tokens, tokens as f64, now);
-        Take::Granted
+        LimitDecision::Granted
     }
 
     /// Corrects a granted request's tokens once they have been counted; zero if it has not run.
--- a/crates/admission/tests/shares.rs
+++ b/crates/admission/tests/shares.rs
@@ -1,6 +1,6 @@
 //! Limits of a workspace over all routers: the bucket against a naive one, and routers that come, go and are cut off.
 
-use admission::{Bucket, Limits, ShareLimiter, ShareView, Take};
+use admission::{Bucket, LimitDecision, Limits, ShareLimiter, ShareView};
 use quickcheck::{Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -114,7 +114,7 @@
                 }
             }
             let asked = random.random_bool((case.demand)(second, router) / STEPS as f64);
-            if asked && limiters[router].take(0, now) == Take::Granted && second >= case.span.0 {
+            if asked && limiters[router].try_acquire(0, now) == LimitDecision::Granted && second >= case.span.0 {
                 granted += 1;
             }
         }
@@ -217,7 +217,7 @@
     let mut limiter = ShareLimiter::new(limits, 0.1, Duration::ZERO);
     let mut tokens = 0;
     for millis in 0..1_000_000 {
-        if limiter.take(5_000, Duration::from_millis(millis)) == Take::Granted {
+        if limiter.try_acquire(5_000, Duration::from_millis(millis)) == LimitDecision::Granted {
             tokens += 5_000;
         }
     }
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::caller::Caller;
 use crate::caller::{Cause, Refused};
-use admission::{Limits, Share, ShareLimiter, Take};
+use admission::{LimitDecision, Limits, Share, ShareLimiter};
 use clock::Clock;
 use ids::WorkspaceId;
 use std::collections::HashMap;
@@ -77,9 +77,9 @@
             *known = limits;
             limiter.set_limits(limits, now);
         }
-        match limiter.take(tokens, now) {
-            Take::Granted => Ok(taken),
-            Take::Later(after) => {
+        match limiter.try_acquire(tokens, now) {
+            LimitDecision::Granted => Ok(taken),
+            LimitDecision::Denied(after) => {
                 let mut refused = Refused::not_run(Cause::Limit);
                 refused.retry_after = after;
                 Err(refused)
