--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -7,7 +7,7 @@
 //! | [`Admission`] | which jobs of one pool start, wait or are refused |
 //! | [`EndpointLimit`] | how many requests one endpoint may run at once |
 //! | [`ShareLimiter`] | whether a workspace is within its limits over all routers |
-//! | [`RetryBudget`], [`decide`], [`decide_hedge`] | whether a failed or slow attempt is tried elsewhere |
+//! | [`RetryBudget`], [`decide_retry`], [`decide_hedge`] | whether a failed or slow attempt is tried elsewhere |
 
 mod answer;
 mod bucket;
@@ -27,7 +27,7 @@
 pub use endpoint_limit::{EndpointLimit, Sample};
 pub use job::{Job, Ticket, Tokens};
 pub use pool::{Admission, Counts};
-pub use retry::{Attempt, Failure, HedgeDecision, NoRetry, RetryBudget, RetryDecision, decide, decide_hedge};
+pub use retry::{Attempt, Failure, HedgeDecision, NoRetry, RetryBudget, RetryDecision, decide_hedge, decide_retry};
 pub use service_model::ServiceModel;
 pub use settings::{Mechanisms, Settings, SettingsBuilder};
 pub use share_limiter::{LimitDecision, Limits, Share, ShareLimiter, ShareView};
--- a/crates/admission/src/retry.rs
+++ b/crates/admission/src/retry.rs
@@ -123,7 +123,7 @@
 }
 
 /// Decides on a failed attempt, and takes from the budget if it is to be retried.
-pub fn decide(attempt: &Attempt, failure: Failure, budget: &mut RetryBudget, now: Duration) -> RetryDecision {
+pub fn decide_retry(attempt: &Attempt, failure: Failure, budget: &mut RetryBudget, now: Duration) -> RetryDecision {
     if let Some(reason) = forbids(attempt, failure) {
         return RetryDecision::GiveUp(reason);
     }
--- a/crates/admission/tests/retries.rs
+++ b/crates/admission/tests/retries.rs
@@ -1,6 +1,6 @@
 //! Retries and hedges: what is allowed in each case, and how much of the traffic they become.
 
-use admission::{Attempt, Failure, HedgeDecision, NoRetry, RetryBudget, RetryDecision, decide, decide_hedge};
+use admission::{Attempt, Failure, HedgeDecision, NoRetry, RetryBudget, RetryDecision, decide_hedge, decide_retry};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 
 fn check(cases: &[Case]) {
     for case in cases {
-        let decision = decide(&case.attempt, case.failure, &mut RetryBudget::default(), NOW);
+        let decision = decide_retry(&case.attempt, case.failure, &mut RetryBudget::default(), NOW);
         let refused = match decision {
             RetryDecision::Retry(_) => None,
             RetryDecision::GiveUp(reason) => Some(reason),
@@ -165,7 +165,7 @@
             }
             let attempt = Attempt { count, ..attempt() };
             allowed &= matches!(
-                decide(&attempt, Failure::Unknown, &mut budget, NOW),
+                decide_retry(&attempt, Failure::Unknown, &mut budget, NOW),
                 RetryDecision::Retry(_)
             );
         }
--- a/crates/router/src/pool/permit.rs
+++ b/crates/router/src/pool/permit.rs
@@ -3,7 +3,7 @@
 use super::state::{State, Wish};
 use super::{Flight, Pool, lock};
 use admission::{
-    Attempt, Failure, HedgeDecision, Outcome, Refusal, RetryDecision, Ticket, Tokens, decide, decide_hedge,
+    Attempt, Failure, HedgeDecision, Outcome, Refusal, RetryDecision, Ticket, Tokens, decide_hedge, decide_retry,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -76,7 +76,7 @@
         let now = self.pool.clock.now();
         let mut state = lock(&self.pool.state);
         let attempt = attempt(&state, count, repeatable, deadline);
-        decide(&attempt, failure, &mut state.budget, now)
+        decide_retry(&attempt, failure, &mut state.budget, now)
     }
 
     /// Expected time to first token of a request with this many uncached prompt tokens.
