--- a/crates/admission/src/share_limiter.rs
+++ b/crates/admission/src/share_limiter.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Share {
     /// Part by demand, 0 to 1.
-    pub wanted: f64,
+    pub target: f64,
     /// Part if the limit were split evenly, 0 to 1.
     pub even: f64,
 }
@@ -86,10 +86,10 @@
         }
         let even = self.even_share();
         if total <= 0.0 {
-            return Some(Share { wanted: even, even });
+            return Some(Share { target: even, even });
         }
-        let wanted = EVEN_PART * even + (1.0 - EVEN_PART) * (own / total).clamp(0.0, 1.0);
-        Some(Share { wanted, even })
+        let target = EVEN_PART * even + (1.0 - EVEN_PART) * (own / total).clamp(0.0, 1.0);
+        Some(Share { target, even })
     }
 
     /// The share to begin with.
@@ -147,7 +147,7 @@
 
     /// Takes over the wanted share, called once for each exchange of demand.
     pub fn set_share(&mut self, share: Share, now: Duration) {
-        self.share = share.wanted.min((self.share * MAX_GROWTH).max(share.even));
+        self.share = share.target.min((self.share * MAX_GROWTH).max(share.even));
         self.set_limits(self.limits, now);
     }
 
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -35,7 +35,7 @@
     /// Limits of which this router grants all, until it hears of others.
     pub fn new(clock: Clock) -> Self {
         let inner = Inner {
-            share: Share { wanted: 1.0, even: 1.0 },
+            share: Share { target: 1.0, even: 1.0 },
             limiters: HashMap::new(),
         };
         Self {
@@ -72,7 +72,7 @@
         let mut inner = lock(&self.inner);
         let share = inner.share;
         let limiter = inner.limiters.entry(caller.workspace.clone());
-        let (known, limiter) = limiter.or_insert_with(|| (limits, ShareLimiter::new(limits, share.wanted, now)));
+        let (known, limiter) = limiter.or_insert_with(|| (limits, ShareLimiter::new(limits, share.target, now)));
         if *known != limits {
             *known = limits;
             limiter.set_limits(limits, now);
