--- a/crates/experiment/src/sim/router.rs
+++ b/crates/experiment/src/sim/router.rs
@@ -80,7 +80,7 @@
         self.view = setup.settings.view.build();
         self.placer = placer(setup);
         for (endpoint, pressure) in hint {
-            self.view.assume(*endpoint, *pressure);
+            self.view.seed_pressure(*endpoint, *pressure);
         }
     }
 
--- a/crates/placement/src/load/endpoint.rs
+++ b/crates/placement/src/load/endpoint.rs
@@ -105,7 +105,7 @@
     }
 
     /// Starts from a pressure that another router knew.
-    pub fn assume(&mut self, pressure: f64, settings: &LoadViewBuilder) {
+    pub fn seed_pressure(&mut self, pressure: f64, settings: &LoadViewBuilder) {
         let sane = pressure.is_finite() && (1.0 / SANE..=SANE).contains(&pressure);
         if !sane || self.reports > 0.0 {
             return;
--- a/crates/placement/src/load/mod.rs
+++ b/crates/placement/src/load/mod.rs
@@ -149,11 +149,11 @@
 
     /// Starts from the pressure that another router knew, unless own reports have told already. A figure that is no sane
     /// pressure is ignored.
-    pub fn assume(&mut self, endpoint: EndpointKey, pressure: f64) {
+    pub fn seed_pressure(&mut self, endpoint: EndpointKey, pressure: f64) {
         self.endpoints
             .entry(endpoint)
             .or_default()
-            .assume(pressure, &self.settings);
+            .seed_pressure(pressure, &self.settings);
     }
 
     /// Forgets an endpoint that left.
--- a/crates/placement/tests/load.rs
+++ b/crates/placement/tests/load.rs
@@ -183,17 +183,17 @@
     }
     let mut fresh = LoadView::new(RATE);
     warm.pressures()
-        .for_each(|(endpoint, pressure)| fresh.assume(endpoint, pressure));
+        .for_each(|(endpoint, pressure)| fresh.seed_pressure(endpoint, pressure));
     for number in 1..=4 {
         let weights = [&warm, &fresh].map(|view| view.estimate(key(number), secs(100.0)).weight);
         assert_eq!(weights[0], weights[1]);
         for damaged in [f64::NAN, f64::INFINITY, 0.0, -1.0, 1e9] {
             let mut fresh = LoadView::new(RATE);
-            fresh.assume(key(number), damaged);
+            fresh.seed_pressure(key(number), damaged);
             assert_eq!(fresh.estimate(key(number), secs(0.0)).weight, 1.0);
         }
         let before = warm.estimate(key(number), secs(100.0)).weight;
-        warm.assume(key(number), 1.0);
+        warm.seed_pressure(key(number), 1.0);
         assert_eq!(
             warm.estimate(key(number), secs(100.0)).weight,
             before,
--- a/crates/router/src/pool/state.rs
+++ b/crates/router/src/pool/state.rs
@@ -118,7 +118,7 @@
         for (key, pressure) in pressures {
             let key = EndpointKey(*key);
             if self.has(key) {
-                self.loads.assume(key, f64::from(*pressure) / THOUSANDTHS);
+                self.loads.seed_pressure(key, f64::from(*pressure) / THOUSANDTHS);
             }
         }
     }
