--- a/crates/experiment/src/cost/mod.rs
+++ b/crates/experiment/src/cost/mod.rs
@@ -74,9 +74,9 @@
             prefill: 4_000,
             measured: Duration::ZERO,
         };
-        view.report(candidate.endpoint, report);
+        view.record_report(candidate.endpoint, report);
         (0..3).for_each(|_| {
-            view.placed(candidate.endpoint, 1.into(), 2_000, Duration::ZERO);
+            view.record_placement(candidate.endpoint, 1.into(), 2_000, Duration::ZERO);
         });
     }
     let chains: Vec<PrefixChain> = (0..PROMPTS).map(|prompt| chain(prompt, blocks)).collect();
--- a/crates/experiment/src/sim/router.rs
+++ b/crates/experiment/src/sim/router.rs
@@ -110,7 +110,7 @@
         let _ = known.limit.start();
         let ticket = self
             .view
-            .placed(known.key, known.incarnation, uncached(call, pick.cached), now);
+            .record_placement(known.key, known.incarnation, uncached(call, pick.cached), now);
         let (engine, key, incarnation) = (known.engine, known.key, known.incarnation);
         Some(Sent {
             engine,
@@ -126,7 +126,7 @@
     pub fn head(&mut self, sent: &mut Sent, call: &Request, cached: usize, now: Duration) {
         let computed = uncached(call, cached);
         sent.first = Some((now, computed));
-        self.view.first_token(sent.key, sent.ticket, now);
+        self.view.record_first_token(sent.key, sent.ticket, now);
         self.placer.learn(sent.key, sent.incarnation, &call.chain, cached, now);
         let after = now.saturating_sub(sent.placed);
         self.observe(
@@ -141,7 +141,7 @@
 
     /// More of an answer arrived.
     pub fn more(&mut self, sent: &Sent, generated: u64, now: Duration) {
-        self.view.progress(sent.key, sent.ticket, generated, now);
+        self.view.record_progress(sent.key, sent.ticket, generated, now);
     }
 
     /// An answer ended.
@@ -184,12 +184,12 @@
             self.placer.forget(known.key);
         }
         let key = known.key;
-        self.view.report(key, report);
+        self.view.record_report(key, report);
         self.fit(now);
     }
 
     fn release(&mut self, sent: &Sent) {
-        self.view.finished(sent.key, sent.ticket);
+        self.view.record_end(sent.key, sent.ticket);
         let Some(known) = self.known.iter_mut().find(|known| known.key == sent.key) else {
             return;
         };
--- a/crates/placement/src/load/mod.rs
+++ b/crates/placement/src/load/mod.rs
@@ -78,7 +78,13 @@
     }
 
     /// A request with `tokens` uncached prompt tokens was placed.
-    pub fn placed(&mut self, endpoint: EndpointKey, incarnation: Incarnation, tokens: u64, now: Duration) -> Ticket {
+    pub fn record_placement(
+        &mut self,
+        endpoint: EndpointKey,
+        incarnation: Incarnation,
+        tokens: u64,
+        now: Duration,
+    ) -> Ticket {
         let ticket = Ticket(self.next);
         self.next += 1;
         let load = self.endpoints.entry(endpoint).or_default();
@@ -93,7 +99,7 @@
     }
 
     /// The first token of `ticket` arrived: its prompt no longer waits.
-    pub fn first_token(&mut self, endpoint: EndpointKey, ticket: Ticket, now: Duration) {
+    pub fn record_first_token(&mut self, endpoint: EndpointKey, ticket: Ticket, now: Duration) {
         let Some(flight) = self.flight(endpoint, ticket) else {
             return;
         };
@@ -102,7 +108,7 @@
 
     /// So far `generated` tokens of `ticket` have arrived: shows how fast the endpoint is. To be called now and then while
     /// an answer streams, and at its end: whole answers of a slow endpoint come too late to notice it by.
-    pub fn progress(&mut self, endpoint: EndpointKey, ticket: Ticket, generated: u64, now: Duration) {
+    pub fn record_progress(&mut self, endpoint: EndpointKey, ticket: Ticket, generated: u64, now: Duration) {
         let Some(flight) = self.flight(endpoint, ticket) else {
             return;
         };
@@ -119,7 +125,7 @@
     }
 
     /// `ticket` has ended, however it ended.
-    pub fn finished(&mut self, endpoint: EndpointKey, ticket: Ticket) {
+    pub fn record_end(&mut self, endpoint: EndpointKey, ticket: Ticket) {
         let Some(load) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
@@ -127,7 +133,7 @@
     }
 
     /// The endpoint reported its load.
-    pub fn report(&mut self, endpoint: EndpointKey, report: Report) {
+    pub fn record_report(&mut self, endpoint: EndpointKey, report: Report) {
         if !self.settings.reports {
             return;
         }
--- a/crates/placement/tests/load.rs
+++ b/crates/placement/tests/load.rs
@@ -81,10 +81,10 @@
     for case in cases {
         let mut view = LoadView::builder(RATE).own(case.own).build();
         for (tokens, at) in case.placed {
-            view.placed(key(1), ONE, *tokens, secs(*at));
+            view.record_placement(key(1), ONE, *tokens, secs(*at));
         }
         if let Some((prefill, at)) = case.report {
-            view.report(key(1), report(prefill, 1, secs(at)));
+            view.record_report(key(1), report(prefill, 1, secs(at)));
         }
         assert_eq!(view.estimate(key(1), secs(1.0)).queued, case.queued, "{}", case.name);
     }
@@ -93,7 +93,7 @@
 #[test]
 fn a_placement_waits_until_its_first_token_and_counts_until_its_end() {
     let mut view = LoadView::new(RATE);
-    let ticket = view.placed(key(1), ONE, 3_000, secs(0.0));
+    let ticket = view.record_placement(key(1), ONE, 3_000, secs(0.0));
     assert_eq!(
         (
             view.estimate(key(1), secs(0.1)).queued,
@@ -101,7 +101,7 @@
         ),
         (3_000, 1)
     );
-    view.first_token(key(1), ticket, secs(0.2));
+    view.record_first_token(key(1), ticket, secs(0.2));
     assert_eq!(
         (
             view.estimate(key(1), secs(0.3)).queued,
@@ -109,21 +109,21 @@
         ),
         (0, 1)
     );
-    view.finished(key(1), ticket);
-    view.finished(key(1), ticket);
+    view.record_end(key(1), ticket);
+    view.record_end(key(1), ticket);
     assert_eq!(view.estimate(key(1), secs(0.4)).in_flight, 0);
 }
 
 /// Lets each of five endpoints stream an answer, with these milliseconds between tokens.
 fn stream(view: &mut LoadView, paces: [u64; 5], begin: Duration) {
     for (number, pace) in (1..).zip(paces) {
-        let ticket = view.placed(key(number), ONE, 1_000, begin);
-        view.first_token(key(number), ticket, begin);
+        let ticket = view.record_placement(key(number), ONE, 1_000, begin);
+        view.record_first_token(key(number), ticket, begin);
         for piece in 1..=6u64 {
             let now = begin + Duration::from_millis(pace * 16 * piece);
-            view.progress(key(number), ticket, 1 + 16 * piece, now);
+            view.record_progress(key(number), ticket, 1 + 16 * piece, now);
         }
-        view.finished(key(number), ticket);
+        view.record_end(key(number), ticket);
     }
 }
 
@@ -157,7 +157,7 @@
         for half in 0..seconds * 2 {
             for number in 1..=4 {
                 let requests = if number == 1 { 30 } else { 5 };
-                view.report(key(number), report(0, requests, secs(f64::from(half) / 2.0)));
+                view.record_report(key(number), report(0, requests, secs(f64::from(half) / 2.0)));
             }
         }
         (
@@ -178,7 +178,7 @@
     for half in 0..200 {
         for number in 1..=4 {
             let requests = if number == 1 { 30 } else { 5 };
-            warm.report(key(number), report(0, requests, secs(f64::from(half) / 2.0)));
+            warm.record_report(key(number), report(0, requests, secs(f64::from(half) / 2.0)));
         }
     }
     let mut fresh = LoadView::new(RATE);
@@ -206,9 +206,9 @@
 #[test]
 fn a_new_life_begins_idle() {
     let mut view = LoadView::new(RATE);
-    view.report(key(1), report(90_000, 30, secs(1.0)));
-    view.placed(key(1), ONE, 9_000, secs(1.0));
-    view.report(
+    view.record_report(key(1), report(90_000, 30, secs(1.0)));
+    view.record_placement(key(1), ONE, 9_000, secs(1.0));
+    view.record_report(
         key(1),
         Report {
             incarnation: Incarnation(2),
--- a/crates/placement/tests/long_run.rs
+++ b/crates/placement/tests/long_run.rs
@@ -92,7 +92,9 @@
             );
         }
         engine.computed.extend(prompt.blocks());
-        let ticket = self.view.placed(chosen.endpoint, chosen.incarnation, 1024, self.now);
+        let ticket = self
+            .view
+            .record_placement(chosen.endpoint, chosen.incarnation, 1024, self.now);
         self.flights.push((at, engine.incarnation, ticket, parts));
     }
 
@@ -104,9 +106,9 @@
         let (engine, incarnation, ticket, parts) = self.flights.swap_remove(at);
         let key = self.engines[engine].key;
         let prompt = chain(parts[0], parts[1], parts[2], parts[3]);
-        self.view.first_token(key, ticket, self.now);
-        self.view.progress(key, ticket, 20, self.now);
-        self.view.finished(key, ticket);
+        self.view.record_first_token(key, ticket, self.now);
+        self.view.record_progress(key, ticket, 20, self.now);
+        self.view.record_end(key, ticket);
         // Replies of a life that has ended arrive late.
         self.placer.learn(key, Incarnation(incarnation), &prompt, 4, self.now);
     }
@@ -125,7 +127,7 @@
             2 => self.placer.mark_uncertain(engine.key),
             _ => {
                 let incarnation = Incarnation(engine.incarnation);
-                self.view.report(
+                self.view.record_report(
                     engine.key,
                     Report {
                         incarnation,
--- a/crates/router/src/pool/flight.rs
+++ b/crates/router/src/pool/flight.rs
@@ -43,7 +43,7 @@
         let now = self.pool.clock.now();
         let after = now.saturating_sub(self.placed);
         self.pool
-            .change(|state| state.loads.first_token(self.key, self.ticket, now));
+            .change(|state| state.loads.record_first_token(self.key, self.ticket, now));
         self.observe(Sample::FirstToken { after, uncached });
         after
     }
@@ -52,7 +52,7 @@
     pub fn progress(&self, generated: u64) {
         let now = self.pool.clock.now();
         self.pool
-            .change(|state| state.loads.progress(self.key, self.ticket, generated, now));
+            .change(|state| state.loads.record_progress(self.key, self.ticket, generated, now));
     }
 
     /// What came of the attempt, for the endpoint's limit.
@@ -77,7 +77,7 @@
 impl Drop for Flight {
     fn drop(&mut self) {
         self.pool.change(|state| {
-            state.loads.finished(self.key, self.ticket);
+            state.loads.record_end(self.key, self.ticket);
             if let Some(index) = state.position(self.key) {
                 state.members[index].end();
             }
--- a/crates/router/src/pool/state.rs
+++ b/crates/router/src/pool/state.rs
@@ -104,7 +104,7 @@
 
     /// An endpoint reported its load.
     pub fn report(&mut self, key: EndpointKey, report: Report) {
-        self.loads.report(key, report);
+        self.loads.record_report(key, report);
     }
 
     pub(super) fn pressures(&self) -> Vec<(u64, u32)> {
@@ -156,7 +156,9 @@
         let member = &mut self.members[index];
         // Admission bounds the pool; one endpoint may run more than its limit where its cache is worth it.
         member.start();
-        let ticket = self.loads.placed(member.key, member.believed.incarnation, missing, now);
+        let ticket = self
+            .loads
+            .record_placement(member.key, member.believed.incarnation, missing, now);
         Some(Flight::new(pool.clone(), member, ticket, pick.reason, now))
     }
 
