--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -168,7 +168,10 @@
 }
 
 pub(super) fn placer() -> Placer {
-    Placer::builder().tokens(BLOCK as u32).rate(PREFILL_RATE).build()
+    Placer::builder()
+        .block_tokens(BLOCK as u32)
+        .prefill_rate(PREFILL_RATE)
+        .build()
 }
 
 fn reason(reason: placement::Reason) -> &'static str {
--- a/crates/experiment/src/policy/settings.rs
+++ b/crates/experiment/src/policy/settings.rs
@@ -40,7 +40,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            placer: Placer::builder().tokens(BLOCK_TOKENS).rate(PREFILL_RATE),
+            placer: Placer::builder().block_tokens(BLOCK_TOKENS).prefill_rate(PREFILL_RATE),
             view: LoadView::builder(PREFILL_RATE),
             front: Front::Admission,
             overcommit: 1.0,
@@ -59,8 +59,8 @@
         let figure: f64 = figure.parse().ok()?;
         let time = Duration::from_secs_f64(figure);
         match name {
-            "hash" => self.placer = self.placer.hashes(false),
-            "learn" => self.placer = self.placer.learns(false),
+            "hash" => self.placer = self.placer.hashing(false),
+            "learn" => self.placer = self.placer.learning(false),
             "price" => self.placer = self.placer.price_base(1.0).price_rise(0.0),
             "reports" => self.view = self.view.reports(false),
             "own" => self.view = self.view.own(false),
@@ -70,10 +70,10 @@
             "lag" => self.lag = time,
             "hint" => self.hint = false,
             "ranks" => self.placer = self.placer.ranks(figure as usize),
-            "spread" => self.placer = self.placer.spread(figure),
-            "belief" => self.placer = self.placer.belief(figure),
-            "keep" => self.placer = self.placer.keep(time),
-            "fade" => self.placer = self.placer.fade(time),
+            "spread" => self.placer = self.placer.outer_share(figure),
+            "belief" => self.placer = self.placer.spill_hit_share(figure),
+            "keep" => self.placer = self.placer.entry_ttl(time),
+            "fade" => self.placer = self.placer.decay_time(time),
             "base" => self.placer = self.placer.price_base(figure),
             "rise" => self.placer = self.placer.price_rise(figure),
             "lean" => self.view = self.view.lean(figure),
--- a/crates/experiment/src/sim/router.rs
+++ b/crates/experiment/src/sim/router.rs
@@ -281,9 +281,9 @@
 }
 
 fn placer(setup: &Setup) -> Placer {
-    let builder = setup.settings.placer.clone().crossing(2 * setup.deployment.crossing);
+    let builder = setup.settings.placer.clone().domain_rtt(2 * setup.deployment.crossing);
     if setup.policy == Policy::LearntOnly {
-        builder.hashes(false).build()
+        builder.hashing(false).build()
     } else {
         builder.build()
     }
--- a/crates/placement/src/placer/builder.rs
+++ b/crates/placement/src/placer/builder.rs
@@ -12,55 +12,55 @@
 /// of several hundred settings tried by the experiment over both deployments, see `docs/DECISIONS.md`.
 #[derive(Debug, Clone)]
 pub struct PlacerBuilder {
-    pub(super) hashes: bool,
-    pub(super) learns: bool,
-    pub(super) keep: Duration,
+    pub(super) hashing: bool,
+    pub(super) learning: bool,
+    pub(super) entry_ttl: Duration,
     pub(super) ranks: usize,
-    pub(super) spread: f64,
-    pub(super) belief: f64,
+    pub(super) outer_share: f64,
+    pub(super) spill_hit_share: f64,
     pub(super) price: Pricing,
     capacity: usize,
-    fade: Duration,
+    decay_time: Duration,
 }
 
 impl Default for PlacerBuilder {
     fn default() -> Self {
         Self {
-            hashes: true,
-            learns: true,
-            keep: Duration::from_secs(5),
+            hashing: true,
+            learning: true,
+            entry_ttl: Duration::from_secs(5),
             ranks: 1,
-            spread: 0.5,
-            belief: 0.95,
+            outer_share: 0.5,
+            spill_hit_share: 0.95,
             price: Pricing {
-                tokens: 1024,
-                rate: 20_000.0,
-                crossing: Duration::from_millis(3),
+                block_tokens: 1024,
+                prefill_rate: 20_000.0,
+                domain_rtt: Duration::from_millis(3),
                 base: 3.0,
                 rise: 4.0,
             },
             capacity: 100_000,
-            fade: Duration::from_secs(30),
+            decay_time: Duration::from_secs(30),
         }
     }
 }
 
 impl PlacerBuilder {
     /// Whether levels are ranked by hash.
-    pub fn hashes(mut self, on: bool) -> Self {
-        self.hashes = on;
+    pub fn hashing(mut self, on: bool) -> Self {
+        self.hashing = on;
         self
     }
 
     /// Whether own placements and replies are remembered.
-    pub fn learns(mut self, on: bool) -> Self {
-        self.learns = on;
+    pub fn learning(mut self, on: bool) -> Self {
+        self.learning = on;
         self
     }
 
     /// How long a learnt block is believed without being seen again. Engines evict within seconds.
-    pub fn keep(mut self, time: Duration) -> Self {
-        self.keep = time;
+    pub fn entry_ttl(mut self, time: Duration) -> Self {
+        self.entry_ttl = time;
         self
     }
 
@@ -78,38 +78,38 @@
 
     /// Least share of all endpoints that the outermost level selects. Fewer would save copies of the outermost layer, but
     /// some endpoints would be selected by many levels and others by none.
-    pub fn spread(mut self, share: f64) -> Self {
-        self.spread = share;
+    pub fn outer_share(mut self, share: f64) -> Self {
+        self.outer_share = share;
         self
     }
 
     /// Share of a very hot level's blocks that count as cached at the next rank.
-    pub fn belief(mut self, share: f64) -> Self {
-        self.belief = share;
+    pub fn spill_hit_share(mut self, share: f64) -> Self {
+        self.spill_hit_share = share;
         self
     }
 
     /// Time in which counts of requests fade to 37%.
-    pub fn fade(mut self, time: Duration) -> Self {
-        self.fade = time;
+    pub fn decay_time(mut self, time: Duration) -> Self {
+        self.decay_time = time;
         self
     }
 
     /// Tokens of a block.
-    pub fn tokens(mut self, tokens: u32) -> Self {
-        self.price.tokens = tokens;
+    pub fn block_tokens(mut self, tokens: u32) -> Self {
+        self.price.block_tokens = tokens;
         self
     }
 
     /// Tokens a second that the pool's median endpoint prefills.
-    pub fn rate(mut self, rate: f64) -> Self {
-        self.price.rate = rate;
+    pub fn prefill_rate(mut self, rate: f64) -> Self {
+        self.price.prefill_rate = rate;
         self
     }
 
     /// What a request pays for an endpoint in another failure domain: there and back.
-    pub fn crossing(mut self, time: Duration) -> Self {
-        self.price.crossing = time;
+    pub fn domain_rtt(mut self, time: Duration) -> Self {
+        self.price.domain_rtt = time;
         self
     }
 
@@ -127,8 +127,8 @@
 
     /// The placer, empty.
     pub fn build(self) -> Placer {
-        let index = LearntIndex::new(self.capacity, self.keep);
-        let shares = LevelShares::new(self.fade, self.capacity);
+        let index = LearntIndex::new(self.capacity, self.entry_ttl);
+        let shares = LevelShares::new(self.decay_time, self.capacity);
         Placer {
             settings: self,
             index,
--- a/crates/placement/src/placer/homes.rs
+++ b/crates/placement/src/placer/homes.rs
@@ -65,7 +65,7 @@
         for (depth, level) in chain.levels().iter().enumerate() {
             let load = share(level.hash) * candidates.len() as f64;
             let floor = if depth == 0 {
-                settings.spread * candidates.len() as f64
+                settings.outer_share * candidates.len() as f64
             } else {
                 1.0
             };
@@ -75,7 +75,7 @@
                 offers.add(candidates, Offer::new(next.index, outer as f64, Reason::Spill));
             }
             let own = (level.blocks - outer) as f64;
-            offers.expect_more(own * settings.belief * load / (load + HALF_LOAD));
+            offers.expect_more(own * settings.spill_hit_share * load / (load + HALF_LOAD));
             outer = level.blocks;
         }
         for home in &self.set {
--- a/crates/placement/src/placer/mod.rs
+++ b/crates/placement/src/placer/mod.rs
@@ -51,12 +51,12 @@
             "candidates are sorted by endpoint, without doubles"
         );
         self.offers.clear();
-        if self.settings.hashes {
+        if self.settings.hashing {
             let shares = |level| self.shares.share(level, now);
             self.homes
                 .offer(&self.settings, chain, candidates, shares, &mut self.offers);
         }
-        if self.settings.learns {
+        if self.settings.learning {
             self.offer_learnt(chain, candidates, now);
         }
         self.offers.add_drawn(candidates, draw);
@@ -81,7 +81,7 @@
     ) {
         assert!(cached <= chain.blocks().len(), "no more is cached than the prompt has");
         self.shares.count(chain.levels(), now);
-        if self.settings.learns {
+        if self.settings.learning {
             self.index.insert(
                 chain.blocks(),
                 Holder {
@@ -121,7 +121,7 @@
             for holder in self.index.holders(*block) {
                 let mut offered = self.offers.all()[first..].iter();
                 let known = offered.any(|offer| candidates[offer.index].endpoint == holder.endpoint);
-                if known || now.saturating_sub(holder.seen) > self.settings.keep {
+                if known || now.saturating_sub(holder.seen) > self.settings.entry_ttl {
                     continue;
                 }
                 let Ok(index) = candidates.binary_search_by_key(&holder.endpoint, |known| known.endpoint) else {
--- a/crates/placement/src/placer/price.rs
+++ b/crates/placement/src/placer/price.rs
@@ -13,11 +13,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pricing {
     /// Tokens of a block.
-    pub tokens: u32,
+    pub block_tokens: u32,
     /// Tokens a second that the pool's median endpoint prefills.
-    pub rate: f64,
+    pub prefill_rate: f64,
     /// What a request pays for an endpoint in another failure domain: there and back.
-    pub crossing: Duration,
+    pub domain_rtt: Duration,
     /// Price of a second of recomputing in an idle pool, in seconds of waiting.
     pub base: f64,
     /// Rise of the price for each second of mean wait.
@@ -35,7 +35,7 @@
     /// The price that the load of `candidates` makes.
     pub fn of(&self, candidates: &[Candidate]) -> Price {
         let queued: f64 = candidates.iter().map(|candidate| candidate.queued as f64).sum();
-        let wait = queued / (self.rate * candidates.len().max(1) as f64);
+        let wait = queued / (self.prefill_rate * candidates.len().max(1) as f64);
         Price {
             pricing: *self,
             miss: self.base + self.rise * wait,
@@ -46,13 +46,13 @@
 impl Price {
     /// Cost in seconds of a request that misses `missed` blocks at `candidate`.
     pub fn cost(&self, candidate: &Candidate, missed: f64) -> f64 {
-        let crossing = if candidate.near {
+        let domain_rtt = if candidate.near {
             Duration::ZERO
         } else {
-            self.pricing.crossing
+            self.pricing.domain_rtt
         };
-        let tokens = missed.max(0.0) * f64::from(self.pricing.tokens);
+        let tokens = missed.max(0.0) * f64::from(self.pricing.block_tokens);
         let work = candidate.queued as f64 + tokens * self.miss;
-        work / (self.pricing.rate * candidate.speed.max(f64::MIN_POSITIVE)) + crossing.as_secs_f64()
+        work / (self.pricing.prefill_rate * candidate.speed.max(f64::MIN_POSITIVE)) + domain_rtt.as_secs_f64()
     }
 }
--- a/crates/placement/tests/choices.rs
+++ b/crates/placement/tests/choices.rs
@@ -135,7 +135,7 @@
 #[test]
 fn a_hot_level_spreads_and_shrinks_back() {
     let candidates = candidates(12);
-    let mut placer = Placer::builder().learns(false).build();
+    let mut placer = Placer::builder().learning(false).build();
     let homes = |placer: &mut Placer, now: f64| -> usize {
         let mut homes = HashSet::new();
         for task in 0..200 {
--- a/crates/placement/tests/naive.rs
+++ b/crates/placement/tests/naive.rs
@@ -95,7 +95,7 @@
     }
 
     fn placer(&self) -> Placer {
-        let mut placer = Placer::builder().keep(secs(KEEP)).fade(secs(FADE)).build();
+        let mut placer = Placer::builder().entry_ttl(secs(KEEP)).decay_time(secs(FADE)).build();
         for (at, reply) in self.replies.iter().enumerate() {
             self.doubted(at)
                 .into_iter()
