--- a/crates/placement/src/load/builder.rs
+++ b/crates/placement/src/load/builder.rs
@@ -9,25 +9,25 @@
 pub struct LoadViewBuilder {
     pub(super) rate: f64,
     pub(super) reports: bool,
-    pub(super) own: bool,
-    pub(super) paces: bool,
-    pub(super) drain: f64,
-    pub(super) smooth: Duration,
-    pub(super) lean: f64,
+    pub(super) own_placements: bool,
+    pub(super) pace_detection: bool,
+    pub(super) drain_share: f64,
+    pub(super) smoothing_time: Duration,
+    pub(super) weight_exponent: f64,
 }
 
 impl LoadViewBuilder {
     /// `rate` is what the pool's median endpoint prefills, in tokens a second.
     pub fn new(rate: f64) -> Self {
-        let smooth = Duration::from_secs(90);
+        let smoothing_time = Duration::from_secs(90);
         Self {
             rate,
             reports: true,
-            own: true,
-            paces: true,
-            drain: 0.5,
-            smooth,
-            lean: 0.85,
+            own_placements: true,
+            pace_detection: true,
+            drain_share: 0.5,
+            smoothing_time,
+            weight_exponent: 0.85,
         }
     }
 
@@ -38,32 +38,32 @@
     }
 
     /// Whether own placements count on top of a report.
-    pub fn own(mut self, on: bool) -> Self {
-        self.own = on;
+    pub fn own_placements(mut self, on: bool) -> Self {
+        self.own_placements = on;
         self
     }
 
     /// Whether slow endpoints are noticed from their answers.
-    pub fn paces(mut self, on: bool) -> Self {
-        self.paces = on;
+    pub fn pace_detection(mut self, on: bool) -> Self {
+        self.pace_detection = on;
         self
     }
 
     /// Share of the rate by which a report's queue is believed to shrink as it ages: less than 1, since others send work.
-    pub fn drain(mut self, share: f64) -> Self {
-        self.drain = share;
+    pub fn drain_share(mut self, share: f64) -> Self {
+        self.drain_share = share;
         self
     }
 
     /// Time over which the work inside is smoothed. Homes move with it, and each move costs misses.
-    pub fn smooth(mut self, time: Duration) -> Self {
-        self.smooth = time;
+    pub fn smoothing_time(mut self, time: Duration) -> Self {
+        self.smoothing_time = time;
         self
     }
 
     /// How strongly homes move away from crowded endpoints: 0 not at all, 1 in proportion.
-    pub fn lean(mut self, power: f64) -> Self {
-        self.lean = power;
+    pub fn weight_exponent(mut self, power: f64) -> Self {
+        self.weight_exponent = power;
         self
     }
 
--- a/crates/placement/src/load/endpoint.rs
+++ b/crates/placement/src/load/endpoint.rs
@@ -97,11 +97,11 @@
         };
         let gap = report.measured.saturating_sub(last.measured);
         self.reports += 1.0;
-        let settled = 1.0 - (-gap.as_secs_f64() / settings.smooth.as_secs_f64()).exp();
+        let settled = 1.0 - (-gap.as_secs_f64() / settings.smoothing_time.as_secs_f64()).exp();
         let weight = settled.max(1.0 / (self.reports + FIRST));
         let now = (work(report) + 1.0) / (mean + 1.0);
         self.pressure += weight * (now - self.pressure);
-        self.weight = self.pressure.powf(-settings.lean);
+        self.weight = self.pressure.powf(-settings.weight_exponent);
     }
 
     /// Starts from a pressure that another router knew.
@@ -111,7 +111,7 @@
             return;
         }
         self.pressure = pressure;
-        self.weight = pressure.powf(-settings.lean);
+        self.weight = pressure.powf(-settings.weight_exponent);
         self.reports = ASSUMED;
     }
 
@@ -121,13 +121,13 @@
         let waiting = self
             .flights
             .iter()
-            .filter(|flight| flight.mark.is_none() && settings.own);
+            .filter(|flight| flight.mark.is_none() && settings.own_placements);
         let own: u64 = waiting.clone().map(|flight| flight.tokens).sum();
         let Some(report) = self.report else { return own };
         let later = waiting.filter(|flight| flight.placed >= report.measured);
         let newer: u64 = later.map(|flight| flight.tokens).sum();
         let age = now.saturating_sub(report.measured).as_secs_f64();
-        let drained = (age * settings.rate * settings.drain) as u64;
+        let drained = (age * settings.rate * settings.drain_share) as u64;
         own.max(report.prefill.saturating_sub(drained) + newer)
     }
 }
--- a/crates/placement/src/load/mod.rs
+++ b/crates/placement/src/load/mod.rs
@@ -173,7 +173,7 @@
             return Estimate::UNKNOWN;
         };
         let in_flight = u32::try_from(load.flights.len()).unwrap_or(u32::MAX);
-        let speed = if self.settings.paces {
+        let speed = if self.settings.pace_detection {
             load.pace.speed(self.pace, now)
         } else {
             1.0
--- a/crates/placement/tests/load.rs
+++ b/crates/placement/tests/load.rs
@@ -79,7 +79,7 @@
         },
     ];
     for case in cases {
-        let mut view = LoadView::builder(RATE).own(case.own).build();
+        let mut view = LoadView::builder(RATE).own_placements(case.own).build();
         for (tokens, at) in case.placed {
             view.record_placement(key(1), ONE, *tokens, secs(*at));
         }
@@ -153,7 +153,7 @@
 #[test]
 fn homes_lean_away_from_a_crowded_endpoint() {
     let after = |seconds: u32, lean: f64| {
-        let mut view = LoadView::builder(RATE).lean(lean).build();
+        let mut view = LoadView::builder(RATE).weight_exponent(lean).build();
         for half in 0..seconds * 2 {
             for number in 1..=4 {
                 let requests = if number == 1 { 30 } else { 5 };
