--- a/crates/experiment/src/cost/mod.rs
+++ b/crates/experiment/src/cost/mod.rs
@@ -95,9 +95,9 @@
                 (candidate.speed, candidate.weight) = (estimate.speed, estimate.weight);
             }
         });
-        let scratch = placer.scratch();
+        let scratch = placer.scratch_capacity();
         let choice = timed(&mut cost.choose, || placer.choose(chain, &candidates, now, mix(number)));
-        cost.grown += u64::from(placer.scratch() != scratch);
+        cost.grown += u64::from(placer.scratch_capacity() != scratch);
         timed(&mut cost.hash, || {
             PrefixChain::from_seed(number, &text, BLOCK_BYTES, &ends)
         });
--- a/crates/placement/src/placer/mod.rs
+++ b/crates/placement/src/placer/mod.rs
@@ -110,7 +110,7 @@
 
     /// Room in the buffers kept between choices. A choice allocates nothing else, so a choice that leaves this as it was
     /// has not allocated.
-    pub fn scratch(&self) -> usize {
+    pub fn scratch_capacity(&self) -> usize {
         self.homes.capacity() + self.offers.capacity()
     }
 
--- a/crates/placement/tests/long_run.rs
+++ b/crates/placement/tests/long_run.rs
@@ -154,7 +154,7 @@
             assert!(estimate.speed > 0.0 && estimate.speed <= 1.0);
             assert!(estimate.weight > 0.0 && estimate.weight.is_finite());
         }
-        let scratch = self.placer.scratch();
+        let scratch = self.placer.scratch_capacity();
         assert!(scratch >= self.scratch);
         self.scratch = scratch;
     }
@@ -195,7 +195,7 @@
         let mut placer = run.placer.clone();
         let candidates = support::candidates(7);
         placer.choose(&chain(0, 1, 1, 1), &candidates, run.now, 7);
-        let scratch = placer.scratch();
+        let scratch = placer.scratch_capacity();
         for number in 0..500 {
             placer.choose(
                 &chain(0, number % 4, number % 3, number),
@@ -205,7 +205,7 @@
             );
         }
         assert_eq!(
-            placer.scratch(),
+            placer.scratch_capacity(),
             scratch,
             "choices allocate nothing once their buffers have grown"
         );
