--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -151,7 +151,7 @@
         Candidate {
             endpoint: known.key,
             incarnation: Incarnation((known.entry.incarnation.0 << WEIGHTS_BITS) | (weights & 0xffff)),
-            near: known.entry.domain == self.settings.domain,
+            same_domain: known.entry.domain == self.settings.domain,
             in_flight: known.in_flight(),
             limit: known.entry.slots.max(1) * DEPTH,
             queued: self.queued(known, now) + if apart { APART_TOKENS } else { 0 },
--- a/crates/experiment/src/cost/mod.rs
+++ b/crates/experiment/src/cost/mod.rs
@@ -123,7 +123,7 @@
     Candidate {
         endpoint: EndpointKey(mix(number)),
         incarnation: 1.into(),
-        near: number.is_multiple_of(4),
+        same_domain: number.is_multiple_of(4),
         in_flight: 3,
         limit: 32,
         queued: mix(number) % 10_000,
--- a/crates/experiment/src/policy/mod.rs
+++ b/crates/experiment/src/policy/mod.rs
@@ -91,7 +91,7 @@
         let engine = engines[*index];
         let missed = (chain.blocks().len() - engine.will_hold(chain)) as f64 * f64::from(BLOCK_TOKENS);
         let wait = (engine.prefill_coming() as f64 + missed * miss_weight) / PREFILL_RATE * engine.slowness;
-        wait + if candidates[*index].near { 0.0 } else { 0.003 }
+        wait + if candidates[*index].same_domain { 0.0 } else { 0.003 }
     };
     let open = (0..candidates.len()).filter(|index| candidates[*index].has_room());
     let best = open.min_by(|a, b| cost(a).total_cmp(&cost(b)));
--- a/crates/experiment/src/sim/router.rs
+++ b/crates/experiment/src/sim/router.rs
@@ -255,7 +255,7 @@
         Candidate {
             endpoint: known.key,
             incarnation: known.incarnation,
-            near: known.near,
+            same_domain: known.near,
             in_flight: known.running,
             limit: most(setup, known),
             queued: estimate.queued,
--- a/crates/placement/src/placer/candidate.rs
+++ b/crates/placement/src/placer/candidate.rs
@@ -22,7 +22,7 @@
     /// Its life now.
     pub incarnation: Incarnation,
     /// Whether it is in this router's failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// Requests in flight from this router.
     pub in_flight: u32,
     /// Most requests this router may have in flight there.
--- a/crates/placement/src/placer/price.rs
+++ b/crates/placement/src/placer/price.rs
@@ -46,7 +46,7 @@
 impl Price {
     /// Cost in seconds of a request that misses `missed` blocks at `candidate`.
     pub fn cost(&self, candidate: &Candidate, missed: f64) -> f64 {
-        let domain_rtt = if candidate.near {
+        let domain_rtt = if candidate.same_domain {
             Duration::ZERO
         } else {
             self.pricing.domain_rtt
--- a/crates/placement/tests/choices.rs
+++ b/crates/placement/tests/choices.rs
@@ -242,7 +242,7 @@
     let mut placer = Placer::builder().build();
     let nothing = PrefixChain::from_hashes(1, Vec::new(), &[]);
     let mut candidates = candidates(2);
-    candidates[1].near = false;
+    candidates[1].same_domain = false;
     let share = |placer: &mut Placer, candidates: &[Candidate]| {
         (0..100)
             .filter(|draw| pick(placer, &nothing, candidates, *draw).index == 0)
--- a/crates/placement/tests/long_run.rs
+++ b/crates/placement/tests/long_run.rs
@@ -40,7 +40,7 @@
             Candidate {
                 endpoint: engine.key,
                 incarnation: Incarnation(engine.incarnation),
-                near: engine.key.0.is_multiple_of(2),
+                same_domain: engine.key.0.is_multiple_of(2),
                 in_flight: estimate.in_flight,
                 limit: limit(),
                 queued: estimate.queued,
--- a/crates/placement/tests/naive.rs
+++ b/crates/placement/tests/naive.rs
@@ -52,7 +52,7 @@
         let mut candidates = support::candidates(count);
         for candidate in &mut candidates {
             candidate.incarnation = Incarnation(1 + pick(gen_, 2));
-            candidate.near = bool::arbitrary(gen_);
+            candidate.same_domain = bool::arbitrary(gen_);
             candidate.in_flight = pick(gen_, 10) as u32;
             candidate.queued = pick(gen_, 3) * pick(gen_, 40_000);
             candidate.speed = [1.0, 1.0, 0.25][pick(gen_, 3) as usize];
@@ -189,7 +189,7 @@
         let queued: u64 = self.candidates.iter().map(|candidate| candidate.queued).sum();
         let mean = queued as f64 / 20_000.0 / self.candidates.len() as f64;
         let work = candidate.queued as f64 + (13.0 - cached) * 1024.0 * (3.0 + 4.0 * mean);
-        work / 20_000.0 / candidate.speed + if candidate.near { 0.0 } else { 0.003 }
+        work / 20_000.0 / candidate.speed + if candidate.same_domain { 0.0 } else { 0.003 }
     }
 }
 
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -10,7 +10,7 @@
     Candidate {
         endpoint: EndpointKey(key),
         incarnation: Incarnation(1),
-        near: true,
+        same_domain: true,
         in_flight: 0,
         limit: 8,
         queued: 0,
--- a/crates/router/src/pool/state.rs
+++ b/crates/router/src/pool/state.rs
@@ -205,7 +205,7 @@
         Candidate {
             endpoint: member.key,
             incarnation: member.believed.incarnation,
-            near: member.near,
+            same_domain: member.near,
             in_flight: member.running(),
             limit: member.slots,
             queued: estimate.queued,
