--- a/crates/admission/src/answer.rs
+++ b/crates/admission/src/answer.rs
@@ -1,51 +1,51 @@
-//! What the pool answers, and how jobs end.
+//! Decisions of a pool on its jobs, and the outcomes of jobs.
 
 use crate::{Ticket, Tokens};
 use derive_more::Display;
 use quick_error::quick_error;
 use std::time::Duration;
 
-/// Answer to an offered job.
+/// Decision on an offered job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offer {
-    /// Run it now; it holds a slot until it is finished or cancelled.
+    /// Run the job now. It holds a slot until it is finished or cancelled.
     Start(Ticket),
-    /// It is queued; [`Next`] names its ticket later.
+    /// The job is queued. A later [`Next`] carries its ticket.
     Wait(Ticket),
-    /// It is not queued and has not run.
+    /// The job is not queued and has not run.
     Refuse(Refusal),
 }
 
-/// What to do when a slot may have become free.
+/// Next action for the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Run this queued job now; it holds a slot until it is finished or cancelled.
+    /// Run this queued job now. It holds a slot until it is finished or cancelled.
     Start(Ticket),
-    /// Answer this queued job with the refusal now; it has not run.
+    /// Refuse this queued job now. It has not run.
     Expired(Ticket, Refusal),
-    /// Nothing to do until a slot becomes free or the time of the next check.
+    /// Nothing to do until a slot is freed or the next check is due.
     Wait,
 }
 
 /// A refusal of a job that has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// When the same job is expected to be admitted; absent if coming back does not help.
+    /// Delay after which the same job is expected to be admitted. `None` if a retry does not help.
     pub retry_after: Option<Duration>,
 }
 
 /// Why a job is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display)]
 pub enum Reason {
-    /// The expected wait is longer than the pool lets anyone wait, or the queue is full.
+    /// The expected wait exceeds the pool's maximum wait, or the queue is full.
     #[display("overloaded")]
     Overloaded,
-    /// The expected wait reaches past the job's deadline.
+    /// With the expected wait the job would end after its deadline.
     #[display("deadline out of reach")]
     DeadlineUnreachable,
-    /// The deadline is shorter than the job itself takes, even in an idle pool.
+    /// The deadline is shorter than the job's own service time, even in an idle pool.
     #[display("deadline too short")]
     DeadlineShort,
     /// The pool has no slots.
@@ -56,30 +56,30 @@
 /// How a started job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer was given.
+    /// The endpoint answered completely.
     Served {
         /// From the job's start to the first byte of its answer.
         first_token: Duration,
-        /// Tokens as counted.
+        /// Tokens counted by the endpoint.
         tokens: Tokens,
     },
-    /// The endpoint failed or refused.
+    /// The endpoint failed or refused the request.
     Failed,
 }
 
-/// What a cancelled ticket was.
+/// State of a job when it was cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cancelled {
-    /// It waited, and has left the queue.
+    /// It was waiting and has been removed from the queue.
     Queued,
-    /// It ran, and its slot is free.
+    /// It was running, and its slot has been freed.
     Running,
-    /// It had ended already.
+    /// It had already ended.
     Ended,
 }
 
 quick_error! {
-    /// The ticket does not name a running job: it still waits or has ended.
+    /// The ticket does not name a running job: the job is still queued or has ended.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum UnknownTicket {
         /// The ticket that is not running.
--- a/crates/admission/src/bucket.rs
+++ b/crates/admission/src/bucket.rs
@@ -1,42 +1,43 @@
-//! A token bucket that may go into debt.
+//! Token bucket whose level may become negative.
 //!
-//! One request may cost more than the bucket holds (a router's share of a small limit is less than one long prompt).
-//! A bucket that demands the whole cost beforehand would then refuse such a request for ever; this one grants while it is
-//! above zero, takes the whole cost and pays the debt off before it grants again, so that the rate holds over time.
+//! One request may cost more than the bucket's capacity: a router's share of a small limit is less than one long
+//! prompt. A bucket that requires the whole cost up front would never grant such a request. This one grants while its
+//! level is above zero, subtracts the whole cost and refills from the negative level before it grants again. The rate
+//! therefore holds over time.
 
 use std::time::Duration;
 
-/// A token bucket that may go into debt.
+/// Token bucket whose level may become negative.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     capacity: f64,
     level: f64,
-    filled: Duration,
+    refilled_at: Duration,
 }
 
-impl Bucket {
-    /// Full bucket that refills by `rate` a second up to `capacity`.
+impl TokenBucket {
+    /// Creates a full bucket that refills by `rate` a second up to `capacity`.
     pub fn new(rate: f64, capacity: f64, now: Duration) -> Self {
         Self {
             rate,
             capacity,
             level: capacity,
-            filled: now,
+            refilled_at: now,
         }
     }
 
-    /// Changes rate and capacity; what has been saved beyond the new capacity is lost, a debt remains.
+    /// Changes rate and capacity. A level above the new capacity is cut to it; a negative level remains.
     pub fn set_rate(&mut self, rate: f64, capacity: f64, now: Duration) {
-        self.fill(now);
+        self.refill(now);
         self.rate = rate;
         self.capacity = capacity;
         self.level = self.level.min(capacity);
     }
 
-    /// Time until `needed` could be taken; zero if it can be now. None if the rate is zero.
+    /// Time until `needed` is available, zero if it is now. `None` if the rate is zero.
     pub fn wait(&mut self, needed: f64, now: Duration) -> Option<Duration> {
-        self.fill(now);
+        self.refill(now);
         let missing = needed.min(self.capacity) - self.level;
         if missing <= 0.0 {
             return Some(Duration::ZERO);
@@ -47,23 +48,23 @@
         Duration::try_from_secs_f64(missing / self.rate).ok()
     }
 
-    /// Takes `cost`, into debt if need be; a negative cost gives back.
+    /// Subtracts `cost`, below zero if necessary. A negative cost is a refund.
     pub fn charge(&mut self, cost: f64, now: Duration) {
-        self.fill(now);
+        self.refill(now);
         self.level = (self.level - cost).min(self.capacity);
     }
 
-    /// What can be taken without debt.
+    /// Current level, negative while the bucket is in debt.
     pub fn level(&mut self, now: Duration) -> f64 {
-        self.fill(now);
+        self.refill(now);
         self.level
     }
 
-    fn fill(&mut self, now: Duration) {
-        let Some(passed) = now.checked_sub(self.filled) else {
+    fn refill(&mut self, now: Duration) {
+        let Some(elapsed) = now.checked_sub(self.refilled_at) else {
             return;
         };
-        self.filled = now;
-        self.level = (self.level + passed.as_secs_f64() * self.rate).min(self.capacity);
+        self.refilled_at = now;
+        self.level = (self.level + elapsed.as_secs_f64() * self.rate).min(self.capacity);
     }
 }
--- a/crates/admission/src/job.rs
+++ b/crates/admission/src/job.rs
@@ -1,33 +1,34 @@
-//! What a caller asks of a pool.
+//! Requests as a pool sees them.
 
 use derive_more::Display;
 use ids::{Priority, WorkspaceId};
 use std::time::Duration;
 
-/// Tokens of one request: as estimated or allowed when it is offered, as counted when it ends. Both zero for plain services.
+/// Tokens of one request: estimated or allowed when it is offered, counted when it ends. Both are zero for plain
+/// services.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tokens {
-    /// Prompt tokens that are not found in a cache.
+    /// Prompt tokens that are not cached.
     pub uncached: u64,
-    /// Tokens generated; of a request that is offered, what the caller allows. What is used of that is learnt.
+    /// Output tokens. For an offered request, the maximum that the caller allows; the share that answers use is learnt.
     pub output: u64,
 }
 
-/// One request that wants a slot of the pool.
+/// A request for one slot of the pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
-    /// Who asks.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
     /// The workspace's weight in fair sharing, 1 to 1000.
     pub weight: u32,
     /// Urgency, 0 to 9, 0 the most urgent.
     pub priority: Priority,
-    /// Tokens; they say how long the job will hold its slot.
+    /// Tokens, from which the slot time is estimated.
     pub tokens: Tokens,
-    /// When the caller stops waiting for the whole answer, on the clock of `now`.
+    /// When the caller stops waiting for the complete answer, on the clock of `now`.
     pub deadline: Option<Duration>,
 }
 
-/// Names one admitted job until its end; never used twice.
+/// Identifies one admitted job. Never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 pub struct Ticket(pub(crate) u64);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,13 +1,13 @@
-//! Decides who is served, who waits and who is refused. Never does I/O, never reads a clock.
+//! Admission control: decides which jobs start, wait or are refused. Never does I/O, never reads a clock.
 //!
-//! Time is an argument, `now`: a [`std::time::Duration`] since the process started. Nothing here blocks.
+//! Time is passed in as `now`, a [`std::time::Duration`] since the process started. Nothing here blocks.
 //!
 //! | type | decides |
 //! | --- | --- |
 //! | [`Admission`] | which jobs of one pool start, wait or are refused |
-//! | [`EndpointLimit`] | how many requests one endpoint may run at once |
+//! | [`EndpointLimit`] | how many requests one endpoint may run concurrently |
 //! | [`ShareLimiter`] | whether a workspace is within its limits over all routers |
-//! | [`RetryBudget`], [`decide_retry`], [`decide_hedge`] | whether a failed or slow attempt is tried elsewhere |
+//! | [`RetryBudget`], [`decide_retry`], [`decide_hedge`] | whether a failed or slow attempt is tried at another endpoint |
 
 mod answer;
 mod bucket;
@@ -23,7 +23,7 @@
 mod share_limiter;
 
 pub use answer::{Cancelled, Next, Offer, Outcome, Reason, Refusal, UnknownTicket};
-pub use bucket::Bucket;
+pub use bucket::TokenBucket;
 pub use endpoint_limit::{EndpointLimit, Sample};
 pub use job::{Job, Ticket, Tokens};
 pub use pool::{Admission, Counts};
--- a/crates/admission/src/output_model.rs
+++ b/crates/admission/src/output_model.rs
@@ -1,82 +1,86 @@
-//! How long answers turn out, by how long callers allow them to be.
+//! Expected output length, learnt from the lengths that callers allow and use.
 //!
-//! Load pattern: callers allow thousands of tokens and get some dozens, or state nothing and get the default.
-//! Without it the allowed length counts as the expected one: jobs look several times as long as they are, the queue looks
-//! full while slots are idle, and jobs with short deadlines are refused that would have been in time. One notices refusals
-//! for the deadline at a load that the pool serves easily.
+//! Load pattern: callers allow thousands of tokens and use some dozens, or state no maximum and get the default.
+//! Without this model the allowed length is taken as the expected one. Jobs then look several times as long as they
+//! are, the queue looks full while slots are idle, and jobs with short deadlines are refused although they would end in
+//! time. The symptom is refusals for the deadline at a load well below the pool's capacity.
 //!
-//! Kept for each workspace and for the whole pool, by the allowed length in powers of two, since each kind of request
-//! allows its own. A workspace without a history is expected to be as the pool, a pool without one as allowed.
+//! Usage is kept for each workspace and for the whole pool, by the allowed length in powers of two, since each kind of
+//! request has its own maximum. A workspace without history uses the pool's ratio; a pool without history assumes the
+//! allowed length.
 
-/// Allowed lengths with a history of their own: up to 2^16 tokens.
-const SIZES: usize = 16;
-/// Weight that is left of a workspace's and of the pool's history after one more answer: some twenty and some hundred
-/// answers count, so that a new kind of request is learnt within seconds.
-const FADE: f64 = 0.95;
-const POOL_FADE: f64 = 0.99;
-/// What is assumed weighs as much as this many answers.
-const PRIOR: f64 = 2.0;
+/// Classes of allowed length, up to 2^16 tokens.
+const SIZE_CLASSES: usize = 16;
+/// Decay factors of a workspace's and of the pool's history per answer. About twenty and a hundred answers count, so
+/// that a new kind of request is learnt within seconds.
+const WORKSPACE_DECAY: f64 = 0.95;
+const POOL_DECAY: f64 = 0.99;
+/// Weight of the prior, in answers.
+const PRIOR_ANSWERS: f64 = 2.0;
 
-/// Output counted and allowed, tokens, older answers fading.
+/// Sums of counted and allowed output tokens with exponential decay.
 #[derive(Debug, Clone, Copy, Default)]
-struct Sum {
+struct Usage {
     counted: f64,
     allowed: f64,
 }
 
-impl Sum {
-    fn add(&mut self, counted: f64, allowed: f64, fade: f64) {
-        self.counted = self.counted * fade + counted;
-        self.allowed = self.allowed * fade + allowed;
+impl Usage {
+    fn add(&mut self, counted: f64, allowed: f64, decay: f64) {
+        self.counted = self.counted * decay + counted;
+        self.allowed = self.allowed * decay + allowed;
     }
 
-    /// Share of the allowed length that is used, starting from an assumed one.
-    fn used(&self, assumed: f64, allowed: f64) -> f64 {
-        (self.counted + assumed * allowed * PRIOR) / (self.allowed + allowed * PRIOR)
+    /// Ratio of counted to allowed output, starting from a prior.
+    fn ratio(&self, prior: f64, allowed: f64) -> f64 {
+        (self.counted + prior * allowed * PRIOR_ANSWERS) / (self.allowed + allowed * PRIOR_ANSWERS)
     }
 }
 
-/// How long answers turn out, by workspace and allowed length.
+/// Expected output length by workspace and allowed length.
 #[derive(Debug, Clone, Default)]
 pub struct OutputModel {
-    pool: [Sum; SIZES],
-    lanes: Vec<[Sum; SIZES]>,
+    pool: [Usage; SIZE_CLASSES],
+    lanes: Vec<[Usage; SIZE_CLASSES]>,
 }
 
 impl OutputModel {
-    /// Expected output of a request of this lane's workspace, tokens.
+    /// Expected output tokens of a request of this lane's workspace.
     pub fn expected(&self, lane: usize, allowed: u64) -> u64 {
         if allowed == 0 {
             return 0;
         }
-        let (size, allowed) = (size(allowed), allowed as f64);
-        let pool = self.pool[size].used(1.0, allowed);
-        let used = self.lanes.get(lane).map_or(pool, |sums| sums[size].used(pool, allowed));
-        (allowed * used).round() as u64
+        let (class, allowed) = (class(allowed), allowed as f64);
+        let pool = self.pool[class].ratio(1.0, allowed);
+        let ratio = self
+            .lanes
+            .get(lane)
+            .map_or(pool, |sums| sums[class].ratio(pool, allowed));
+        (allowed * ratio).round() as u64
     }
 
-    /// Whether a few such requests of this workspace have been answered.
-    pub fn is_learnt(&self, lane: usize, allowed: u64) -> bool {
+    /// Whether a few requests of this workspace and length class have been answered.
+    pub fn has_history(&self, lane: usize, allowed: u64) -> bool {
         let Some(sums) = self.lanes.get(lane) else {
             return allowed == 0;
         };
-        allowed == 0 || sums[size(allowed)].allowed >= PRIOR * allowed as f64
+        allowed == 0 || sums[class(allowed)].allowed >= PRIOR_ANSWERS * allowed as f64
     }
 
-    /// Takes in a whole answer.
+    /// Records a complete answer.
     pub fn observe(&mut self, lane: usize, allowed: u64, counted: u64) {
         if allowed == 0 {
             return;
         }
         if self.lanes.len() <= lane {
-            self.lanes.resize(lane + 1, [Sum::default(); SIZES]);
+            self.lanes.resize(lane + 1, [Usage::default(); SIZE_CLASSES]);
         }
-        let (size, allowed, counted) = (size(allowed), allowed as f64, counted as f64);
-        self.lanes[lane][size].add(counted, allowed, FADE);
-        self.pool[size].add(counted, allowed, POOL_FADE);
+        let (class, allowed, counted) = (class(allowed), allowed as f64, counted as f64);
+        self.lanes[lane][class].add(counted, allowed, WORKSPACE_DECAY);
+        self.pool[class].add(counted, allowed, POOL_DECAY);
     }
 }
 
-fn size(allowed: u64) -> usize {
-    (allowed.ilog2() as usize).min(SIZES - 1)
+fn class(allowed: u64) -> usize {
+    (allowed.ilog2() as usize).min(SIZE_CLASSES - 1)
 }
--- a/crates/admission/src/pool/counts.rs
+++ b/crates/admission/src/pool/counts.rs
@@ -1,30 +1,30 @@
-//! Jobs counted by what became of them.
+//! Numbers of jobs by state.
 
-/// Jobs counted by what became of them; offered = refused + waiting + running + expired + finished + cancelled.
+/// Numbers of jobs by state, where offered = refused + waiting + running + expired + finished + cancelled.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Offered so far.
     pub offered: u64,
-    /// Refused when they were offered.
+    /// Refused when offered.
     pub refused: u64,
-    /// In the queue now.
+    /// Currently queued.
     pub waiting: u64,
-    /// Holding a slot now.
+    /// Currently holding a slot.
     pub running: u64,
-    /// Refused after they had waited.
+    /// Refused after waiting.
     pub expired: u64,
-    /// Finished after they had started.
+    /// Started and finished.
     pub finished: u64,
-    /// Cancelled while they waited or ran.
+    /// Cancelled while waiting or running.
     pub cancelled: u64,
 }
 
 impl Counts {
-    /// Every offered job is in exactly one place.
+    /// Checks that every offered job is counted in exactly one state.
     ///
     /// # Panics
     ///
-    /// If a job was lost or counted twice: its caller would get no answer, or two, or its slot would never be free again.
+    /// If a job was lost or counted twice. Its caller would get no answer or two, or its slot would never be freed.
     pub(super) fn check(&self, queued: usize, running: usize) {
         let ended = self.refused + self.expired + self.finished + self.cancelled;
         assert_eq!(
@@ -32,7 +32,10 @@
             self.waiting + self.running + ended,
             "a job was lost or counted twice"
         );
-        assert_eq!(self.waiting as usize, queued, "the queue lost a job");
-        assert_eq!(self.running as usize, running, "a slot was lost");
+        assert_eq!(self.waiting as usize, queued, "waiting count differs from the queue");
+        assert_eq!(
+            self.running as usize, running,
+            "running count differs from the jobs that hold a slot"
+        );
     }
 }
--- a/crates/admission/src/pool/mod.rs
+++ b/crates/admission/src/pool/mod.rs
@@ -1,33 +1,35 @@
 //! Admission to one pool.
 //!
-//! Load pattern: for seconds or hours more is asked than the pool can serve in time.
-//! Without it every job waits, most end after their deadline, and the slots are spent on answers nobody waits for any
-//! more: goodput falls towards zero while the pool is busy. One notices that all are served and few in time.
+//! Load pattern: for seconds or hours the offered load exceeds what the pool can serve in time. Without admission
+//! control every job waits, most end after their deadline, and the slots are spent on answers that nobody waits for any
+//! more. Goodput falls towards zero while the pool is busy. The symptom is that all jobs are served and few in time.
 //!
-//! A job is admitted only if its expected wait and its own time fit before its deadline. The wait comes from the slot
-//! time queued ahead of it under fair sharing and from the slots, so that the queue's bound follows the load. If that
-//! changes for the worse, jobs that have become hopeless are refused at the next check, not when their time is up.
+//! A job is admitted only if its expected wait and its own service time fit before its deadline. The wait follows from
+//! the slot time queued ahead of it under fair sharing and from the number of slots, so that the queue limit follows
+//! the load. If conditions get worse, jobs that can no longer end in time are refused at the next check, not at their
+//! deadline.
 
 mod counts;
-mod judge;
-mod moves;
+mod feasibility;
 mod running;
+mod transitions;
 
 pub use counts::Counts;
 
 use crate::output_model::OutputModel;
-use crate::queue::{Key, LaneIndex, Queue, Queued, Slots};
+use crate::queue::{Key, LaneIndex, Queue, QueuedJob, Slots};
 use crate::reserve::{Length, Reserve};
 use crate::{Cancelled, Job, Next, Offer, Outcome, Refusal, ServiceModel, Settings, Ticket, UnknownTicket};
 use running::Running;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Below this fraction of its former slots a pool's queue is checked at once; adaptive limits move by less all the time.
-const SHRUNK: (u32, u32) = (9, 10);
+/// If the slots fall below this fraction of their previous number, the queue is checked at once. Adaptive limits
+/// fluctuate by less.
+const RECHECK_RATIO: (u32, u32) = (9, 10);
 
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct QueuePosition {
     lane: LaneIndex,
     key: Key,
     length: Length,
@@ -44,15 +46,15 @@
     reserve: Reserve,
     queue: Queue,
     counts: Counts,
-    newest: u64,
-    places: HashMap<Ticket, Place>,
+    last_ticket: u64,
+    positions: HashMap<Ticket, QueuePosition>,
     running: Running,
     expired: VecDeque<(Ticket, Refusal)>,
     check_at: Duration,
 }
 
 impl Admission {
-    /// Admission to a pool without capacity; see [`Admission::set_capacity`].
+    /// Creates the admission of a pool without capacity; see [`Admission::set_capacity`].
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -63,55 +65,56 @@
             reserve: Reserve::default(),
             queue: Queue::new(settings.mechanisms),
             counts: Counts::default(),
-            newest: 0,
-            places: HashMap::new(),
+            last_ticket: 0,
+            positions: HashMap::new(),
             running: Running::default(),
             expired: VecDeque::new(),
             check_at: Duration::ZERO,
         }
     }
 
-    /// Sets how many jobs may run at once: the sum of the endpoints' limits. Call [`Admission::next`] afterwards.
+    /// Sets how many jobs may run at once, the sum of the endpoints' limits. Call [`Admission::next`] afterwards.
     pub fn set_capacity(&mut self, slots: u32, now: Duration) {
         if slots == 0 && self.capacity > 0 {
             self.empty_since = now;
         }
-        if slots * SHRUNK.1 < self.capacity * SHRUNK.0 {
+        if slots * RECHECK_RATIO.1 < self.capacity * RECHECK_RATIO.0 {
             self.check_at = now;
         }
         self.capacity = slots;
     }
 
-    /// Offers a job. After `Wait` its ticket comes out of [`Admission::next`], once, unless it is cancelled before.
+    /// Offers a job. After `Wait`, [`Admission::next`] returns its ticket exactly once, unless the job is cancelled
+    /// before.
     pub fn offer(&mut self, job: &Job, now: Duration) -> Offer {
         self.counts.offered += 1;
         let lane = self.queue.lane(&job.workspace, job.weight);
         let seconds = self.expected_seconds(lane, job.tokens);
         let cost = (seconds * 1e6) as u64 + 1;
-        let queued = Queued {
+        let queued = QueuedJob {
             cost,
             allowed: job.tokens.output,
             rank: job.priority.0,
-            length: self.reserve.observe(seconds, now),
-            latest: job
+            length: self.reserve.classify(seconds, now),
+            latest_start: job
                 .deadline
                 .map(|deadline| self.latest_start(lane, job.tokens, deadline, now)),
         };
-        self.newest += 1;
-        let ticket = Ticket(self.newest);
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
         let key = Key {
-            due: self.queue.due(queued.rank, queued.cost, now),
+            effective_arrival: self.queue.effective_arrival(queued.rank, queued.cost, now),
             ticket,
         };
-        let offer = self.place(lane, key, queued, now);
+        let offer = self.admit(lane, key, queued, now);
         self.check_counts();
         offer
     }
 
-    /// What to do next: call it until it says `Wait`, whenever capacity grows, a job ends or is cancelled, and at the
-    /// time of [`Admission::next_check`].
+    /// Returns the next action. Call it until it returns `Wait`, whenever capacity grows, a job ends or is cancelled,
+    /// and at the time of [`Admission::next_check`].
     pub fn next(&mut self, now: Duration) -> Next {
-        if !self.places.is_empty() && now >= self.check_at {
+        if !self.positions.is_empty() && now >= self.check_at {
             self.check_waiting(now);
         }
         let next = self.take_next(now);
@@ -119,9 +122,9 @@
         next
     }
 
-    /// When [`Admission::next`] wants to be called even if nothing ends; none while nothing waits.
+    /// When [`Admission::next`] is due even if no job ends. `None` while the queue is empty.
     pub fn next_check(&self) -> Option<Duration> {
-        if self.places.is_empty() {
+        if self.positions.is_empty() {
             None
         } else {
             Some(self.check_at)
@@ -132,7 +135,7 @@
     ///
     /// # Errors
     ///
-    /// The ticket names no running job; nothing is changed then.
+    /// If the ticket names no running job. Nothing is changed then.
     pub fn finish(&mut self, ticket: Ticket, outcome: Outcome, now: Duration) -> Result<(), UnknownTicket> {
         let Some(job) = self.end_running(ticket) else {
             return Err(UnknownTicket::NotRunning(ticket));
@@ -141,14 +144,15 @@
         if let Outcome::Served { first_token, tokens } = outcome {
             let true_cost = self.model.seconds(tokens) * 1e6;
             self.queue.charge(job.lane, true_cost - job.cost as f64);
-            self.model.observe(tokens, first_token, now.saturating_sub(job.at));
+            self.model
+                .observe(tokens, first_token, now.saturating_sub(job.started_at));
             self.outputs.observe(job.lane, job.allowed, tokens.output);
         }
         self.check_counts();
         Ok(())
     }
 
-    /// Ends a job whose caller went away, queued or running; a running one's slot is free afterwards.
+    /// Ends a queued or running job whose caller disconnected. The slot of a running job is freed.
     pub fn cancel(&mut self, ticket: Ticket) -> Cancelled {
         let cancelled = self.remove(ticket);
         if cancelled != Cancelled::Ended {
@@ -158,17 +162,17 @@
         cancelled
     }
 
-    /// Jobs counted by what became of them.
+    /// Numbers of jobs by state.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Slots that are free.
+    /// Free slots.
     pub fn free(&self) -> u32 {
         self.capacity.saturating_sub(self.counts.running as u32)
     }
 
-    /// How long jobs hold their slots, as learnt from those that ended.
+    /// Slot times learnt from the jobs that ended.
     pub fn service_model(&self) -> &ServiceModel {
         &self.model
     }
@@ -188,6 +192,6 @@
 
     fn check_counts(&self) {
         self.counts
-            .check(self.places.len() + self.expired.len(), self.running.len());
+            .check(self.positions.len() + self.expired.len(), self.running.len());
     }
 }
--- a/crates/admission/src/pool/running.rs
+++ b/crates/admission/src/pool/running.rs
@@ -8,23 +8,23 @@
 
 /// A job that holds a slot.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Started {
-    /// Its workspace's lane.
+pub(super) struct RunningJob {
+    /// Lane of its workspace.
     pub lane: LaneIndex,
     /// Expected slot time, microseconds.
     pub cost: u64,
-    /// Whether it is long among its like.
+    /// Short or long.
     pub length: Length,
-    /// Output that its caller allows, tokens.
+    /// Maximum output that the caller allows, tokens.
     pub allowed: u64,
-    /// When it started.
-    pub at: Duration,
+    /// Time of its start.
+    pub started_at: Duration,
 }
 
 /// Jobs that hold a slot.
 #[derive(Debug, Default)]
 pub(super) struct Running {
-    jobs: HashMap<Ticket, Started>,
+    jobs: HashMap<Ticket, RunningJob>,
     work: u64,
     long: u32,
 }
@@ -40,21 +40,21 @@
         self.long
     }
 
-    /// Mean expected slot time of the jobs, microseconds; 0 without any.
+    /// Mean expected slot time of the running jobs, microseconds; 0 without any.
     pub fn mean_cost(&self) -> f64 {
         self.work as f64 / self.jobs.len().max(1) as f64
     }
 
-    /// A job takes a slot.
-    pub fn start(&mut self, ticket: Ticket, job: Started) {
+    /// Adds a job that takes a slot.
+    pub fn start(&mut self, ticket: Ticket, job: RunningJob) {
         self.work += job.cost;
         self.long += u32::from(job.length == Length::Long);
         let old = self.jobs.insert(ticket, job);
-        assert!(old.is_none(), "{ticket} started twice");
+        assert!(old.is_none(), "ticket {ticket} started twice");
     }
 
-    /// A job gives its slot back.
-    pub fn end(&mut self, ticket: Ticket) -> Option<Started> {
+    /// Removes a job and frees its slot.
+    pub fn end(&mut self, ticket: Ticket) -> Option<RunningJob> {
         let job = self.jobs.remove(&ticket)?;
         self.work -= job.cost;
         self.long -= u32::from(job.length == Length::Long);
--- a/crates/admission/src/pool/moves.rs
+++ b/crates/admission/src/pool/transitions.rs
@@ -1,23 +1,23 @@
-//! How a job moves: from its offer to the queue, to a slot and out.
+//! State transitions of a job: from its offer to the queue, to a slot, and to its end.
 
-use super::judge::{CHECK_PERIOD, EMPTY_RETRY};
-use super::running::Started;
-use super::{Admission, Place};
-use crate::queue::{Key, LaneIndex, Queued};
+use super::feasibility::{CHECK_PERIOD, EMPTY_RETRY};
+use super::running::RunningJob;
+use super::{Admission, QueuePosition};
+use crate::queue::{Key, LaneIndex, QueuedJob};
 use crate::reserve::Length;
 use crate::{Cancelled, Next, Offer, Reason, Refusal, Ticket};
 use std::time::Duration;
 
 impl Admission {
     /// Starts, queues or refuses an offered job.
-    pub(super) fn place(&mut self, lane: LaneIndex, key: Key, job: Queued, now: Duration) -> Offer {
+    pub(super) fn admit(&mut self, lane: LaneIndex, key: Key, job: QueuedJob, now: Duration) -> Offer {
         let slots = self.slots(now);
         if self.capacity == 0 {
             return self.refuse(Reason::NoCapacity, Some(EMPTY_RETRY));
         }
-        let idle = self.free() > 0 && !self.queue.can_pick(slots.long_allowed);
+        let idle = self.free() > 0 && !self.queue.has_startable(slots.long_allowed);
         let may_start = idle && (slots.long_allowed || job.length == Length::Short);
-        if let Some(refusal) = self.judge(lane, key, &job, may_start, now) {
+        if let Some(refusal) = self.check_admission(lane, key, &job, may_start, now) {
             return self.refuse(refusal.reason, refusal.retry_after);
         }
         if may_start {
@@ -25,13 +25,13 @@
             self.start(key.ticket, lane, &job, now);
             return Offer::Start(key.ticket);
         }
-        if self.places.is_empty() {
+        if self.positions.is_empty() {
             self.check_at = now + CHECK_PERIOD;
         }
         self.queue.insert(lane, key, job, slots);
-        self.places.insert(
+        self.positions.insert(
             key.ticket,
-            Place {
+            QueuePosition {
                 lane,
                 key,
                 length: job.length,
@@ -46,7 +46,7 @@
         Offer::Refuse(Refusal { reason, retry_after })
     }
 
-    /// Takes the next job out of the queue, to start or to be refused.
+    /// Removes the next job from the queue, to start it or to refuse it.
     pub(super) fn take_next(&mut self, now: Duration) -> Next {
         if let Some((ticket, refusal)) = self.expired.pop_front() {
             self.counts.waiting -= 1;
@@ -61,9 +61,9 @@
             return Next::Wait;
         };
         self.queue.remove(lane, key, job.length);
-        self.places.remove(&key.ticket);
+        self.positions.remove(&key.ticket);
         self.counts.waiting -= 1;
-        if self.settings.mechanisms.refuse && job.latest.is_some_and(|latest| now > latest) {
+        if self.settings.mechanisms.refuse && job.latest_start.is_some_and(|latest| now > latest) {
             self.counts.expired += 1;
             return Next::Expired(key.ticket, self.expire(lane, job.cost, Duration::ZERO, now));
         }
@@ -72,37 +72,37 @@
         Next::Start(key.ticket)
     }
 
-    fn start(&mut self, ticket: Ticket, lane: LaneIndex, job: &Queued, now: Duration) {
-        assert!(self.free() > 0, "a job started beyond the pool's slots");
-        let Queued {
+    fn start(&mut self, ticket: Ticket, lane: LaneIndex, job: &QueuedJob, now: Duration) {
+        assert!(self.free() > 0, "a job was started without a free slot");
+        let QueuedJob {
             cost, length, allowed, ..
         } = *job;
         self.running.start(
             ticket,
-            Started {
+            RunningJob {
                 lane,
                 cost,
                 length,
                 allowed,
-                at: now,
+                started_at: now,
             },
         );
         self.counts.running += 1;
     }
 
-    /// Takes a started job out and frees its slot.
-    pub(super) fn end_running(&mut self, ticket: Ticket) -> Option<Started> {
+    /// Removes a started job and frees its slot.
+    pub(super) fn end_running(&mut self, ticket: Ticket) -> Option<RunningJob> {
         let job = self.running.end(ticket)?;
         self.counts.running -= 1;
         Some(job)
     }
 
-    /// Takes a job out from wherever it is.
+    /// Removes a job in any state.
     pub(super) fn remove(&mut self, ticket: Ticket) -> Cancelled {
         if self.end_running(ticket).is_some() {
             return Cancelled::Running;
         }
-        if let Some(place) = self.places.remove(&ticket) {
+        if let Some(place) = self.positions.remove(&ticket) {
             self.queue.remove(place.lane, place.key, place.length);
             self.counts.waiting -= 1;
             return Cancelled::Queued;
--- a/crates/admission/src/queue/lane.rs
+++ b/crates/admission/src/queue/lane.rs
@@ -1,58 +1,59 @@
-//! The queued jobs of one workspace.
+//! Queued jobs of one workspace.
 
 use crate::Ticket;
 use crate::reserve::Length;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Place of a job in its lane: the time it counts as arrived at, then its ticket.
+/// Order of a job in its lane: by effective arrival, then by ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
-    /// Arrival, put back for lower ranks and longer jobs.
-    pub due: Duration,
-    /// Tells jobs of equal time apart.
+    /// Arrival, delayed for less urgent ranks and longer jobs.
+    pub effective_arrival: Duration,
+    /// Breaks ties.
     pub ticket: Ticket,
 }
 
 /// A job in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Queued {
+pub struct QueuedJob {
     /// Expected slot time, microseconds.
     pub cost: u64,
-    /// Output that its caller allows, tokens.
+    /// Maximum output that the caller allows, tokens.
     pub allowed: u64,
     /// Urgency, 0 the most urgent.
     pub rank: u8,
-    /// Whether it is long among its like.
+    /// Short or long.
     pub length: Length,
-    /// When it must have started to end before its caller stops waiting.
-    pub latest: Option<Duration>,
+    /// Latest start that lets it end before the caller's deadline.
+    pub latest_start: Option<Duration>,
 }
 
-/// The queued jobs of one workspace, in the order they are to start.
+/// Queued jobs of one workspace, in start order.
 #[derive(Debug, Clone, Default)]
 pub struct Lane {
     /// Weight in fair sharing.
     pub weight: u32,
-    /// Slot time started so far by weight, microseconds, raised to the virtual time when the lane was empty.
+    /// Slot time started so far divided by the weight, microseconds. Raised to the virtual time after the lane was
+    /// empty.
     pub tag: f64,
-    /// Until when the returns of refused jobs are spread.
-    pub promised: Duration,
-    short: Part,
-    long: Part,
+    /// Earliest time for the next retry of a refused job.
+    pub next_retry: Duration,
+    short: LengthQueue,
+    long: LengthQueue,
 }
 
-/// Jobs of one length. The first is kept beside the map: each decision looks at the first job of every lane, and walking
-/// into 250 maps costs more than the decision.
+/// Jobs of one length. The first job is kept outside the map: each decision looks at the first job of every lane, and
+/// descending into 250 maps costs more than the rest of the decision.
 #[derive(Debug, Clone, Default)]
-struct Part {
-    jobs: BTreeMap<Key, Queued>,
+struct LengthQueue {
+    jobs: BTreeMap<Key, QueuedJob>,
     work: u64,
-    first: Option<(Key, Queued)>,
+    first: Option<(Key, QueuedJob)>,
 }
 
 impl Lane {
-    /// Empty lane of weight 1.
+    /// Creates an empty lane of weight 1.
     pub fn new() -> Self {
         Self {
             weight: 1,
@@ -60,33 +61,33 @@
         }
     }
 
-    /// Whether nothing waits.
+    /// Whether no job waits.
     pub fn is_empty(&self) -> bool {
         self.short.first.is_none() && self.long.first.is_none()
     }
 
-    /// Slot time of what waits, microseconds.
+    /// Slot time of the queued jobs, microseconds.
     pub fn work(&self) -> u64 {
         self.short.work + self.long.work
     }
 
-    /// Slot time of the long jobs that wait, microseconds.
+    /// Slot time of the queued long jobs, microseconds.
     pub fn long_work(&self) -> u64 {
         self.long.work
     }
 
     /// Adds a job.
-    pub fn insert(&mut self, key: Key, job: Queued) {
-        self.part_mut(job.length).insert(key, job);
+    pub fn insert(&mut self, key: Key, job: QueuedJob) {
+        self.length_queue_mut(job.length).insert(key, job);
     }
 
-    /// Takes a job out.
-    pub fn remove(&mut self, key: Key, length: Length) -> Option<Queued> {
-        self.part_mut(length).remove(key)
+    /// Removes a job.
+    pub fn remove(&mut self, key: Key, length: Length) -> Option<QueuedJob> {
+        self.length_queue_mut(length).remove(key)
     }
 
-    /// The job to start next, a short one if long ones may not start now.
-    pub fn head(&self, long_allowed: bool) -> Option<(Key, &Queued)> {
+    /// The job to start next; a short one if long jobs may not start now.
+    pub fn head(&self, long_allowed: bool) -> Option<(Key, &QueuedJob)> {
         let long = if long_allowed { self.long.first.as_ref() } else { None };
         let (key, job) = match (&self.short.first, long) {
             (Some(short), Some(long)) if long.0 < short.0 => long,
@@ -96,18 +97,18 @@
         Some((*key, job))
     }
 
-    /// Slot time of the jobs that start before a job with this key, microseconds.
+    /// Slot time of the jobs before this key, microseconds.
     pub fn work_before(&self, key: Key) -> u64 {
         self.short.work_before(key) + self.long.work_before(key)
     }
 
-    /// Slot time of the long jobs among them.
+    /// Slot time of the long jobs before this key, microseconds.
     pub fn long_before(&self, key: Key) -> u64 {
         self.long.work_before(key)
     }
 
-    /// All jobs in the order they are to start.
-    pub fn iter(&self) -> impl Iterator<Item = (Key, &Queued)> {
+    /// All jobs in start order.
+    pub fn iter(&self) -> impl Iterator<Item = (Key, &QueuedJob)> {
         let mut short = self.short.jobs.iter().peekable();
         let mut long = self.long.jobs.iter().peekable();
         std::iter::from_fn(move || {
@@ -120,7 +121,7 @@
         })
     }
 
-    fn part_mut(&mut self, length: Length) -> &mut Part {
+    fn length_queue_mut(&mut self, length: Length) -> &mut LengthQueue {
         match length {
             Length::Short => &mut self.short,
             Length::Long => &mut self.long,
@@ -128,17 +129,17 @@
     }
 }
 
-impl Part {
-    fn insert(&mut self, key: Key, job: Queued) {
+impl LengthQueue {
+    fn insert(&mut self, key: Key, job: QueuedJob) {
         self.work += job.cost;
         if self.first.is_none_or(|(first, _)| key < first) {
             self.first = Some((key, job));
         }
         let old = self.jobs.insert(key, job);
-        assert!(old.is_none(), "two jobs with ticket {}", key.ticket);
+        assert!(old.is_none(), "ticket {} queued twice", key.ticket);
     }
 
-    fn remove(&mut self, key: Key) -> Option<Queued> {
+    fn remove(&mut self, key: Key) -> Option<QueuedJob> {
         let job = self.jobs.remove(&key)?;
         self.work -= job.cost;
         if self.first.is_some_and(|(first, _)| first == key) {
@@ -147,7 +148,7 @@
         Some(job)
     }
 
-    /// Walks from both ends towards the key and stops where the nearer end is reached: new jobs mostly come last.
+    /// Iterates from both ends towards the key and stops at the nearer one: new jobs are mostly the last ones.
     fn work_before(&self, key: Key) -> u64 {
         let mut before = self.jobs.range(..key);
         let mut after = self.jobs.range(key..);
--- a/crates/admission/src/queue/mod.rs
+++ b/crates/admission/src/queue/mod.rs
@@ -1,24 +1,24 @@
 //! Queue of one pool, fair between workspaces by cost.
 //!
-//! Load pattern: one workspace sends many times its share, in requests or in tokens, while others send little.
-//! Without it the queue belongs to whoever fills it: the others wait behind the hot one's jobs and are refused with it.
-//! One notices that workspaces far below their share see the same waits as the one that is far above.
+//! Load pattern: one workspace sends many times its share, in requests or in tokens, while others send little. Without
+//! fair sharing the other workspaces wait behind the jobs of the overloading one and are refused with it. The symptom
+//! is that workspaces far below their share see the same waits as the one far above it.
 //!
 //! Start-time fair queueing (Goyal, Vin, Cheng 1996): each workspace has a tag, the slot time it has started divided by
-//! its weight, and the workspace with the smallest tag goes next. A workspace that comes back starts from just before the
-//! virtual time, so that idling saves up little and what was used while slots were free is not held against it. Costs are
-//! estimates; the difference is charged when the job ends, so that estimating low gains nothing.
+//! its weight, and the workspace with the smallest tag goes next. A workspace that had no jobs restarts slightly before
+//! the virtual time, so that idling gives only a small credit and use of free slots is not charged later. Costs are
+//! estimates. The difference is charged when the job ends, so that low estimates bring no advantage.
 //!
-//! Urgent jobs borrow time (Duda, Cheriton 1999): a workspace whose next job is urgent is compared by an earlier tag, but
-//! is charged in full. Its long-run share stays what it was, and nobody gains more than the borrowed time by calling all
-//! jobs urgent. Within a workspace a job counts as arrived the later the lower its rank and the longer it is, so that
-//! every job's turn comes.
+//! Urgent jobs borrow virtual time (Duda, Cheriton 1999): a workspace whose next job is urgent is compared by an
+//! earlier tag but charged in full. Its long-run share is unchanged, and marking all jobs urgent gains at most the
+//! borrowed time. Within a workspace, the effective arrival of a job is later the lower its rank and the longer it is,
+//! so that no job starves.
 
 mod forecast;
 mod lane;
 
-pub use forecast::{Ahead, Slots};
-pub use lane::{Key, Queued};
+pub use forecast::{Slots, WorkAhead};
+pub use lane::{Key, QueuedJob};
 
 use crate::reserve::Length;
 use crate::settings::Mechanisms;
@@ -27,22 +27,23 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Within a workspace one rank is worth this much waiting. The ten ranks span 4.5 s, more than jobs wait that have
-/// deadlines of some seconds: an urgent job passes all that came in that time, the least urgent waits that much longer.
+/// Waiting time that one rank is worth within a workspace. The ten ranks span 4.5 s, longer than the wait of jobs with
+/// deadlines of some seconds. An urgent job passes all jobs that arrived in that time; the least urgent one waits that
+/// much longer.
 const RANK_STEP: Duration = Duration::from_millis(500);
-/// Between workspaces one rank is worth this much: 0.9 s over all ranks, which is what a workspace that calls everything
-/// urgent may cost the others once. It is less than what those may have saved up.
+/// Waiting time that one rank is worth between workspaces, 0.9 s over all ranks. This is the one-time delay that a
+/// workspace can cause to others by marking everything urgent. It is less than their idle credit.
 const BORROW_STEP: Duration = Duration::from_millis(100);
 /// The least urgent rank.
 const LAST_RANK: u8 = 9;
-/// A workspace that had nothing queued comes back with at most this much of its share saved up. Requests come in clusters;
-/// with nothing saved, a workspace well below its share waits with the second of a cluster beside one that asks for more
-/// than the pool: p99 first token 0.39 s, at this 0.29 s, alone 0.16 s. More than all that urgent jobs may borrow.
-const SAVED: Duration = Duration::from_secs(1);
-/// A job counts as arrived later by this multiple of its own time: it waits longer in proportion to its length, and at
-/// most that much longer.
+/// Maximum credit of a workspace that had no queued jobs. Requests arrive in clusters. Without the credit, a workspace
+/// well below its share waits with the second request of a cluster behind a workspace that overloads the pool: p99
+/// first token is 0.39 s, with this credit 0.29 s, alone 0.16 s. It is more than all that urgent jobs may borrow.
+const IDLE_CREDIT: Duration = Duration::from_secs(1);
+/// The effective arrival of a job is delayed by this multiple of its service time: its wait grows in proportion to its
+/// length, and by no more than that.
 const LENGTH_DELAY: u32 = 2;
-/// Difference of tags that rounding may make, microseconds.
+/// Rounding tolerance of tags, microseconds.
 const ROUNDING: f64 = 1.0;
 const MICROS: f64 = 1e6;
 
@@ -53,14 +54,14 @@
 #[derive(Debug, Default)]
 pub struct Queue {
     mechanisms: Mechanisms,
-    names: HashMap<WorkspaceId, LaneIndex>,
+    lane_indices: HashMap<WorkspaceId, LaneIndex>,
     lanes: Vec<Lane>,
     virtual_time: f64,
     active_weight: u64,
 }
 
 impl Queue {
-    /// Empty queue.
+    /// Creates an empty queue.
     pub fn new(mechanisms: Mechanisms) -> Self {
         Self {
             mechanisms,
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Lane of a workspace; made when it is first seen. Lanes stay: a workspace's are as many as are configured.
+    /// Lane of a workspace, created on first use. Lanes are never removed: their number is bounded by the configured
+    /// workspaces.
     pub fn lane(&mut self, workspace: &WorkspaceId, weight: u32) -> LaneIndex {
         let lane = self.lane_index(workspace);
         let weight = weight.max(1);
@@ -79,31 +81,31 @@
         lane
     }
 
-    /// When a job counts as arrived.
-    pub fn due(&self, rank: u8, cost: u64, now: Duration) -> Duration {
-        let mut due = now;
+    /// Effective arrival of a job, by which its lane is ordered.
+    pub fn effective_arrival(&self, rank: u8, cost: u64, now: Duration) -> Duration {
+        let mut arrival = now;
         if self.mechanisms.priorities {
-            due += RANK_STEP * u32::from(rank.min(LAST_RANK));
+            arrival += RANK_STEP * u32::from(rank.min(LAST_RANK));
         }
         if self.mechanisms.short_first {
-            due += Duration::from_micros(cost) * LENGTH_DELAY;
+            arrival += Duration::from_micros(cost) * LENGTH_DELAY;
         }
-        due
+        arrival
     }
 
     /// Adds a job to its lane.
-    pub fn insert(&mut self, lane: LaneIndex, key: Key, job: Queued, slots: Slots) {
-        let returning = self.returning_tag(slots);
+    pub fn insert(&mut self, lane: LaneIndex, key: Key, job: QueuedJob, slots: Slots) {
+        let idle_tag = self.idle_tag(slots);
         let lane = &mut self.lanes[lane];
         if lane.is_empty() {
-            lane.tag = lane.tag.max(returning);
+            lane.tag = lane.tag.max(idle_tag);
             self.active_weight += u64::from(lane.weight);
         }
         lane.insert(key, job);
     }
 
-    /// Takes a job out that is not to start.
-    pub fn remove(&mut self, lane: LaneIndex, key: Key, length: Length) -> Option<Queued> {
+    /// Removes a job from its lane.
+    pub fn remove(&mut self, lane: LaneIndex, key: Key, length: Length) -> Option<QueuedJob> {
         let lane = &mut self.lanes[lane];
         let job = lane.remove(key, length)?;
         if lane.is_empty() {
@@ -112,36 +114,37 @@
         Some(job)
     }
 
-    /// The job to start next, if any may start.
-    pub fn pick(&mut self, slots: Slots) -> Option<(LaneIndex, Key, Queued)> {
-        let mut best: Option<(f64, LaneIndex, Key, Queued)> = None;
-        let mut least = f64::INFINITY;
+    /// Picks the job to start next, if one may start.
+    pub fn pick(&mut self, slots: Slots) -> Option<(LaneIndex, Key, QueuedJob)> {
+        let mut best: Option<(f64, LaneIndex, Key, QueuedJob)> = None;
+        let mut min_tag = f64::INFINITY;
         let step = self.borrowed_step(slots);
         for (index, lane) in self.lanes.iter().enumerate() {
             let Some((key, job)) = lane.head(slots.long_allowed) else {
                 continue;
             };
-            least = least.min(lane.tag);
+            min_tag = min_tag.min(lane.tag);
             let tag = lane.tag - ranks_above_last(job.rank) * step;
             if best.is_none_or(|(best, ..)| tag < best) {
                 best = Some((tag, index, key, *job));
             }
         }
         let (tag, index, key, job) = best?;
-        self.virtual_time = self.virtual_time.max(least);
+        self.virtual_time = self.virtual_time.max(min_tag);
         assert!(
             tag <= self.virtual_time + ROUNDING,
-            "a workspace runs ahead of its share"
+            "the picked tag is ahead of the virtual time"
         );
         Some((index, key, job))
     }
 
     /// Whether [`Queue::pick`] would find a job.
-    pub fn can_pick(&self, long_allowed: bool) -> bool {
+    pub fn has_startable(&self, long_allowed: bool) -> bool {
         self.lanes.iter().any(|lane| lane.head(long_allowed).is_some())
     }
 
-    /// Charges a job that starts without having waited. The virtual time follows, so that free slots cost nothing later.
+    /// Charges a job that starts without queueing. The virtual time follows, so that use of free slots is not charged
+    /// later.
     pub fn charge_direct(&mut self, lane: LaneIndex, cost: u64) {
         let lane = &mut self.lanes[lane];
         lane.tag = lane.tag.max(self.virtual_time);
@@ -149,14 +152,14 @@
         lane.tag += cost as f64 / f64::from(lane.weight);
     }
 
-    /// Charges a picked job, or the difference between a job's estimated and its true cost.
+    /// Charges a picked job, or the difference between its estimated and actual cost.
     pub fn charge(&mut self, lane: LaneIndex, cost: f64) {
         let lane = &mut self.lanes[lane];
         lane.tag += cost / f64::from(lane.weight);
     }
 
-    /// All jobs of a lane, for a pool that cannot start any.
-    pub fn all(&self, lane: LaneIndex) -> Vec<(Key, Queued, Duration)> {
+    /// All jobs of a lane, for a pool without capacity.
+    pub fn all_jobs(&self, lane: LaneIndex) -> Vec<(Key, QueuedJob, Duration)> {
         self.lanes[lane]
             .iter()
             .map(|(key, job)| (key, *job, Duration::ZERO))
@@ -164,28 +167,28 @@
     }
 
     /// Number of lanes.
-    pub fn lanes(&self) -> usize {
+    pub fn lane_count(&self) -> usize {
         self.lanes.len()
     }
 
-    /// Until when the lane's refused jobs have been told to come back.
-    pub fn promised(&mut self, lane: LaneIndex) -> &mut Duration {
-        &mut self.lanes[lane].promised
+    /// Earliest time for the next retry of the lane's refused jobs.
+    pub fn next_retry(&mut self, lane: LaneIndex) -> &mut Duration {
+        &mut self.lanes[lane].next_retry
     }
 
     fn lane_index(&mut self, workspace: &WorkspaceId) -> LaneIndex {
         if !self.mechanisms.fair && !self.lanes.is_empty() {
             return 0;
         }
-        if let Some(lane) = self.names.get(workspace) {
+        if let Some(lane) = self.lane_indices.get(workspace) {
             return *lane;
         }
         self.lanes.push(Lane::new());
-        self.names.insert(workspace.clone(), self.lanes.len() - 1);
+        self.lane_indices.insert(workspace.clone(), self.lanes.len() - 1);
         self.lanes.len() - 1
     }
 
-    /// Virtual time, in microseconds, that a job borrows for each rank it is more urgent than the last.
+    /// Virtual time that a job borrows for each rank above the least urgent one, microseconds.
     fn borrowed_step(&self, slots: Slots) -> f64 {
         if self.mechanisms.priorities {
             self.virtual_span(BORROW_STEP, slots)
@@ -194,12 +197,12 @@
         }
     }
 
-    /// Least tag of a workspace that had nothing queued.
-    fn returning_tag(&self, slots: Slots) -> f64 {
-        self.virtual_time - self.virtual_span(SAVED, slots)
+    /// Lowest tag of a workspace that had no queued jobs.
+    fn idle_tag(&self, slots: Slots) -> f64 {
+        self.virtual_time - self.virtual_span(IDLE_CREDIT, slots)
     }
 
-    /// Virtual time, in microseconds, that passes in some time while all lanes with jobs are served.
+    /// Virtual time that passes in `time` while all lanes with jobs are served, microseconds.
     fn virtual_span(&self, time: Duration, slots: Slots) -> f64 {
         time.as_secs_f64() * MICROS * f64::from(slots.all) / self.active_weight.max(1) as f64
     }
--- a/crates/admission/src/retry.rs
+++ b/crates/admission/src/retry.rs
@@ -1,48 +1,50 @@
-//! Whether a failed or slow attempt is tried at another endpoint.
+//! Decides whether a failed or slow attempt is tried at another endpoint.
 //!
 //! Load pattern: an endpoint crashes, leaves, hangs or is full while the others have room, or all of them are full.
-//! Without a budget every failure becomes several requests just when capacity is missing, and the retries of an overload
-//! keep it going after its cause has passed; one notices more attempts than requests while few are answered.
-//! Without the rules on what may run twice a fan command is doubled.
+//! Without a budget every failure becomes several requests just when capacity is missing, and the retries of an
+//! overload sustain it after its cause has passed. The symptom is more attempts than requests while few are answered.
+//! Without the rules on repeatable calls a fan command could be executed twice.
 
 use std::time::Duration;
 
-/// Retries and hedges together may be this share of the successful requests. A tenth makes an overload at most a tenth
-/// worse and is enough for one crashed endpoint of the smallest pool's 3 only for a moment, until it gets no more work.
+/// Maximum share of retries and hedges in the successful requests. A tenth makes an overload at most a tenth worse. For
+/// one crashed endpoint of the smallest pool's 3 it is enough only for the moment until that endpoint gets no more
+/// work.
 const BUDGET_SHARE: f64 = 0.1;
-/// Budget at the start and the most that is saved up: the requests that one crashed endpoint loses at once.
-const BUDGET_START: f64 = 10.0;
-const BUDGET_MAX: f64 = 32.0;
-/// Attempts of one request, the first among them. Three failures in a row are the pool's, not an endpoint's.
+/// Initial and maximum budget: the requests that one crashed endpoint loses at once.
+const INITIAL_BUDGET: f64 = 10.0;
+const MAX_BUDGET: f64 = 32.0;
+/// Maximum attempts of one request, including the first. Three failures in a row indicate a problem of the pool, not of
+/// an endpoint.
 const MAX_ATTEMPTS: u32 = 3;
-/// First pause before an attempt that might meet the same trouble, doubled with each; an attempt elsewhere after a failure
-/// of the endpoint itself does not pause.
-const PAUSE: Duration = Duration::from_millis(20);
-/// A hedge needs this share of the pool's slots to be free: it must never take a slot that a waiting job could use.
-const HEDGE_FREE: f64 = 0.2;
+/// First backoff before a retry that might fail for the same reason, doubled with each attempt. A retry at another
+/// endpoint after a failure of the endpoint itself has no backoff.
+const BASE_BACKOFF: Duration = Duration::from_millis(20);
+/// Minimum share of free slots for a hedge: a hedge must not take a slot that a waiting job could use.
+const HEDGE_FREE_SHARE: f64 = 0.2;
 
-/// Share of traffic that may be spent on retries and hedges.
+/// Budget of retries and hedges, a share of the traffic.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget(f64);
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self(BUDGET_START)
+        Self(INITIAL_BUDGET)
     }
 }
 
 impl RetryBudget {
-    /// A request was served.
+    /// Records a served request.
     pub fn success(&mut self) {
-        self.0 = (self.0 + BUDGET_SHARE).min(BUDGET_MAX);
+        self.0 = (self.0 + BUDGET_SHARE).min(MAX_BUDGET);
     }
 
-    /// Retries that may be made now.
-    pub fn left(&self) -> u32 {
+    /// Retries that are currently allowed.
+    pub fn remaining(&self) -> u32 {
         self.0 as u32
     }
 
-    fn spend(&mut self) -> bool {
+    fn try_spend(&mut self) -> bool {
         if self.0 < 1.0 {
             return false;
         }
@@ -51,99 +53,99 @@
     }
 }
 
-/// What is known of a request whose attempt failed or is slow.
+/// State of a request whose attempt failed or is slow.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Attempt {
-    /// Attempts so far, 1 after the first.
+    /// Attempts so far, including the failed one.
     pub count: u32,
-    /// Whether the call may run twice: it is idempotent, or the service runs its key at most once.
+    /// Whether the call may run twice: it is idempotent, or the service executes its idempotency key at most once.
     pub repeatable: bool,
-    /// Whether the caller has been given part of the answer that another attempt cannot go on from.
+    /// Whether the caller has received a part of the answer that another attempt cannot continue.
     pub streamed: bool,
     /// When the caller stops waiting, on the clock of `now`.
     pub deadline: Option<Duration>,
-    /// How long a new attempt is expected to take.
+    /// Expected duration of a new attempt.
     pub expected: Duration,
-    /// Share of the pool's slots that are free, 0 to 1.
+    /// Free share of the pool's slots, 0 to 1.
     pub free: f64,
-    /// Whether jobs wait for a slot of the pool.
+    /// Whether jobs are queued in the pool.
     pub queued: bool,
 }
 
 /// How an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// It was never sent: no connection.
+    /// It was not sent: no connection.
     NotSent,
-    /// The endpoint says that it has not run: it leaves, or serves other weights.
+    /// The endpoint did not run it because it is leaving or serves other weights.
     Declined,
-    /// The endpoint says that it has not run because it is full.
+    /// The endpoint did not run it because it is full.
     Full,
-    /// Sent, and broken or cut before the answer was whole: it may have run.
+    /// The connection broke before the answer was complete: it may have run.
     Unknown,
-    /// Sent, and no answer in time: it may run still.
+    /// No answer in time: it may still be running.
     Timeout,
 }
 
-/// Whether a failed attempt is tried elsewhere.
+/// Decision on a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try another endpoint after this pause.
+    /// Try another endpoint after this backoff.
     Retry(Duration),
-    /// Answer the caller with the failure.
+    /// Return the failure to the caller.
     GiveUp(NoRetry),
 }
 
-/// Why an attempt is not tried elsewhere.
+/// Reason not to retry or hedge an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum NoRetry {
     /// The call may have run and must not run twice.
     NotRepeatable,
-    /// The caller already has part of an answer that cannot be continued.
+    /// The caller has received a part of an answer that cannot be continued.
     Streamed,
-    /// It has been tried often enough.
+    /// The maximum number of attempts is reached.
     Attempts,
     /// Another attempt would end after the deadline.
     Deadline,
-    /// The pool is full: another attempt would displace a job that has not had its first.
+    /// The pool is full: another attempt would displace a job that has not had its first attempt.
     Overload,
-    /// The budget is spent.
+    /// The retry budget is spent.
     Budget,
 }
 
-/// Whether a slow attempt gets a second one beside it.
+/// Decision on a second, concurrent attempt for a slow one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HedgeDecision {
-    /// Start a second attempt now; the first answer counts, the other attempt is cancelled.
+    /// Start a second attempt now. The first answer is used, the other attempt is cancelled.
     Hedge,
-    /// Ask again after this time.
+    /// Decide again after this time.
     Wait(Duration),
-    /// Never for this request.
+    /// Do not hedge this request.
     No(NoRetry),
 }
 
-/// Decides on a failed attempt, and takes from the budget if it is to be retried.
+/// Decides on a failed attempt and charges the budget if it is retried.
 pub fn decide_retry(attempt: &Attempt, failure: Failure, budget: &mut RetryBudget, now: Duration) -> RetryDecision {
-    if let Some(reason) = forbids(attempt, failure) {
+    if let Some(reason) = forbidden(attempt, failure) {
         return RetryDecision::GiveUp(reason);
     }
-    let pause = pause(attempt.count, failure);
-    if late(attempt, now + pause) {
+    let backoff = backoff(attempt.count, failure);
+    if misses_deadline(attempt, now + backoff) {
         return RetryDecision::GiveUp(NoRetry::Deadline);
     }
     if overloaded(attempt, failure) {
         return RetryDecision::GiveUp(NoRetry::Overload);
     }
-    // A connection refused or an order to go elsewhere cost the pool nothing, and come in numbers when a release rolls.
+    // Refused connections and declined requests cost the pool nothing, and are frequent during a rolling release.
     let free = matches!(failure, Failure::NotSent | Failure::Declined);
-    if !free && !budget.spend() {
+    if !free && !budget.try_spend() {
         return RetryDecision::GiveUp(NoRetry::Budget);
     }
-    RetryDecision::Retry(pause)
+    RetryDecision::Retry(backoff)
 }
 
-/// Decides on an attempt that has given no token for `waited`, where `slow` is the time to first token that about one
-/// attempt in twenty exceeds.
+/// Decides on an attempt that has returned no token for `waited`, where `slow` is the time to first token that about
+/// one attempt in twenty exceeds.
 pub fn decide_hedge(
     attempt: &Attempt,
     waited: Duration,
@@ -151,25 +153,25 @@
     budget: &mut RetryBudget,
     now: Duration,
 ) -> HedgeDecision {
-    if let Some(reason) = forbids(attempt, Failure::Timeout) {
+    if let Some(reason) = forbidden(attempt, Failure::Timeout) {
         return HedgeDecision::No(reason);
     }
     if waited < slow {
         return HedgeDecision::Wait(slow - waited);
     }
-    if late(attempt, now) {
+    if misses_deadline(attempt, now) {
         return HedgeDecision::No(NoRetry::Deadline);
     }
-    if attempt.queued || attempt.free < HEDGE_FREE {
+    if attempt.queued || attempt.free < HEDGE_FREE_SHARE {
         return HedgeDecision::No(NoRetry::Overload);
     }
-    if !budget.spend() {
+    if !budget.try_spend() {
         return HedgeDecision::No(NoRetry::Budget);
     }
     HedgeDecision::Hedge
 }
 
-fn forbids(attempt: &Attempt, failure: Failure) -> Option<NoRetry> {
+fn forbidden(attempt: &Attempt, failure: Failure) -> Option<NoRetry> {
     let ran = matches!(failure, Failure::Unknown | Failure::Timeout);
     if ran && !attempt.repeatable {
         return Some(NoRetry::NotRepeatable);
@@ -183,8 +185,8 @@
     None
 }
 
-/// A broken or hanging endpoint leaves the work to the others, which need room for it; a full one shows that there may
-/// be none.
+/// Whether a retry would add to an overload. The work of a broken or hanging endpoint needs room at the others, and a
+/// full endpoint indicates that there may be none.
 fn overloaded(attempt: &Attempt, failure: Failure) -> bool {
     match failure {
         Failure::NotSent | Failure::Declined => false,
@@ -192,14 +194,14 @@
     }
 }
 
-fn pause(count: u32, failure: Failure) -> Duration {
+fn backoff(count: u32, failure: Failure) -> Duration {
     match failure {
-        Failure::Full => PAUSE * 2_u32.saturating_pow(count.saturating_sub(1)),
+        Failure::Full => BASE_BACKOFF * 2_u32.saturating_pow(count.saturating_sub(1)),
         Failure::NotSent | Failure::Declined | Failure::Unknown | Failure::Timeout => Duration::ZERO,
     }
 }
 
-fn late(attempt: &Attempt, start: Duration) -> bool {
+fn misses_deadline(attempt: &Attempt, start: Duration) -> bool {
     attempt
         .deadline
         .is_some_and(|deadline| start + attempt.expected > deadline)
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -2,26 +2,27 @@
 
 use std::time::Duration;
 
-/// Longest expected wait that a job may be admitted to. Applications here show an answer to a person or steer a fan:
-/// beyond ten seconds callers have gone or asked again, and their place in the queue only delays others.
+/// Longest expected wait that a job may be admitted to. Applications show an answer to a person or control a fan: after
+/// ten seconds callers have given up or retried, and their place in the queue only delays others.
 const MAX_WAIT: Duration = Duration::from_secs(10);
-/// Most jobs in the queue, a bound on memory only (about 200 bytes a job); the expected wait is the bound that counts.
+/// Maximum number of queued jobs. This bounds memory only (about 200 bytes a job); the effective limit is the expected
+/// wait.
 const MAX_QUEUED: usize = 20_000;
 
-/// Mechanisms of a pool, each of which can be switched off to show what it does.
+/// Mechanisms of a pool. Each can be switched off to measure its effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Mechanisms {
-    /// Share by cost between workspaces; otherwise one queue for all.
+    /// Share slots by cost between workspaces; otherwise one queue for all.
     pub fair: bool,
-    /// Let urgent jobs go ahead within bounds; otherwise ranks are ignored.
+    /// Let urgent jobs start earlier, within bounds; otherwise ranks are ignored.
     pub priorities: bool,
-    /// Let short jobs go ahead of long ones within bounds.
+    /// Let short jobs start before long ones, within bounds.
     pub short_first: bool,
-    /// Keep slots that long jobs may not take while short jobs are about.
+    /// Reserve slots for short jobs while short jobs are offered.
     pub reserve: bool,
-    /// Refuse jobs whose deadline is out of reach; otherwise they wait in a queue bounded by its length.
+    /// Refuse jobs that cannot meet their deadline; otherwise they wait in a queue bounded by its length.
     pub refuse: bool,
-    /// Learn how much of the allowed output answers use; otherwise all of it is expected.
+    /// Learn what share of the allowed output answers use; otherwise all of it is expected.
     pub learn: bool,
 }
 
@@ -57,7 +58,7 @@
 }
 
 impl Settings {
-    /// Starts from the defaults.
+    /// Returns a builder with the defaults.
     pub fn builder() -> SettingsBuilder {
         SettingsBuilder::default()
     }
@@ -74,19 +75,19 @@
         self
     }
 
-    /// Most jobs in the queue.
+    /// Maximum number of queued jobs.
     pub fn max_queued(mut self, jobs: usize) -> Self {
         self.0.max_queued = jobs;
         self
     }
 
-    /// Mechanisms that are on.
+    /// Enabled mechanisms.
     pub fn mechanisms(mut self, on: Mechanisms) -> Self {
         self.0.mechanisms = on;
         self
     }
 
-    /// The settings.
+    /// Builds the settings.
     pub fn build(self) -> Settings {
         self.0
     }
--- a/crates/admission/src/share_limiter.rs
+++ b/crates/admission/src/share_limiter.rs
@@ -1,132 +1,137 @@
-//! Limits of a workspace over all routers, without a coordinator.
+//! Distributed rate limits of a workspace over all routers, without a coordinator.
 //!
-//! Load pattern: a workspace whose callers send more than the operators allow it, through any of the routers.
-//! Without it each router would grant the whole limit, and the workspace would get as many times its limit as there are
-//! routers. One notices that a workspace's counted rate over all routers exceeds its limit.
+//! Load pattern: the callers of a workspace send more than its limit through several routers. If each router granted
+//! the whole limit, the workspace would get its limit as many times as there are routers. The symptom is a counted rate
+//! over all routers above the limit.
 //!
-//! Each router grants its share of the limit. Shares follow where the workspace's requests arrive: [`EVEN_PART`] is split
-//! evenly, the rest by the demand that the routers tell each other. What the sum over all routers may reach:
+//! Each router grants a share of the limit. Shares follow where the requests of the workspace arrive: [`EVEN_FRACTION`]
+//! is split evenly, the rest by the demand that the routers report to each other. Bounds of the sum over all routers:
 //!
-//! | case | sum of shares | for how long |
+//! | case | sum of shares | duration |
 //! | --- | --- | --- |
-//! | all routers see each other | 1 | |
+//! | all routers reach each other | 1 | |
 //! | demand moves, or a router joins | below 3 | one exchange of demand: a share at most doubles, or rises to the even one |
-//! | a minority is cut off | 1 plus the minority's shares | until it is seen again; the minority keeps its last shares |
+//! | a minority is partitioned | 1 plus the minority's shares | until it is reachable again; the minority keeps its last shares |
 //! | no side has a majority | 1 | each side keeps its last shares |
 //!
-//! On top comes one burst a router: [`BURST`] of its rate, and never less than one request.
+//! In addition each router allows one burst: [`BURST_TIME`] times its rate, and at least one request.
 
-use crate::Bucket;
+use crate::TokenBucket;
 use std::time::Duration;
 
-/// Part of a limit that is split evenly, so that a router where a workspace has not been seen grants its first requests
-/// at once; the rest follows demand. At a tenth, callers who all use one of 14 routers get 0.91 of their limit there.
-const EVEN_PART: f64 = 0.1;
-/// A share grows at most by this factor, or to the even share, from one exchange of demand to the next. When many routers
-/// get busy together none has heard of the others yet: without this each would take nearly the whole limit.
+/// Fraction of a limit that is split evenly, so that a router grants the first requests of a workspace it has not
+/// served before. The rest follows demand. At a tenth, callers that all use one of 14 routers get 0.91 of their limit
+/// there.
+const EVEN_FRACTION: f64 = 0.1;
+/// Maximum growth of a share, or growth to the even share, from one exchange of demand to the next. When many routers
+/// become busy at once, none has received the demand of the others yet. Without this bound each would take nearly the
+/// whole limit.
 const MAX_GROWTH: f64 = 2.0;
-/// A router that is missing keeps its part for this long: restarts take seconds and should not move limits.
-const MISSING: Duration = Duration::from_secs(30);
-/// How much unused rate may be saved up.
-const BURST: Duration = Duration::from_secs(1);
+/// How long a missing router keeps its share: restarts take seconds and should not move limits.
+const MISSING_GRACE: Duration = Duration::from_secs(30);
+/// Maximum burst, as the time in which the rate refills it.
+const BURST_TIME: Duration = Duration::from_secs(1);
 
-/// This router's part of a workspace's limit.
+/// This router's share of a workspace's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Share {
-    /// Part by demand, 0 to 1.
+    /// Share by demand, 0 to 1.
     pub target: f64,
-    /// Part if the limit were split evenly, 0 to 1.
+    /// Share of an even split, 0 to 1.
     pub even: f64,
 }
 
-/// Which routers count, as one router sees them.
+/// Number of routers that share the limits, from one router's view.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ShareView {
-    counted: u32,
-    seen: u32,
+    router_count: u32,
+    live_count: u32,
     missing_since: Option<Duration>,
 }
 
 impl ShareView {
-    /// Before any peer has been heard: `expected` routers, such as the platform lists or as are configured.
+    /// Creates the view before any peer is known. `expected` is the number of routers that the platform lists or that
+    /// are configured.
     pub fn new(expected: u32) -> Self {
         let expected = expected.max(1);
         Self {
-            counted: expected,
-            seen: expected,
+            router_count: expected,
+            live_count: expected,
             missing_since: None,
         }
     }
 
-    /// Takes in how many routers are live, this one among them, and how many the platform lists if it can be asked.
+    /// Records the number of live routers including this one, and the number that the platform lists if it is
+    /// reachable.
     ///
-    /// More routers count at once. Fewer count only once they have been missing for [`MISSING`], and only if the rest
-    /// are a majority or the platform's list agrees: otherwise it may be this router that is cut off.
+    /// More routers count at once. Fewer routers count only after they have been missing for [`MISSING_GRACE`], and
+    /// only if the live ones are a majority or the platform's list confirms them. Otherwise this router may be the one
+    /// that is partitioned.
     pub fn observe(&mut self, live: u32, listed: Option<u32>, now: Duration) {
         let live = live.max(1);
-        self.seen = live;
-        if live >= self.counted {
-            self.counted = live;
+        self.live_count = live;
+        if live >= self.router_count {
+            self.router_count = live;
             self.missing_since = None;
             return;
         }
         let since = *self.missing_since.get_or_insert(now);
-        let gone = live * 2 > self.counted || listed.is_some_and(|listed| listed <= live);
-        if gone && now.saturating_sub(since) >= MISSING {
-            self.counted = live;
+        let confirmed = live * 2 > self.router_count || listed.is_some_and(|listed| listed <= live);
+        if confirmed && now.saturating_sub(since) >= MISSING_GRACE {
+            self.router_count = live;
             self.missing_since = None;
         }
     }
 
-    /// This router's wanted share of a workspace's limit, from the demand that arrives here and at all routers.
-    /// None while routers are missing: the last share stays.
+    /// Target share of a workspace's limit for this router, from the demand at this router and at all routers. `None`
+    /// while routers are missing: the last share stays in force.
     pub fn share(&self, own: f64, total: f64) -> Option<Share> {
-        if self.missing_since.is_some() || self.seen < self.counted {
+        if self.missing_since.is_some() || self.live_count < self.router_count {
             return None;
         }
         let even = self.even_share();
         if total <= 0.0 {
             return Some(Share { target: even, even });
         }
-        let target = EVEN_PART * even + (1.0 - EVEN_PART) * (own / total).clamp(0.0, 1.0);
+        let target = EVEN_FRACTION * even + (1.0 - EVEN_FRACTION) * (own / total).clamp(0.0, 1.0);
         Some(Share { target, even })
     }
 
-    /// The share to begin with.
+    /// Initial share.
     pub fn even_share(&self) -> f64 {
-        1.0 / f64::from(self.counted)
+        1.0 / f64::from(self.router_count)
     }
 }
 
-/// Limits of a workspace over all routers together; absent means unlimited.
+/// Limits of a workspace over all routers together. `None` means unlimited.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: Option<u32>,
-    /// Tokens a second, uncached prompt tokens and output together.
+    /// Tokens per second, uncached prompt tokens and output together.
     pub tokens: Option<u32>,
 }
 
-/// Answer to a request under a workspace's limits.
+/// Decision on a request under a workspace's limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitDecision {
-    /// Within the limits, and counted.
+    /// Within the limits, and charged.
     Granted,
-    /// Not now, and not counted; when to come back, absent if the limit is zero.
+    /// Above the limits, and not charged. Holds the delay until a retry may succeed, `None` if the limit is zero.
     Denied(Option<Duration>),
 }
 
-/// This router's part of one workspace's limits.
+/// This router's share of one workspace's limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ShareLimiter {
     limits: Limits,
     share: f64,
-    requests: Option<Bucket>,
-    tokens: Option<Bucket>,
+    requests: Option<TokenBucket>,
+    tokens: Option<TokenBucket>,
 }
 
 impl ShareLimiter {
-    /// Limiter that grants `share` of the limits.
+    /// Creates a limiter that grants `share` of the limits.
     pub fn new(limits: Limits, share: f64, now: Duration) -> Self {
         let mut limiter = Self {
             limits,
@@ -138,38 +143,38 @@
         limiter
     }
 
-    /// The operators changed the limits.
+    /// Changes the limits.
     pub fn set_limits(&mut self, limits: Limits, now: Duration) {
         self.limits = limits;
-        set_bucket(&mut self.requests, limits.requests, self.share, 1.0, now);
-        set_bucket(&mut self.tokens, limits.tokens, self.share, 0.0, now);
+        update_bucket(&mut self.requests, limits.requests, self.share, 1.0, now);
+        update_bucket(&mut self.tokens, limits.tokens, self.share, 0.0, now);
     }
 
-    /// Takes over the wanted share, called once for each exchange of demand.
+    /// Moves to the target share. Called once per exchange of demand.
     pub fn set_share(&mut self, share: Share, now: Duration) {
         self.share = share.target.min((self.share * MAX_GROWTH).max(share.even));
         self.set_limits(self.limits, now);
     }
 
-    /// The share that is granted.
+    /// The granted share.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// Asks for one request of about `tokens`; the count is corrected by [`ShareLimiter::settle`].
+    /// Requests admission of one request of about `tokens`. [`ShareLimiter::settle`] corrects the count.
     pub fn try_acquire(&mut self, tokens: u64, now: Duration) -> LimitDecision {
-        let requests = self
+        let request_wait = self
             .requests
             .as_mut()
             .map_or(Some(Duration::ZERO), |bucket| bucket.wait(1.0, now));
-        let backlog = self
+        let token_wait = self
             .tokens
             .as_mut()
             .map_or(Some(Duration::ZERO), |bucket| bucket.wait(1.0, now));
-        let (Some(requests), Some(backlog)) = (requests, backlog) else {
+        let (Some(request_wait), Some(token_wait)) = (request_wait, token_wait) else {
             return LimitDecision::Denied(None);
         };
-        let wait = requests.max(backlog);
+        let wait = request_wait.max(token_wait);
         if !wait.is_zero() {
             return LimitDecision::Denied(Some(wait));
         }
@@ -178,27 +183,27 @@
         LimitDecision::Granted
     }
 
-    /// Corrects a granted request's tokens once they have been counted; zero if it has not run.
+    /// Corrects the tokens of a granted request once they have been counted; `counted` is zero if it has not run.
     pub fn settle(&mut self, estimated: u64, counted: u64, now: Duration) {
         charge(&mut self.tokens, counted as f64 - estimated as f64, now);
     }
 }
 
-fn charge(bucket: &mut Option<Bucket>, cost: f64, now: Duration) {
+fn charge(bucket: &mut Option<TokenBucket>, cost: f64, now: Duration) {
     if let Some(bucket) = bucket {
         bucket.charge(cost, now);
     }
 }
 
-fn set_bucket(bucket: &mut Option<Bucket>, limit: Option<u32>, share: f64, least: f64, now: Duration) {
+fn update_bucket(bucket: &mut Option<TokenBucket>, limit: Option<u32>, share: f64, min_capacity: f64, now: Duration) {
     let Some(limit) = limit else {
         *bucket = None;
         return;
     };
     let rate = f64::from(limit) * share;
-    let capacity = (rate * BURST.as_secs_f64()).max(least);
+    let capacity = (rate * BURST_TIME.as_secs_f64()).max(min_capacity);
     match bucket {
         Some(bucket) => bucket.set_rate(rate, capacity, now),
-        None => *bucket = Some(Bucket::new(rate, capacity, now)),
+        None => *bucket = Some(TokenBucket::new(rate, capacity, now)),
     }
 }
--- a/crates/admission/tests/shares.rs
+++ b/crates/admission/tests/shares.rs
@@ -1,6 +1,6 @@
 //! Limits of a workspace over all routers: the bucket against a naive one, and routers that come, go and are cut off.
 
-use admission::{Bucket, LimitDecision, Limits, ShareLimiter, ShareView};
+use admission::{LimitDecision, Limits, ShareLimiter, ShareView, TokenBucket};
 use quickcheck::{Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -24,7 +24,7 @@
 fn fills_as_the_naive_bucket() {
     fn same(steps: Vec<(u8, u8)>, rate: u8, capacity: u8) -> bool {
         let (rate, capacity) = (i64::from(rate), i64::from(capacity) * 1_000);
-        let mut bucket = Bucket::new(rate as f64, capacity as f64 / 1e3, Duration::ZERO);
+        let mut bucket = TokenBucket::new(rate as f64, capacity as f64 / 1e3, Duration::ZERO);
         let (mut level, mut now) = (capacity, Duration::ZERO);
         for (passed, cost) in steps {
             now += Duration::from_millis(passed.into());
