--- a/crates/admission/examples/admission_cost.rs
+++ b/crates/admission/examples/admission_cost.rs
@@ -1,4 +1,4 @@
-//! Cost of offer, next and finish with a full queue. Run with `--release`.
+//! Cost of `offer`, `next` and `finish` with a full queue. Run with `--release`.
 
 use admission::{Admission, Job, Mechanisms, Next, Offer, Outcome, Settings, Ticket, Tokens};
 use ids::{Priority, WorkspaceId};
@@ -85,7 +85,7 @@
     println!("| {workspaces} | {queued} | {offer:.2} | {next:.2} | {finish:.2} | {check:.0} |");
 }
 
-/// Each round ends a job, starts the next and offers a new one, so that the queue stays as long as it is.
+/// Each round ends a job, starts the next and offers a new one, so that the queue length is constant.
 fn rounds(bench: &mut Bench) -> [f64; 4] {
     let mut spent = [Duration::ZERO; 4];
     let mut checks = 0;
--- a/crates/admission/examples/admission_scenarios.rs
+++ b/crates/admission/examples/admission_scenarios.rs
@@ -1,4 +1,4 @@
-//! What callers receive in each scenario, with the mechanism on and off. Run with `--release`.
+//! Prints the results of callers in each scenario, with the mechanism on and off. Run with `--release`.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -9,7 +9,7 @@
     for scenario in support::scenarios::all() {
         let (off, on) = (scenario.run(false), scenario.run(true));
         for ((name, off), (_, on)) in off.iter().zip(&on) {
-            // A sum of nothing is printed with a minus otherwise.
+            // An empty sum is -0.0 and would be printed with a minus sign.
             let off = off + 0.0;
             println!("| {} | {name} | {off:.3} | {on:.3} |", scenario.name);
         }
--- a/crates/admission/src/reserve.rs
+++ b/crates/admission/src/reserve.rs
@@ -18,9 +18,9 @@
 /// Time constant of the demand of short jobs.
 const DEMAND_WINDOW: Duration = Duration::from_secs(10);
 /// Spare slots on top of the demand, as a multiple of its square root (the fluctuation of random arrivals). Reserved
-/// but unused slots are lost while long jobs wait. Measured with half of the slots in demand and twice the rest asked
-/// for by long jobs: 0 gives short jobs a p99 first token of 2.1 s and a goodput of 0.96, a quarter 1.4 s and 0.92, a
-/// half 1.0 s and 0.88, 1 0.4 s and 0.81. A quarter keeps goodput above 0.9.
+/// but unused slots are lost while long jobs wait. With half of the slots in demand and twice the rest asked for by
+/// long jobs, a factor of 0 gives short jobs a p99 first token of 2.1 s and a goodput of 0.96; a quarter gives 1.4 s
+/// and 0.92, a half 1.0 s and 0.88, and 1 gives 0.4 s and 0.81. A quarter keeps goodput above 0.9.
 const SPARE_FACTOR: f64 = 0.25;
 /// Maximum fraction of the slots that is reserved.
 const MAX_RESERVED: (u32, u32) = (3, 4);
--- a/crates/admission/src/retry.rs
+++ b/crates/admission/src/retry.rs
@@ -56,7 +56,7 @@
 /// State of a request whose attempt failed or is slow.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Attempt {
-    /// Attempts so far, including the failed one.
+    /// Attempts made so far, 1 after the first.
     pub count: u32,
     /// Whether the call may run twice: it is idempotent, or the service executes its idempotency key at most once.
     pub repeatable: bool,
--- a/crates/admission/src/share_limiter.rs
+++ b/crates/admission/src/share_limiter.rs
@@ -23,9 +23,9 @@
 /// served before. The rest follows demand. At a tenth, callers that all use one of 14 routers get 0.91 of their limit
 /// there.
 const EVEN_FRACTION: f64 = 0.1;
-/// Maximum growth of a share, or growth to the even share, from one exchange of demand to the next. When many routers
-/// become busy at once, none has received the demand of the others yet. Without this bound each would take nearly the
-/// whole limit.
+/// Maximum growth factor of a share from one exchange of demand to the next. A share below the even one may rise to it
+/// at once. When many routers become busy together, none has received the demand of the others yet. Without this bound
+/// each would take nearly the whole limit.
 const MAX_GROWTH: f64 = 2.0;
 /// How long a missing router keeps its share: restarts take seconds and should not move limits.
 const MISSING_GRACE: Duration = Duration::from_secs(30);
--- a/crates/admission/tests/learnt.rs
+++ b/crates/admission/tests/learnt.rs
@@ -1,4 +1,4 @@
-//! What is learnt from answers: how long jobs take, and how many an endpoint can run.
+//! Learning from answers: slot times of jobs, and concurrency limits of endpoints.
 
 use admission::{EndpointLimit, Sample, ServiceModel, Tokens};
 use quickcheck::{Gen, QuickCheck};
@@ -6,23 +6,24 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Each run tries the same cases, so that its verdict is the same.
+/// Fixed seed, so that each run tests the same cases.
 const SEED: u64 = 10;
 
 fn seeded() -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(100, SEED))
 }
 
-/// Least squares over all samples at once, each weighted by its age; the two the model begins with are the oldest.
+/// Least squares over all samples at once, each weighted by its age. The two initial samples of the model are the
+/// oldest.
 fn naive_first_token(samples: Vec<(u16, u16)>, uncached: f64) -> f64 {
     let prior = [(0.0, 0.02), (2_000.0, 0.22)];
     let count = samples.len();
-    let newer = |index: usize| 0.99_f64.powi((count - index) as i32);
+    let decay = |index: usize| 0.99_f64.powi((count - index) as i32);
     let seen = samples
         .into_iter()
         .enumerate()
-        .map(|(index, one)| (newer(index + 1), f64::from(one.0), f64::from(one.1) / 1e3));
-    let all: Vec<(f64, f64, f64)> = prior.iter().map(|one| (newer(0), one.0, one.1)).chain(seen).collect();
+        .map(|(index, one)| (decay(index + 1), f64::from(one.0), f64::from(one.1) / 1e3));
+    let all: Vec<(f64, f64, f64)> = prior.iter().map(|one| (decay(0), one.0, one.1)).chain(seen).collect();
     let sum = |of: fn(&(f64, f64, f64)) -> f64| all.iter().map(|one| one.0 * of(one)).sum::<f64>();
     let (weight, x, y) = (sum(|_| 1.0), sum(|one| one.1), sum(|one| one.2));
     let (mean_x, mean_y) = (x / weight, y / weight);
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn first_token_as_naive_least_squares() {
+fn first_token_matches_naive_least_squares() {
     fn same(samples: Vec<(u16, u16)>, uncached: u16) -> bool {
         let mut model = ServiceModel::default();
         for (tokens, millis) in samples.iter().copied() {
@@ -53,20 +54,21 @@
                 time,
             );
         }
-        let (ours, naive) = (
+        let (model_seconds, naive_seconds) = (
             model.first_token(uncached.into()),
             naive_first_token(samples, uncached.into()),
         );
-        (ours - naive).abs() <= 1e-6 * naive.max(1.0)
+        (model_seconds - naive_seconds).abs() <= 1e-6 * naive_seconds.max(1.0)
     }
     seeded()
         .tests(1_000)
         .quickcheck(same as fn(Vec<(u16, u16)>, u16) -> bool);
 }
 
-/// An endpoint becomes three times slower. Were the old times kept, jobs would be admitted that cannot be in time.
+/// An endpoint becomes three times slower. With the old estimates, jobs would be admitted that cannot meet their
+/// deadline.
 #[test]
-fn follows_a_slow_endpoint() {
+fn estimates_follow_a_slow_endpoint() {
     let mut model = ServiceModel::default();
     let tokens = Tokens {
         uncached: 1_000,
@@ -85,8 +87,8 @@
     }
 }
 
-/// Answers in any order must not push the limit out of its bounds: at 0 an endpoint would never be tried again, above the
-/// configured slots it would get more than its operators allow.
+/// No sequence of answers may move the limit out of its bounds. At 0 an endpoint would never be tried again; above the
+/// configured slots it would get more requests than its operators allow.
 #[test]
 fn limit_stays_within_bounds() {
     let mut random = ChaCha8Rng::seed_from_u64(9);
@@ -94,11 +96,11 @@
     let mut reached = [false; 2];
     for step in 0..200_000 {
         now += Duration::from_millis(random.random_range(0..20));
-        let bad = step / 20_000 % 2 == 1;
-        let after = Duration::from_millis(random.random_range(50..60) * if bad { 4 } else { 1 });
+        let degraded = step / 20_000 % 2 == 1;
+        let after = Duration::from_millis(random.random_range(50..60) * if degraded { 4 } else { 1 });
         match random.random_range(0..100) {
-            0 if bad => limit.observe(Sample::Full, now),
-            1 if bad => limit.observe(Sample::Timeout, now),
+            0 if degraded => limit.observe(Sample::Full, now),
+            1 if degraded => limit.observe(Sample::Timeout, now),
             2 if step % 1_000 == 0 => {
                 slots = random.random_range(1..64);
                 limit.set_slots(slots);
@@ -118,17 +120,17 @@
         reached[0] |= limit.limit() == 1;
         reached[1] |= limit.limit() > 16;
     }
-    assert_eq!(reached, [true; 2], "the run did not reach both ends");
+    assert_eq!(reached, [true; 2], "the run did not reach both bounds");
 }
 
-/// Answers an endpoint gives while it runs `running` requests, and the limit it must have afterwards.
+/// Answers of an endpoint with `running` requests, and the expected limit afterwards.
 struct Case {
     name: &'static str,
     running: u32,
-    /// Milliseconds to the first token, sample by sample; 0 stands for a refusal because it is full.
+    /// Milliseconds to the first token of each sample; 0 is a refusal by a full endpoint.
     answers: Vec<u64>,
-    /// Milliseconds between them.
-    apart: u64,
+    /// Milliseconds between samples.
+    interval: u64,
     limit: std::ops::RangeInclusive<u32>,
 }
 
@@ -143,27 +145,28 @@
             } else {
                 Sample::FirstToken { after, uncached: 500 }
             };
-            limit.observe(sample, Duration::from_millis(case.apart * index as u64));
+            limit.observe(sample, Duration::from_millis(case.interval * index as u64));
         }
         assert!(case.limit.contains(&limit.limit()), "{}: {}", case.name, limit.limit());
     }
 }
 
-/// An endpoint that answers as ever gets more, one that is slow, full or never seen undisturbed gets less. Otherwise
-/// requests queue inside it, out of reach of fairness and deadlines, or its slots stay unused.
+/// The limit must grow while answers are as fast as usual, and shrink when an endpoint is slow, full or never
+/// undisturbed. Otherwise requests queue inside the endpoint, where fairness and deadlines do not apply, or its slots
+/// stay unused.
 #[test]
-fn limit_follows_the_answers() {
-    let case = |name, running, answers, apart, limit| Case {
+fn limit_follows_latency_and_refusals() {
+    let case = |name, running, answers, interval, limit| Case {
         name,
         running,
         answers,
-        apart,
+        interval,
         limit,
     };
     check(vec![
         case("new", 0, vec![], 1, 16..=16),
-        case("calm and busy", 16, vec![100; 1_000], 1, 32..=32),
-        case("calm and idle", 2, vec![100; 1_000], 1, 16..=16),
+        case("fast and busy", 16, vec![100; 1_000], 1, 32..=32),
+        case("fast and idle", 2, vec![100; 1_000], 1, 16..=16),
         case(
             "four times slower",
             16,
@@ -178,11 +181,11 @@
     ]);
 }
 
-/// Prompts are shorter than a cache block for a long while, so that no answer counts an uncached token. The samples of
-/// longer prompts fade until only rounding is left of them; a line through that made a token take a second, and every
-/// short prompt that could not start at once was refused as overloaded, for good.
+/// Only prompts shorter than a cache block arrive, so that no answer counts an uncached token. The samples of longer
+/// prompts decay to rounding errors. A line fitted through those made a token take a second, and every short prompt
+/// that could not start at once was refused as overloaded.
 #[test]
-fn short_prompts_for_ever_leave_the_model_sane() {
+fn estimates_stay_plausible_with_short_prompts_only() {
     let mut model = ServiceModel::default();
     let (none, short) = (
         Tokens { uncached: 0, output: 1 },
@@ -201,13 +204,14 @@
     }
 }
 
-/// Engines answer within a fraction of a millisecond, and the answers differ by the scheduler's whims. Taken for a queue,
-/// they brought each engine's limit down to one request, and callers were refused while engines were idle.
+/// Engines answer within a fraction of a millisecond, plus scheduling delays of some milliseconds. When these delays
+/// were taken for queueing, the limit of each engine fell to one request, and callers were refused while engines were
+/// idle.
 #[test]
-fn answers_of_a_millisecond_are_no_queue() {
+fn millisecond_jitter_does_not_shrink_the_limit() {
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
     let mut limit = EndpointLimit::new(16);
-    let begun = limit.limit();
+    let initial = limit.limit();
     for answer in 0..20_u64 {
         let now = Duration::from_millis(answer * 10);
         for _ in 0..limit.limit() {
@@ -219,5 +223,5 @@
             limit.end();
         }
     }
-    assert!(limit.limit() >= begun, "{} of {begun}", limit.limit());
+    assert!(limit.limit() >= initial, "{} of {initial}", limit.limit());
 }
--- a/crates/admission/tests/queue_order.rs
+++ b/crates/admission/tests/queue_order.rs
@@ -1,5 +1,5 @@
-//! Which job starts next, against a naive queue that looks at every job each time; and long random runs in which every
-//! ticket must end exactly once.
+//! Start order of jobs, compared with a naive queue that examines every job each time, and long random runs in which
+//! every ticket must end exactly once.
 
 use admission::{Admission, Cancelled, Job, Mechanisms, Next, Offer, Outcome, ServiceModel, Settings, Ticket, Tokens};
 use ids::{Priority, WorkspaceId};
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Each run tries the same cases, so that its verdict is the same.
+/// Fixed seed, so that each run tests the same cases.
 const SEED: u64 = 12;
 
 fn seeded() -> QuickCheck {
@@ -53,7 +53,8 @@
     }
 }
 
-/// Queue of (offer's number, workspace, time it counts as arrived, cost in microseconds), searched whole for each start.
+/// Naive queue of (offer number, workspace, effective arrival, cost in microseconds), searched completely for each
+/// start.
 #[derive(Default)]
 struct Naive {
     waiting: Vec<(usize, u8, Duration, f64)>,
@@ -69,7 +70,7 @@
         self.tags.get(&workspace).copied().unwrap_or(0.0)
     }
 
-    fn waits(&self, workspace: u8) -> bool {
+    fn is_queued(&self, workspace: u8) -> bool {
         self.waiting.iter().any(|one| one.1 == workspace)
     }
 
@@ -79,9 +80,9 @@
         active.iter().map(|workspace| f64::from(workspace + 1)).sum()
     }
 
-    /// Whether it starts at once.
+    /// Returns whether the job starts at once.
     fn offer(&mut self, number: usize, workspace: u8, rank: u8, cost: f64, now: Duration) -> bool {
-        if !self.waits(workspace) {
+        if !self.is_queued(workspace) {
             let tag = self.tag(workspace).max(self.virtual_time);
             if self.running < SLOTS && self.waiting.is_empty() {
                 self.virtual_time = tag;
@@ -128,7 +129,7 @@
             let step = 0.1 * 1e6 * f64::from(SLOTS) / weight;
             self.tag(workspace) - f64::from(ranks) * step
         };
-        // Ties go to the workspace that was seen first, which the caller makes the lowest.
+        // Ties go to the workspace that was seen first. The caller makes that the lowest number.
         let workspace = active.iter().copied().min_by(|a, b| key(*a).total_cmp(&key(*b)))?;
         let (number, _, _, cost) = first(workspace);
         self.virtual_time = self.virtual_time.max(least);
@@ -139,8 +140,8 @@
     }
 }
 
-/// Starts in order, by the numbers of the offers.
-fn starts(steps: Vec<Step>, urgent: bool) -> (Vec<usize>, Vec<usize>) {
+/// Offer numbers in start order, by the pool and by the naive queue.
+fn start_order(steps: Vec<Step>, urgent: bool) -> (Vec<usize>, Vec<usize>) {
     let mechanisms = Mechanisms {
         priorities: urgent,
         short_first: false,
@@ -155,7 +156,7 @@
         ..Naive::default()
     };
     let (mut numbers, mut running) = (BTreeMap::new(), Vec::<Ticket>::new());
-    let (mut ours, mut theirs) = (Vec::new(), Vec::new());
+    let (mut starts, mut expected) = (Vec::new(), Vec::new());
     let first = (0..WORKSPACES).map(|workspace| Step::Offer {
         workspace,
         rank: 5,
@@ -172,12 +173,12 @@
                 let job = job(workspace, rank, output.into(), None);
                 let cost = (ServiceModel::default().seconds(job.tokens) * 1e6) as u64 + 1;
                 if naive.offer(number, workspace, rank, cost as f64, now) {
-                    theirs.push(number);
+                    expected.push(number);
                 }
                 match pool.offer(&job, now) {
                     Offer::Start(ticket) => {
                         running.push(ticket);
-                        ours.push(number);
+                        starts.push(number);
                     }
                     Offer::Wait(ticket) => drop(numbers.insert(ticket, number)),
                     Offer::Refuse(refusal) => panic!("{refusal:?}"),
@@ -198,25 +199,25 @@
         }
         while let Next::Start(ticket) = pool.next(now) {
             running.push(ticket);
-            ours.push(numbers.remove(&ticket).expect("a waiting job"));
+            starts.push(numbers.remove(&ticket).expect("a waiting job"));
         }
-        theirs.extend(std::iter::from_fn(|| naive.next()));
+        expected.extend(std::iter::from_fn(|| naive.next()));
     }
-    (ours, theirs)
+    (starts, expected)
 }
 
 #[test]
-fn starts_as_the_naive_queue() {
+fn starts_match_naive_queue() {
     fn same(steps: Vec<Step>, urgent: bool) -> bool {
-        let (ours, theirs) = starts(steps, urgent);
-        ours == theirs
+        let (starts, expected) = start_order(steps, urgent);
+        starts == expected
     }
     seeded().tests(10_000).quickcheck(same as fn(Vec<Step>, bool) -> bool);
 }
 
-/// Callers come, go away and come back while slots appear and vanish. A ticket that ended twice would answer a caller
-/// twice or free a slot that is in use; one that never ended would leave a caller hanging. The program asserts the same
-/// of its own counts at every step.
+/// Callers arrive, disconnect and retry while capacity changes. A ticket that ended twice would answer a caller twice
+/// or free a slot in use; one that never ended would leave a caller without an answer. The pool also checks its own
+/// counts at every step.
 #[test]
 fn every_ticket_ends_once() {
     for seed in 0..40 {
@@ -297,11 +298,11 @@
             }
             Next::Expired(ticket, _) => {
                 let deadline = waiting.remove(&ticket).expect("a waiting job");
-                // One step of the run and one period of the check.
+                // One step of the run plus one check period.
                 let latest = deadline.map(|deadline| deadline + Duration::from_millis(90));
                 assert!(
                     capacity == 0 || latest.is_some_and(|latest| now <= latest),
-                    "held past its deadline"
+                    "kept in the queue past its deadline"
                 );
             }
             Next::Wait => return,
--- a/crates/admission/tests/refusals.rs
+++ b/crates/admission/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Why jobs are refused, and whether the time to come back is true.
+//! Reasons of refusals, and whether a retry after the returned delay is admitted.
 
 use admission::{Admission, Job, Next, Offer, Outcome, Reason, Refusal, Settings, Ticket, Tokens};
 use ids::{Priority, WorkspaceId};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 const SLOTS: u32 = 4;
-/// Expected of a fresh pool for a job of `OUTPUT` tokens without a prompt.
+/// Expected service time of a job of `OUTPUT` tokens without a prompt in a new pool.
 const SERVICE: Duration = Duration::from_millis(520);
 const OUTPUT: u64 = 25;
 const START: Duration = Duration::from_secs(500);
@@ -15,7 +15,7 @@
     name: &'static str,
     slots: u32,
     /// Jobs offered before, all without a deadline.
-    before: u32,
+    preceding: u32,
     slack: Option<Duration>,
     reason: Option<Reason>,
 }
@@ -35,7 +35,7 @@
     }
 }
 
-/// Serves jobs that take as long as is assumed, one after the other, until `now`.
+/// Serves jobs with the initially assumed service time, one after the other, until `now`.
 fn learn(pool: &mut Admission, job: &Job, answers: (u32, u64), now: Duration) {
     let (count, output) = answers;
     pool.set_capacity(1, Duration::ZERO);
@@ -51,12 +51,12 @@
     }
 }
 
-fn filled(slots: u32, before: u32) -> (Admission, VecDeque<(Duration, Ticket)>) {
+fn filled_pool(slots: u32, preceding: u32) -> (Admission, VecDeque<(Duration, Ticket)>) {
     let mut pool = Admission::new(Settings::default());
     learn(&mut pool, &job("one", None), (10, OUTPUT), START);
     pool.set_capacity(slots, START);
     let mut running = VecDeque::new();
-    for _ in 0..before {
+    for _ in 0..preceding {
         if let Offer::Start(ticket) = pool.offer(&job("one", None), START) {
             running.push_back((START + SERVICE, ticket));
         }
@@ -66,27 +66,27 @@
 
 fn check(cases: &[Case]) {
     for case in cases {
-        let (mut pool, _) = filled(case.slots, case.before);
+        let (mut pool, _) = filled_pool(case.slots, case.preceding);
         let refused = match pool.offer(&job("one", case.slack.map(|slack| START + slack)), START) {
             Offer::Refuse(refusal) => Some(refusal),
             Offer::Start(_) | Offer::Wait(_) => None,
         };
         assert_eq!(refused.map(|refusal| refusal.reason), case.reason, "{}", case.name);
-        let back = refused.is_some_and(|refusal| refusal.retry_after.is_some());
-        let helps = case.reason.is_some_and(|reason| reason != Reason::DeadlineShort);
-        assert_eq!(back, helps, "{}: when to come back", case.name);
+        let retry_after = refused.is_some_and(|refusal| refusal.retry_after.is_some());
+        let expected = case.reason.is_some_and(|reason| reason != Reason::DeadlineShort);
+        assert_eq!(retry_after, expected, "{}: retry-after", case.name);
     }
 }
 
-/// A refusal names what is wrong, so that the caller can tell whether to come back, to wait longer or to ask for less.
+/// A wrong reason would mislead the caller about whether to retry, to allow more time or to ask for less.
 #[test]
-fn reasons() {
-    let case = |name, slots, before, slack: Option<u64>, reason| {
+fn refusals_name_their_reason() {
+    let case = |name, slots, preceding, slack: Option<u64>, reason| {
         let slack = slack.map(Duration::from_millis);
         Case {
             name,
             slots,
-            before,
+            preceding,
             slack,
             reason,
         }
@@ -115,13 +115,13 @@
     ]);
 }
 
-/// A caller is refused, comes back when it is told to and nobody else has come meanwhile. Were it refused again, the time
-/// was a lie, and callers would learn to ask all the time.
+/// A refused caller retries after the returned delay, and no other job has arrived meanwhile. If it were refused again,
+/// the delay would be useless and callers would retry all the time.
 #[test]
-fn coming_back_helps() {
-    for (before, slack) in [(20, 2_000), (40, 2_000), (40, 4_000), (60, 1_000)] {
+fn retry_after_leads_to_admission() {
+    for (preceding, slack) in [(20, 2_000), (40, 2_000), (40, 4_000), (60, 1_000)] {
         let slack = Duration::from_millis(slack);
-        let (mut pool, mut running) = filled(SLOTS, before);
+        let (mut pool, mut running) = filled_pool(SLOTS, preceding);
         let offer = pool.offer(&job("two", Some(START + slack)), START);
         let other = pool.offer(&job("one", Some(START + slack)), START);
         assert!(
@@ -129,14 +129,14 @@
             "another workspace waits behind the queue of the first"
         );
         let Offer::Refuse(Refusal {
-            retry_after: Some(back),
+            retry_after: Some(retry_after),
             ..
         }) = other
         else {
-            panic!("{before}: {other:?}")
+            panic!("{preceding}: {other:?}")
         };
-        let again = START + back;
-        while let Some((end, ticket)) = running.pop_front_if(|(end, _)| *end <= again) {
+        let retry_at = START + retry_after;
+        while let Some((end, ticket)) = running.pop_front_if(|(end, _)| *end <= retry_at) {
             let first_token = Duration::from_millis(20);
             pool.finish(
                 ticket,
@@ -151,21 +151,24 @@
                 running.push_back((end + SERVICE, ticket));
             }
         }
-        let offer = pool.offer(&job("one", Some(again + slack)), again);
+        let offer = pool.offer(&job("one", Some(retry_at + slack)), retry_at);
         assert!(
             !matches!(offer, Offer::Refuse(_)),
-            "{before}: refused again after {back:?}"
+            "{preceding}: refused again after {retry_after:?}"
+        );
+        assert!(
+            retry_after < SERVICE * preceding / SLOTS * 2,
+            "{preceding}: retry-after of {retry_after:?} is too long"
         );
-        assert!(back < SERVICE * before / SLOTS * 2, "{before}: sent away for {back:?}");
     }
 }
 
-/// All endpoints go away for good. Callers in the queue must not be held until their deadlines.
+/// All endpoints leave permanently. Queued callers must not be held until their deadlines.
 #[test]
-fn an_empty_pool_gives_up_its_queue() {
-    let (mut pool, _) = filled(SLOTS, 20);
+fn pool_without_endpoints_refuses_its_queue() {
+    let (mut pool, _) = filled_pool(SLOTS, 20);
     pool.set_capacity(0, START);
-    assert_eq!(pool.next(START), Next::Wait, "a short outage does not refuse anyone");
+    assert_eq!(pool.next(START), Next::Wait, "a short outage refuses no job");
     let later = START + Duration::from_millis(1_100);
     for _ in 0..16 {
         let Next::Expired(_, refusal) = pool.next(later) else {
@@ -176,11 +179,11 @@
     assert_eq!((pool.next(later), pool.next_check()), (Next::Wait, None));
 }
 
-/// A router starts while callers allow 4,000 tokens within five seconds, as ever, and get 25. It assumes more than a minute
-/// for them; were that held against the deadline it would refuse all of them for good. Answers that do become as long as
-/// they may are refused once that is known, and no longer once that has changed.
+/// A router starts while callers allow 4,000 tokens within five seconds and use 25. The initial assumption for 4,000
+/// tokens is more than a minute. Applied to the deadline, it would refuse all of these jobs permanently. Jobs whose
+/// answers do use the allowed length are refused once that has been observed, and admitted again once it has changed.
 #[test]
-fn a_new_router_serves_what_it_cannot_judge() {
+fn new_router_does_not_refuse_on_assumptions() {
     let histories = [
         (vec![(10, 25)], true),
         (vec![(10, 4_000)], false),
@@ -218,22 +221,22 @@
     }
 }
 
-/// The queue's memory bound is reached though nobody would wait long. The caller is told a time from the queue, not a
-/// constant: the more are refused, the later they are to come.
+/// The queue's length bound is reached although the expected wait is short. The retry-after must follow from the queue
+/// instead of a constant: it grows with the number of refused jobs.
 #[test]
-fn a_full_queue_says_when() {
+fn full_queue_returns_retry_after() {
     let mut pool = Admission::new(Settings::builder().max_queued(2).build());
     learn(&mut pool, &job("one", None), (10, OUTPUT), START);
     pool.set_capacity(SLOTS, START);
-    let mut told = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..SLOTS + 2 + 3 {
         if let Offer::Refuse(Refusal { reason, retry_after }) = pool.offer(&job("one", None), START) {
             assert_eq!(reason, Reason::Overloaded);
-            told.push(retry_after.expect("a time to come back"));
+            delays.push(retry_after.expect("a retry-after"));
         }
     }
     assert!(
-        told.len() == 3 && told.is_sorted() && told[0] < told[2] && told[2] < SERVICE * 3,
-        "{told:?}"
+        delays.len() == 3 && delays.is_sorted() && delays[0] < delays[2] && delays[2] < SERVICE * 3,
+        "{delays:?}"
     );
 }
--- a/crates/admission/tests/retries.rs
+++ b/crates/admission/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries and hedges: what is allowed in each case, and how much of the traffic they become.
+//! Retries and hedges: which are allowed, and what share of the traffic they add.
 
 use admission::{Attempt, Failure, HedgeDecision, NoRetry, RetryBudget, RetryDecision, decide_hedge, decide_retry};
 use rand::{RngExt, SeedableRng};
@@ -25,7 +25,7 @@
     name: &'static str,
     attempt: Attempt,
     failure: Failure,
-    /// None is a retry.
+    /// `None` for a retry.
     refused: Option<NoRetry>,
 }
 
@@ -40,11 +40,11 @@
     }
 }
 
-/// A connection breaks while a fan command is under way. Sent again it might run twice, and the fan would be switched off
-/// again; only a call that has certainly not run, or may run twice, is sent again.
+/// A connection breaks during a fan command. If the command were sent again it could run twice, and the fan would be
+/// switched off again. Only calls that certainly have not run, or that may run twice, are retried.
 #[test]
-fn what_may_be_tried_again() {
-    let once = Attempt {
+fn only_safe_attempts_are_retried() {
+    let not_repeatable = Attempt {
         repeatable: false,
         ..attempt()
     };
@@ -62,13 +62,23 @@
     check(&[
         case("repeatable, broken", attempt(), Failure::Unknown, None),
         case("repeatable, hangs", attempt(), Failure::Timeout, None),
-        case("once, broken", once, Failure::Unknown, Some(NoRetry::NotRepeatable)),
-        case("once, hangs", once, Failure::Timeout, Some(NoRetry::NotRepeatable)),
-        case("once, no connection", once, Failure::NotSent, None),
-        case("once, declined", once, Failure::Declined, None),
-        case("once, full", once, Failure::Full, None),
         case(
-            "partly given",
+            "not repeatable, broken",
+            not_repeatable,
+            Failure::Unknown,
+            Some(NoRetry::NotRepeatable),
+        ),
+        case(
+            "not repeatable, hangs",
+            not_repeatable,
+            Failure::Timeout,
+            Some(NoRetry::NotRepeatable),
+        ),
+        case("not repeatable, no connection", not_repeatable, Failure::NotSent, None),
+        case("not repeatable, declined", not_repeatable, Failure::Declined, None),
+        case("not repeatable, full", not_repeatable, Failure::Full, None),
+        case(
+            "partly streamed",
             Attempt {
                 streamed: true,
                 ..attempt()
@@ -91,19 +101,19 @@
         ),
         case("broken, pool full", full, Failure::Unknown, Some(NoRetry::Overload)),
         case("full, pool full", full, Failure::Full, Some(NoRetry::Overload)),
-        case("leaves, pool full", full, Failure::Declined, None),
+        case("leaving, pool full", full, Failure::Declined, None),
     ]);
 }
 
-/// An attempt gives no token. A second one beside it is made only where it can do no harm.
+/// An attempt returns no token. A hedge is started only where it does no harm.
 #[test]
-fn what_is_hedged() {
+fn hedges_only_where_harmless() {
     let slow = Duration::from_millis(500);
     let cases = [
-        ("soon", attempt(), slow / 2, HedgeDecision::Wait(slow / 2)),
+        ("not slow yet", attempt(), slow / 2, HedgeDecision::Wait(slow / 2)),
         ("slow", attempt(), slow, HedgeDecision::Hedge),
         (
-            "once",
+            "not repeatable",
             Attempt {
                 repeatable: false,
                 ..attempt()
@@ -145,10 +155,10 @@
     }
 }
 
-/// All endpoints fail most requests for a while. Each request tried three times is three times the load on endpoints that
-/// are failing under it; with the budget the failures stay failures and the endpoints get room to recover.
+/// All endpoints fail most requests for some time. Three attempts for each request would triple the load on endpoints
+/// that fail under load. With the budget most failures are returned to the callers, and the endpoints can recover.
 #[test]
-fn budget_bounds_the_extra_load() {
+fn budget_bounds_retries() {
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let mut budget = RetryBudget::default();
     let (mut requests, mut attempts, mut unbounded, mut successes) = (0, 0, 0, 0);
--- a/crates/admission/tests/scenarios.rs
+++ b/crates/admission/tests/scenarios.rs
@@ -1,11 +1,11 @@
-//! What callers receive under load, with the mechanism that answers it and without.
+//! Results of callers under load, with and without the mechanism for it.
 
 mod support;
 
 use admission::{Mechanisms, Settings};
-use support::{Served, Setup, Stream, arrivals, goodput, run, scenarios, scenarios::all};
+use support::{Record, Setup, Stream, arrivals, goodput, run, scenarios, scenarios::all};
 
-/// Bounds of one figure of a scenario; `off` is what the figure must miss without the mechanism.
+/// Bounds of one figure of a scenario with the mechanism (`on`) and without it (`off`).
 struct Case {
     scenario: &'static str,
     figure: &'static str,
@@ -69,46 +69,56 @@
     }
 }
 
-/// Five times the pool's capacity arrives for four seconds. Without early refusals the queue grows to half a minute, and
-/// for that long every caller, the later ones too, gets an answer after it has stopped waiting.
+/// Five times the pool's capacity arrives for four seconds. Without early refusals the queue grows to half a minute.
+/// During that time all callers, including later ones, get answers after they have stopped waiting.
 #[test]
-fn burst() {
+fn burst_is_refused_early() {
     check(&[
         case("burst", "late", Most(0.002), Least(0.2)),
         case("burst", "in time", Least(0.78), Most(0.75)),
         case("burst", "refused after waiting", Most(0.01), Most(0.0)),
         case(
-            "burst, callers come back",
-            "callers served in the end",
+            "burst, callers retry",
+            "callers served eventually",
             Least(0.97),
             Most(0.85),
         ),
-        case(
-            "burst, callers come back",
-            "second tries in time",
-            Least(0.9),
-            Most(0.5),
-        ),
+        case("burst, callers retry", "retries in time", Least(0.9), Most(0.5)),
     ]);
 }
 
-/// One workspace sends three times what the whole pool can serve, as ordinary or as most urgent jobs. In one queue for all
-/// the other workspaces, which ask for half of the pool, see most of their requests refused.
+/// One workspace sends three times the capacity of the whole pool, as ordinary or as most urgent jobs. In a single
+/// queue, most requests of the other workspaces are refused although these ask for half of the pool only.
 #[test]
-fn hot_caller() {
+fn overloading_workspace_does_not_delay_others() {
     check(&[
-        case("hot caller", "others in time", Least(0.999), Most(0.5)),
-        case("hot caller", "others p99 first token, s", Most(0.33), Least(1.5)),
-        case("urgent hot caller", "others in time", Least(0.999), Most(0.3)),
-        case("urgent hot caller", "others p99 first token, s", Most(0.33), Least(2.5)),
-        case("hot caller", "goodput", Least(0.95), Least(0.95)),
+        case("overloading workspace", "others in time", Least(0.999), Most(0.5)),
+        case(
+            "overloading workspace",
+            "others p99 first token, s",
+            Most(0.33),
+            Least(1.5),
+        ),
+        case(
+            "urgent overloading workspace",
+            "others in time",
+            Least(0.999),
+            Most(0.3),
+        ),
+        case(
+            "urgent overloading workspace",
+            "others p99 first token, s",
+            Most(0.33),
+            Least(2.5),
+        ),
+        case("overloading workspace", "goodput", Least(0.95), Least(0.95)),
     ]);
 }
 
-/// One of four endpoints becomes ten times slower, or all are configured for eight times the requests that they can work
-/// on. With fixed limits requests pile up inside the endpoints, and callers wait there past their deadline.
+/// One of four endpoints becomes ten times slower, or all are configured for eight times the requests that they can
+/// process. With fixed limits requests queue inside the endpoints, and callers wait there past their deadlines.
 #[test]
-fn endpoints() {
+fn adaptive_limits_bound_endpoint_queues() {
     check(&[
         case("slow endpoint", "late", Most(0.015), Least(0.02)),
         case("slow endpoint", "p99 first token, s", Most(5.0), Least(6.5)),
@@ -118,10 +128,10 @@
     ]);
 }
 
-/// Eight routers send to the same endpoints and each knows only what it has sent itself. With fixed limits they fill the
-/// endpoints several times over, and callers wait there past their deadlines.
+/// Eight routers send to the same endpoints, and each knows only its own requests. With fixed limits they overload the
+/// endpoints several times, and callers wait there past their deadlines.
 #[test]
-fn many_routers() {
+fn adaptive_limits_with_many_routers() {
     check(&[
         case("eight routers", "late", Most(0.002), Least(0.01)),
         case("eight routers", "p99 first token, s", Most(3.4), Least(3.9)),
@@ -129,20 +139,20 @@
     ]);
 }
 
-/// All endpoints become three times slower for half a minute, which nobody announces. Until that is learnt from the answers
-/// jobs are admitted that come late; without early refusals all of that time's callers and many later ones get theirs late.
+/// All endpoints become three times slower for half a minute without notice. Until the service model has followed, some
+/// admitted jobs miss their deadline. Without early refusals all answers of that time and many later ones are late.
 #[test]
-fn slow_pool() {
+fn slow_pool_is_detected() {
     check(&[
         case("pool slows down", "late", Most(0.015), Least(0.5)),
         case("pool slows down", "in time", Least(0.83), Most(0.5)),
     ]);
 }
 
-/// A few jobs of twenty seconds come among many of half a second, together one and a half times the pool's capacity.
-/// First come first served, all slots end up under long jobs and short callers wait for seconds.
+/// A few jobs of twenty seconds arrive among many of half a second, together one and a half times the pool's capacity.
+/// In order of arrival all slots are eventually held by long jobs, and short jobs wait for seconds.
 #[test]
-fn long_among_short() {
+fn short_jobs_are_not_blocked_by_long_ones() {
     check(&[
         case("long among short", "short in time", Least(0.99), Most(0.95)),
         case("long among short", "short p99 first token, s", Most(1.5), Least(2.5)),
@@ -151,10 +161,10 @@
     ]);
 }
 
-/// Twice and four times what the pool can serve, for two minutes. Without early refusals nearly every answer comes late:
-/// the pool is busy and nobody is served.
+/// Twice and four times the pool's capacity for two minutes. Without early refusals nearly every answer is late
+/// although the pool is busy.
 #[test]
-fn overload() {
+fn overload_keeps_goodput() {
     check(&[
         case("overload 2x", "goodput", Least(0.95), Most(0.1)),
         case("overload 4x", "goodput", Least(0.95), Most(0.1)),
@@ -164,10 +174,10 @@
     ]);
 }
 
-/// Callers allow eight times the output that they get, at four fifths of the capacity and at twice. Were all of it expected,
-/// two of five callers would be refused for their deadlines by a pool that has idle slots.
+/// Callers allow eight times the output that they use, at four fifths of the capacity and at twice the capacity. If all
+/// of it were expected, two of five callers would be refused for their deadlines by a pool with idle slots.
 #[test]
-fn high_estimates() {
+fn high_estimates_do_not_cause_refusals() {
     check(&[
         case("high estimates 0.8x", "in time", Least(0.99), Most(0.7)),
         case("high estimates 2x", "goodput", Least(0.95), Most(0.9)),
@@ -175,10 +185,10 @@
     ]);
 }
 
-/// One and a half times the capacity, a fifth of it urgent. Without ranks urgent callers are refused like all others;
-/// with them the others must still be served from what is left.
+/// One and a half times the capacity, a fifth of it urgent. Without ranks urgent callers are refused like all others.
+/// With ranks the other callers must still be served from the remaining capacity.
 #[test]
-fn priorities() {
+fn urgent_jobs_are_served_first() {
     check(&[
         case("priorities", "urgent in time", Least(0.999), Most(0.8)),
         case("priorities", "urgent p99 first token, s", Most(0.5), Least(2.0)),
@@ -187,26 +197,27 @@
     ]);
 }
 
-/// One workspace says that its answers are a tenth as long as they turn out, beside seven that say the truth; together they
-/// ask for four times the pool, and nothing is learnt of their answers. Were only the estimate charged, it would be served several times its share.
+/// One workspace allows a tenth of its actual output, beside seven that allow the actual length. Together they ask for
+/// four times the pool, and output lengths are not learnt. If only the estimate were charged, it would be served
+/// several times its share.
 #[test]
 fn low_estimates_gain_nothing() {
     let share = |estimate: f64| {
         let mut streams: Vec<Stream> = (0..8).map(|workspace| Stream::of(workspace, 16.0)).collect();
-        streams[0].estimate = estimate;
+        streams[0].estimate_ratio = estimate;
         let mechanisms = Mechanisms {
             learn: false,
             ..Mechanisms::default()
         };
         let settings = Settings::builder().mechanisms(mechanisms).build();
-        let served = run(&Setup::pool(scenarios::SLOTS, settings), &arrivals(&streams, 4));
-        let own: Vec<Served> = served.into_iter().filter(|one| one.arrival.workspace == 0).collect();
+        let records = run(&Setup::pool(scenarios::SLOTS, settings), &arrivals(&streams, 4));
+        let own: Vec<Record> = records.into_iter().filter(|one| one.arrival.workspace == 0).collect();
         goodput(&own, scenarios::SLOTS, (10.0, 120.0))
     };
-    let (honest, low) = (share(1.0), share(0.1));
-    assert!((honest - 0.125).abs() < 0.01, "{honest} is not an eighth");
+    let (accurate, low) = (share(1.0), share(0.1));
+    assert!((accurate - 0.125).abs() < 0.01, "{accurate} is not an eighth");
     assert!(
-        low < honest * 1.1,
-        "{low} of the pool with low estimates, {honest} with true ones"
+        low < accurate * 1.1,
+        "{low} of the pool with low estimates, {accurate} with accurate ones"
     );
 }
--- a/crates/admission/tests/shares.rs
+++ b/crates/admission/tests/shares.rs
@@ -1,4 +1,5 @@
-//! Limits of a workspace over all routers: the bucket against a naive one, and routers that come, go and are cut off.
+//! Limits of a workspace over all routers: the bucket compared with a naive one, and routers that join, leave and are
+//! partitioned.
 
 use admission::{LimitDecision, Limits, ShareLimiter, ShareView, TokenBucket};
 use quickcheck::{Gen, QuickCheck};
@@ -6,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Each run tries the same cases, so that its verdict is the same.
+/// Fixed seed, so that each run tests the same cases.
 const SEED: u64 = 11;
 
 fn seeded() -> QuickCheck {
@@ -19,16 +20,16 @@
 const STEPS: u64 = 100;
 const EXCHANGE: u64 = 1;
 
-/// A whole number of tokens, filled up millisecond by millisecond.
+/// The naive bucket holds an integer level and refills once per millisecond.
 #[test]
-fn fills_as_the_naive_bucket() {
+fn bucket_matches_naive_bucket() {
     fn same(steps: Vec<(u8, u8)>, rate: u8, capacity: u8) -> bool {
         let (rate, capacity) = (i64::from(rate), i64::from(capacity) * 1_000);
         let mut bucket = TokenBucket::new(rate as f64, capacity as f64 / 1e3, Duration::ZERO);
         let (mut level, mut now) = (capacity, Duration::ZERO);
-        for (passed, cost) in steps {
-            now += Duration::from_millis(passed.into());
-            for _ in 0..passed {
+        for (elapsed, cost) in steps {
+            now += Duration::from_millis(elapsed.into());
+            for _ in 0..elapsed {
                 level = (level + rate).min(capacity);
             }
             let free = level >= 1_000.min(capacity);
@@ -50,18 +51,18 @@
         .quickcheck(same as fn(Vec<(u8, u8)>, u8, u8) -> bool);
 }
 
-/// Which routers are up, who sees whom, and where the callers are.
+/// Which routers are up and connected, and where requests arrive.
 struct Case {
     name: &'static str,
-    /// Routers up at a second.
+    /// Whether a router is up at a second.
     up: fn(u64, usize) -> bool,
-    /// Whether two routers see each other.
-    linked: fn(u64, usize, usize) -> bool,
-    /// Requests a second at a router.
+    /// Whether two routers are connected at a second.
+    connected: fn(u64, usize, usize) -> bool,
+    /// Requests per second at a router.
     demand: fn(u64, usize) -> f64,
-    /// Seconds that are judged.
+    /// Evaluated seconds.
     span: (u64, u64),
-    /// Bounds of what is granted, as a multiple of the limit.
+    /// Bounds of the granted rate, as a multiple of the limit.
     granted: (f64, f64),
 }
 
@@ -74,16 +75,16 @@
             "{}: {granted} times the limit",
             case.name
         );
-        let alone = run(case, false);
+        let unshared = run(case, false);
         assert!(
-            alone > 2.0,
-            "{}: only {alone} times the limit when each router grants all of it",
+            unshared > 2.0,
+            "{}: only {unshared} times the limit when each router grants all of it",
             case.name
         );
     }
 }
 
-/// What is granted over all routers, as a multiple of the limit.
+/// Granted rate over all routers, as a multiple of the limit.
 fn run(case: &Case, shared: bool) -> f64 {
     let limits = Limits {
         requests: Some(LIMIT),
@@ -98,10 +99,10 @@
         let (second, now) = (step / STEPS, Duration::from_millis(step * 1_000 / STEPS));
         for router in (0..ROUTERS).filter(|&router| (case.up)(second, router)) {
             if shared && step % (STEPS * EXCHANGE) == 0 {
-                let heard = heard(case, second, router);
-                views[router].observe(heard.len() as u32, None, now);
-                // What the others tell is a second old.
-                let others: f64 = heard
+                let reachable = reachable(case, second, router);
+                views[router].observe(reachable.len() as u32, None, now);
+                // Demand reported by the others is a second old.
+                let others: f64 = reachable
                     .iter()
                     .map(|&other| (case.demand)(second.saturating_sub(1), other))
                     .sum();
@@ -113,8 +114,8 @@
                     limiters[router].set_share(share, now);
                 }
             }
-            let asked = random.random_bool((case.demand)(second, router) / STEPS as f64);
-            if asked && limiters[router].try_acquire(0, now) == LimitDecision::Granted && second >= case.span.0 {
+            let arrived = random.random_bool((case.demand)(second, router) / STEPS as f64);
+            if arrived && limiters[router].try_acquire(0, now) == LimitDecision::Granted && second >= case.span.0 {
                 granted += 1;
             }
         }
@@ -122,29 +123,29 @@
     f64::from(granted) / (f64::from(LIMIT) * (case.span.1 - case.span.0) as f64)
 }
 
-fn heard(case: &Case, second: u64, router: usize) -> Vec<usize> {
-    let up = |other: usize| (case.up)(second, other) && (other == router || (case.linked)(second, router, other));
+fn reachable(case: &Case, second: u64, router: usize) -> Vec<usize> {
+    let up = |other: usize| (case.up)(second, other) && (other == router || (case.connected)(second, router, other));
     (0..ROUTERS).filter(|&other| up(other)).collect()
 }
 
-/// A workspace asks each router for four times its even share. Were each to grant the whole limit, the workspace would
-/// get several times what it may; were shares lost with routers, its callers would be refused below their limit.
+/// A workspace asks each router for four times its even share. If each router granted the whole limit, the workspace
+/// would get several times its limit. If shares were lost with routers, callers would be refused below the limit.
 #[test]
-fn sum_of_shares() {
+fn shares_sum_to_the_limit() {
     let even = |_, _| 40.0;
     check(&[
         Case {
             name: "steady",
             up: |_, _| true,
-            linked: |_, _, _| true,
+            connected: |_, _, _| true,
             demand: even,
             span: (5, 60),
             granted: (0.95, 1.01),
         },
         Case {
-            name: "callers move",
+            name: "demand moves",
             up: |_, _| true,
-            linked: |_, _, _| true,
+            connected: |_, _, _| true,
             demand: |second, router| {
                 if (second / 10) as usize % 2 == router % 2 {
                     90.0
@@ -156,9 +157,9 @@
             granted: (0.85, 1.1),
         },
         Case {
-            name: "all get busy together",
+            name: "all become busy together",
             up: |_, _| true,
-            linked: |_, _, _| true,
+            connected: |_, _, _| true,
             demand: |second, _| if second < 10 { 0.01 } else { 95.0 },
             span: (10, 12),
             granted: (0.95, 2.1),
@@ -166,31 +167,31 @@
         Case {
             name: "all at one router",
             up: |_, _| true,
-            linked: |_, _, _| true,
+            connected: |_, _, _| true,
             demand: |second, router| if second < 5 || router < 4 { 95.0 } else { 0.0 },
             span: (15, 60),
             granted: (0.9, 1.01),
         },
         Case {
-            name: "half of the routers go",
+            name: "six of fourteen routers leave",
             up: |second, router| second < 10 || router >= 6,
-            linked: |_, _, _| true,
+            connected: |_, _, _| true,
             demand: even,
             span: (45, 80),
             granted: (0.95, 1.01),
         },
         Case {
-            name: "six are cut off",
+            name: "six are partitioned",
             up: |_, _| true,
-            linked: |second, one, two| second < 10 || (one < 6) == (two < 6),
+            connected: |second, one, two| second < 10 || (one < 6) == (two < 6),
             demand: even,
             span: (45, 80),
             granted: (1.3, 1.01 + 6.0 / 14.0),
         },
         Case {
-            name: "seven are cut off from seven",
+            name: "seven are partitioned from seven",
             up: |_, _| true,
-            linked: |second, one, two| second < 10 || (one < 7) == (two < 7),
+            connected: |second, one, two| second < 10 || (one < 7) == (two < 7),
             demand: even,
             span: (45, 80),
             granted: (0.95, 1.01),
@@ -198,7 +199,7 @@
         Case {
             name: "all restart together",
             up: |second, _| second >= 5,
-            linked: |second, _, _| second >= 7,
+            connected: |second, _, _| second >= 7,
             demand: even,
             span: (5, 20),
             granted: (0.95, 1.08),
@@ -206,10 +207,10 @@
     ]);
 }
 
-/// One prompt is larger than a router's share of a small limit. A bucket that wants the whole cost beforehand would refuse
-/// it for ever; granted without a debt, the workspace would get many times its tokens.
+/// One prompt is larger than a router's share of a small limit. A bucket that requires the whole cost up front would
+/// never grant it. Granted without a debt, the workspace would get many times its tokens.
 #[test]
-fn large_prompts_pay_off_their_debt() {
+fn large_prompts_hold_the_rate() {
     let limits = Limits {
         requests: None,
         tokens: Some(1_000),
--- a/crates/admission/tests/support/load.rs
+++ b/crates/admission/tests/support/load.rs
@@ -6,15 +6,15 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// One caller's request.
+/// Request of one caller.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
     pub at: Duration,
     pub workspace: u32,
     pub rank: u8,
     pub tokens: Tokens,
-    /// Tokens as they turn out.
-    pub truth: Tokens,
+    /// Actual tokens.
+    pub actual: Tokens,
     pub slack: Duration,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Requests of one kind, at random times.
+/// Requests of one kind with Poisson arrivals.
 #[derive(Debug, Clone, Copy)]
 pub struct Stream {
     workspace: u32,
@@ -38,13 +38,13 @@
     rate: f64,
     span: (f64, f64),
     tokens: Tokens,
-    /// Estimated by true output.
-    pub estimate: f64,
+    /// Ratio of estimated to actual output.
+    pub estimate_ratio: f64,
     slack: f64,
 }
 
 impl Stream {
-    /// So many requests a second, of half a second each, for two minutes.
+    /// Stream of `rate` requests per second for two minutes, of half a second each.
     pub fn of(workspace: u32, rate: f64) -> Self {
         let tokens = Tokens {
             uncached: 1_400,
@@ -56,7 +56,7 @@
             rate,
             span: (0.0, 120.0),
             tokens,
-            estimate: 1.0,
+            estimate_ratio: 1.0,
             slack: 4.0,
         }
     }
@@ -65,7 +65,7 @@
         Self { rank, ..self }
     }
 
-    /// Seconds from and until.
+    /// Start and end, seconds.
     pub fn span(self, from: f64, until: f64) -> Self {
         Self {
             span: (from, until),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Mean tokens; each request's are between half and one and a half of them.
+    /// Mean tokens. Each request has between half and one and a half of them.
     pub fn tokens(self, uncached: u64, output: u64) -> Self {
         Self {
             tokens: Tokens { uncached, output },
@@ -87,7 +87,7 @@
     }
 }
 
-/// All requests of the streams.
+/// All requests of the streams, by time.
 pub fn arrivals(streams: &[Stream], seed: u64) -> Vec<Arrival> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut all = Vec::new();
@@ -115,9 +115,9 @@
         rank: stream.rank,
         tokens: Tokens {
             uncached,
-            output: scaled(stream.tokens.output, size * stream.estimate),
+            output: scaled(stream.tokens.output, size * stream.estimate_ratio),
         },
-        truth: Tokens {
+        actual: Tokens {
             uncached,
             output: scaled(stream.tokens.output, size),
         },
@@ -125,7 +125,7 @@
     }
 }
 
-/// Duration of so many seconds.
+/// Duration of `seconds`.
 pub fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
--- a/crates/admission/tests/support/mod.rs
+++ b/crates/admission/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A pool, its endpoints and its callers, driven by a list of events; judges what the callers receive.
+//! Discrete-event simulation of a pool with its endpoints and callers, which records the result of each caller.
 
 mod load;
 pub mod scenarios;
@@ -15,10 +15,10 @@
 const REQUEST_SECONDS: f64 = 0.03;
 const PREFILL_SECONDS: f64 = 5e-5;
 const DECODE_SECONDS: f64 = 0.01;
-/// True times differ from the expected ones by up to this share.
+/// Maximum relative deviation of actual from expected times.
 const NOISE: f64 = 0.2;
 
-/// Expected slot time of a request on a sound endpoint, seconds.
+/// Expected slot time of a request on a healthy endpoint, seconds.
 pub fn service_seconds(tokens: Tokens) -> f64 {
     first_seconds(tokens) + DECODE_SECONDS * tokens.output as f64
 }
@@ -27,13 +27,13 @@
     REQUEST_SECONDS + PREFILL_SECONDS * tokens.uncached as f64
 }
 
-/// An endpoint: it works on `parallel` requests at once and queues what it is sent beyond that.
+/// An endpoint that processes `parallel` requests at once and queues further ones.
 #[derive(Debug, Clone, Copy)]
 pub struct Endpoint {
     pub slots: u32,
     pub parallel: u32,
-    /// Times are multiplied by this between the two moments, seconds.
-    pub slow: (f64, f64, f64),
+    /// Factor on times, and start and end of the slowdown, seconds.
+    pub slowdown: (f64, f64, f64),
 }
 
 impl Endpoint {
@@ -41,22 +41,22 @@
         Self {
             slots,
             parallel,
-            slow: (1.0, 0.0, 0.0),
+            slowdown: (1.0, 0.0, 0.0),
         }
     }
 }
 
-/// What is driven.
+/// Configuration of a simulation.
 #[derive(Debug, Clone)]
 pub struct Setup {
     pub settings: Settings,
     pub endpoints: Vec<Endpoint>,
-    /// Routers that share the endpoints; requests come to them in turn.
+    /// Routers that share the endpoints. Requests are assigned to them in turn.
     pub routers: usize,
-    /// Whether the endpoints' limits adapt.
+    /// Whether the endpoints' limits are adaptive.
     pub adaptive: bool,
-    /// When refused callers come back, once, from what they are told.
-    pub come_back: fn(Option<Duration>) -> Option<Duration>,
+    /// Delay after which refused callers retry once, from their retry-after.
+    pub retry_policy: fn(Option<Duration>) -> Option<Duration>,
 }
 
 impl Setup {
@@ -66,28 +66,28 @@
             endpoints: vec![Endpoint::new(slots, slots)],
             routers: 1,
             adaptive: false,
-            come_back: |_| None,
+            retry_policy: |_| None,
         }
     }
 }
 
-/// What a caller got.
+/// Result of a caller's request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Got {
+pub enum CallerResult {
     Answer { first: Duration },
     Late,
     Refused(Refusal),
 }
 
-/// One caller's request and what became of it.
+/// A caller's request and its result.
 #[derive(Debug, Clone, Copy)]
-pub struct Served {
+pub struct Record {
     pub arrival: Arrival,
-    pub got: Got,
-    /// From the request to the end of its answer or refusal.
+    pub result: CallerResult,
+    /// Time from the request to the end of its answer or refusal.
     pub after: Duration,
-    /// Whether the caller had been refused before and came back.
-    pub second: bool,
+    /// Whether this is the retry of a refused request.
+    pub is_retry: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -100,17 +100,17 @@
 
 struct Request {
     arrival: Arrival,
-    second: bool,
+    is_retry: bool,
     start: Duration,
     first: Duration,
 }
 
 struct EndpointState {
     config: Endpoint,
-    /// Limit and requests sent by router.
+    /// Limits and sent requests, by router.
     limits: Vec<EndpointLimit>,
     sent: Vec<u32>,
-    working: u32,
+    busy_slots: u32,
     queue: VecDeque<usize>,
 }
 
@@ -123,13 +123,13 @@
     requests: Vec<Request>,
     tickets: BTreeMap<(usize, Ticket), usize>,
     running: BTreeMap<usize, Ticket>,
-    checks: Vec<bool>,
-    served: Vec<Served>,
+    check_pending: Vec<bool>,
+    records: Vec<Record>,
     random: ChaCha8Rng,
 }
 
-/// Runs all arrivals to their end.
-pub fn run(setup: &Setup, arrivals: &[Arrival]) -> Vec<Served> {
+/// Runs the simulation until all requests have ended.
+pub fn run(setup: &Setup, arrivals: &[Arrival]) -> Vec<Record> {
     let mut driver = Driver::new(setup);
     for arrival in arrivals {
         driver.arrive_later(*arrival, false);
@@ -138,12 +138,12 @@
         driver.handle(event, now);
     }
     assert_eq!(
-        driver.served.len(),
+        driver.records.len(),
         driver.requests.len(),
         "a caller got no answer, or two"
     );
     assert!(driver.tickets.is_empty() && driver.running.is_empty());
-    driver.served
+    driver.records
 }
 
 impl Driver {
@@ -152,7 +152,7 @@
             config: *config,
             limits: vec![EndpointLimit::new(config.slots); setup.routers],
             sent: vec![0; setup.routers],
-            working: 0,
+            busy_slots: 0,
             queue: VecDeque::new(),
         };
         Self {
@@ -164,8 +164,8 @@
             requests: Vec::new(),
             tickets: BTreeMap::new(),
             running: BTreeMap::new(),
-            checks: vec![false; setup.routers],
-            served: Vec::new(),
+            check_pending: vec![false; setup.routers],
+            records: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(7),
         }
     }
@@ -175,10 +175,10 @@
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn arrive_later(&mut self, arrival: Arrival, second: bool) {
+    fn arrive_later(&mut self, arrival: Arrival, is_retry: bool) {
         let request = Request {
             arrival,
-            second,
+            is_retry,
             start: Duration::ZERO,
             first: Duration::ZERO,
         };
@@ -196,7 +196,7 @@
             Event::Arrive(index) => self.offer(index, now),
             Event::First(index, endpoint) => self.first(index, endpoint, now),
             Event::Finish(index, endpoint) => self.finish(index, endpoint, now),
-            Event::Check(router) => self.checks[router] = false,
+            Event::Check(router) => self.check_pending[router] = false,
         }
         self.set_capacity(router, now);
         self.drain(router, now);
@@ -245,18 +245,18 @@
             }
         }
         if let Some(at) = self.pools[router].next_check()
-            && !self.checks[router]
+            && !self.check_pending[router]
         {
-            self.checks[router] = true;
+            self.check_pending[router] = true;
             self.push(at.max(now + Duration::from_micros(1)), Event::Check(router));
         }
     }
 
     fn refuse(&mut self, index: usize, refusal: Refusal, now: Duration) {
-        let (arrival, second) = (self.requests[index].arrival, self.requests[index].second);
-        self.end(index, Got::Refused(refusal), now);
-        if let Some(after) = (self.setup.come_back)(refusal.retry_after)
-            && !second
+        let (arrival, is_retry) = (self.requests[index].arrival, self.requests[index].is_retry);
+        self.end(index, CallerResult::Refused(refusal), now);
+        if let Some(after) = (self.setup.retry_policy)(refusal.retry_after)
+            && !is_retry
         {
             self.arrive_later(
                 Arrival {
@@ -284,16 +284,16 @@
 
     fn work(&mut self, endpoint: usize, now: Duration) {
         let state = &mut self.endpoints[endpoint];
-        if state.working >= state.config.parallel {
+        if state.busy_slots >= state.config.parallel {
             return;
         }
         let Some(index) = state.queue.pop_front() else { return };
-        state.working += 1;
-        let (factor, from, until) = state.config.slow;
-        let slow = now >= seconds(from) && now < seconds(until);
+        state.busy_slots += 1;
+        let (factor, from, until) = state.config.slowdown;
+        let slowed = now >= seconds(from) && now < seconds(until);
         let noise = 1.0 + NOISE * (self.random.random::<f64>() * 2.0 - 1.0);
-        let factor = noise * if slow { factor } else { 1.0 };
-        let tokens = self.requests[index].arrival.truth;
+        let factor = noise * if slowed { factor } else { 1.0 };
+        let tokens = self.requests[index].arrival.actual;
         let first = now + seconds(first_seconds(tokens) * factor);
         self.requests[index].first = first;
         self.push(first, Event::First(index, endpoint));
@@ -307,7 +307,7 @@
         let request = &self.requests[index];
         let sample = Sample::FirstToken {
             after: now - request.start,
-            uncached: request.arrival.truth.uncached,
+            uncached: request.arrival.actual.uncached,
         };
         let router = self.router(index);
         self.endpoints[endpoint].limits[router].observe(sample, now);
@@ -316,7 +316,7 @@
     fn finish(&mut self, index: usize, endpoint: usize, now: Duration) {
         let router = self.router(index);
         let state = &mut self.endpoints[endpoint];
-        state.working -= 1;
+        state.busy_slots -= 1;
         state.sent[router] -= 1;
         if state.limits[router].in_flight() > 0 {
             state.limits[router].end();
@@ -325,61 +325,70 @@
         let request = &self.requests[index];
         let outcome = Outcome::Served {
             first_token: request.first - request.start,
-            tokens: request.arrival.truth,
+            tokens: request.arrival.actual,
         };
         self.pools[router]
             .finish(ticket, outcome, now)
             .expect("a running ticket");
         let first = request.first - request.arrival.at;
         let late = now > request.arrival.at + request.arrival.slack;
-        self.end(index, if late { Got::Late } else { Got::Answer { first } }, now);
+        self.end(
+            index,
+            if late {
+                CallerResult::Late
+            } else {
+                CallerResult::Answer { first }
+            },
+            now,
+        );
         self.work(endpoint, now);
     }
 
-    fn end(&mut self, index: usize, got: Got, now: Duration) {
-        let Request { arrival, second, .. } = self.requests[index];
-        self.served.push(Served {
+    fn end(&mut self, index: usize, result: CallerResult, now: Duration) {
+        let Request { arrival, is_retry, .. } = self.requests[index];
+        self.records.push(Record {
             arrival,
-            got,
+            result,
             after: now - arrival.at,
-            second,
+            is_retry,
         });
     }
 }
 
-/// Share of the requests that `of` names which got their answer in time.
-pub fn in_time(served: &[Served], of: impl Fn(&Served) -> bool) -> f64 {
-    let (mut all, mut good) = (0.0, 0.0);
-    for one in served.iter().filter(|one| of(one)) {
+/// Share of the requests selected by `of` that were answered in time.
+pub fn in_time(records: &[Record], of: impl Fn(&Record) -> bool) -> f64 {
+    let (mut all, mut answered) = (0.0, 0.0);
+    for one in records.iter().filter(|one| of(one)) {
         all += 1.0;
-        good += f64::from(u8::from(matches!(one.got, Got::Answer { .. })));
+        answered += f64::from(u8::from(matches!(one.result, CallerResult::Answer { .. })));
     }
     assert!(all > 0.0, "no such requests");
-    good / all
+    answered / all
 }
 
-/// Slot time of the answers that came in time and ended within the span, by the slot time there was: at most about 1.
-pub fn goodput(served: &[Served], slots: u32, span: (f64, f64)) -> f64 {
-    let within = |one: &&Served| {
+/// Goodput: slot time of the answers in time that ended within the span, divided by the available slot time. At most
+/// about 1.
+pub fn goodput(records: &[Record], slots: u32, span: (f64, f64)) -> f64 {
+    let within = |one: &&Record| {
         let end = (one.arrival.at + one.after).as_secs_f64();
-        matches!(one.got, Got::Answer { .. }) && end >= span.0 && end < span.1
+        matches!(one.result, CallerResult::Answer { .. }) && end >= span.0 && end < span.1
     };
-    let work: f64 = served
+    let work: f64 = records
         .iter()
         .filter(within)
-        .map(|one| service_seconds(one.arrival.truth))
+        .map(|one| service_seconds(one.arrival.actual))
         .sum();
     work / (f64::from(slots) * (span.1 - span.0))
 }
 
-/// Time to first token that a share of the answered requests stays below, seconds.
-pub fn first_quantile(served: &[Served], quantile: f64, of: impl Fn(&Served) -> bool) -> f64 {
-    let first = |one: &Served| match one.got {
-        Got::Answer { first } => Some(first.as_secs_f64()),
-        Got::Late => Some(one.after.as_secs_f64()),
-        Got::Refused(_) => None,
+/// Quantile of the time to first token of the answered requests, seconds.
+pub fn first_quantile(records: &[Record], quantile: f64, of: impl Fn(&Record) -> bool) -> f64 {
+    let first = |one: &Record| match one.result {
+        CallerResult::Answer { first } => Some(first.as_secs_f64()),
+        CallerResult::Late => Some(one.after.as_secs_f64()),
+        CallerResult::Refused(_) => None,
     };
-    let mut all: Vec<f64> = served.iter().filter(|one| of(one)).filter_map(first).collect();
+    let mut all: Vec<f64> = records.iter().filter(|one| of(one)).filter_map(first).collect();
     assert!(!all.is_empty(), "none answered");
     all.sort_by(f64::total_cmp);
     all[((all.len() - 1) as f64 * quantile) as usize]
--- a/crates/admission/tests/support/scenarios.rs
+++ b/crates/admission/tests/support/scenarios.rs
@@ -1,35 +1,35 @@
-//! Scenarios, each with a mechanism off and on, and what the callers receive.
+//! Load scenarios, each run with a mechanism off and on.
 
-use super::{Endpoint, Got, Served, Setup, Stream, arrivals, first_quantile, goodput, in_time, run, seconds};
+use super::{CallerResult, Endpoint, Record, Setup, Stream, arrivals, first_quantile, goodput, in_time, run, seconds};
 use admission::{Mechanisms, Settings};
 
-/// Slots of the pools; with half a second a request they serve 32 a second.
+/// Slots of the pools. At half a second per request they serve 32 per second.
 pub const SLOTS: u32 = 16;
 const SEED: u64 = 11;
-/// What is judged, seconds; before it the service model learns.
-const JUDGED: (f64, f64) = (10.0, 120.0);
+/// Evaluated time span, seconds. Before it the service model is trained.
+const EVALUATED: (f64, f64) = (10.0, 120.0);
 
 /// Named figures of one run.
 pub type Figures = Vec<(&'static str, f64)>;
 
-/// A load, a pool and what is measured.
+/// A load, a pool and the figures to measure.
 pub struct Scenario {
     pub name: &'static str,
     setup: fn(bool) -> Setup,
     streams: fn() -> Vec<Stream>,
-    measure: fn(&[Served]) -> Figures,
+    measure: fn(&[Record]) -> Figures,
 }
 
 impl Scenario {
-    /// Runs it with the mechanism on or off.
+    /// Runs the scenario with the mechanism on or off.
     pub fn run(&self, on: bool) -> Figures {
-        let served = run(&(self.setup)(on), &arrivals(&(self.streams)(), SEED));
-        let warm = |one: &&Served| one.arrival.at.as_secs_f64() > JUDGED.0;
-        let judged: Vec<Served> = served.iter().filter(warm).copied().collect();
-        let mut figures = (self.measure)(&judged);
-        figures.push(("goodput", goodput(&served, SLOTS, JUDGED)));
-        let late = |one: &Served| matches!(one.got, Got::Refused(_)) && !one.after.is_zero();
-        figures.push(("refused after waiting", share(&judged, late)));
+        let records = run(&(self.setup)(on), &arrivals(&(self.streams)(), SEED));
+        let warm = |one: &&Record| one.arrival.at.as_secs_f64() > EVALUATED.0;
+        let evaluated: Vec<Record> = records.iter().filter(warm).copied().collect();
+        let mut figures = (self.measure)(&evaluated);
+        figures.push(("goodput", goodput(&records, SLOTS, EVALUATED)));
+        let waited = |one: &Record| matches!(one.result, CallerResult::Refused(_)) && !one.after.is_zero();
+        figures.push(("refused after waiting", share(&evaluated, waited)));
         figures
     }
 }
@@ -43,21 +43,26 @@
         measure,
     };
     vec![
-        scenario("burst", refuse, burst, whole),
-        scenario("burst, callers come back", come_back, burst, returns),
-        scenario("hot caller", fair, || hot(5), behaved),
-        scenario("urgent hot caller", fair, || hot(0), behaved),
-        scenario("no hot caller", fair, || even(0.5), whole),
-        scenario("slow endpoint", slow_endpoint, || even(0.7), whole),
-        scenario("full endpoints", full_endpoints, || even(2.0), whole),
-        scenario("eight routers", eight_routers, || even(2.0), whole),
-        scenario("pool slows down", slow_pool, || even(0.8), whole),
+        scenario("burst", refuse, burst, all_callers),
+        scenario("burst, callers retry", callers_retry, burst, retries),
+        scenario("overloading workspace", fair, || overloading(5), other_workspaces),
+        scenario(
+            "urgent overloading workspace",
+            fair,
+            || overloading(0),
+            other_workspaces,
+        ),
+        scenario("no overloading workspace", fair, || even(0.5), all_callers),
+        scenario("slow endpoint", slow_endpoint, || even(0.7), all_callers),
+        scenario("full endpoints", full_endpoints, || even(2.0), all_callers),
+        scenario("eight routers", eight_routers, || even(2.0), all_callers),
+        scenario("pool slows down", slow_pool, || even(0.8), all_callers),
         scenario("long among short", lengths, long_short, by_length),
-        scenario("overload 2x", refuse, || even(2.0), whole),
-        scenario("overload 4x", refuse, || even(4.0), whole),
-        scenario("mixed lengths 4x", refuse, mixed, whole),
-        scenario("high estimates 0.8x", learn, || high(0.8), whole),
-        scenario("high estimates 2x", learn, || high(2.0), whole),
+        scenario("overload 2x", refuse, || even(2.0), all_callers),
+        scenario("overload 4x", refuse, || even(4.0), all_callers),
+        scenario("mixed lengths 4x", refuse, mixed, all_callers),
+        scenario("high estimates 0.8x", learn, || high(0.8), all_callers),
+        scenario("high estimates 2x", learn, || high(2.0), all_callers),
         scenario("priorities", priorities, ranks, by_rank),
     ]
 }
@@ -90,33 +95,37 @@
     pool(|all| all.learn = false, on)
 }
 
-/// Refused callers come back when they are told to, or else after a second.
-fn come_back(on: bool) -> Setup {
+/// Refused callers retry after the returned delay, or always after a second.
+fn callers_retry(on: bool) -> Setup {
     let mut setup = pool(|_| (), true);
-    setup.come_back = if on { |told| told } else { |_| Some(seconds(1.0)) };
+    setup.retry_policy = if on {
+        |retry_after| retry_after
+    } else {
+        |_| Some(seconds(1.0))
+    };
     setup
 }
 
-/// The operators allow each endpoint four times what it can work on at once, and one becomes ten times slower.
+/// Each endpoint is configured for four times the requests it can process at once, and one becomes ten times slower.
 fn slow_endpoint(on: bool) -> Setup {
     let mut setup = endpoints(on, SLOTS);
-    setup.endpoints[3].slow = (10.0, 20.0, 100.0);
+    setup.endpoints[3].slowdown = (10.0, 20.0, 100.0);
     setup
 }
 
 /// All endpoints become three times slower for half a minute.
 fn slow_pool(on: bool) -> Setup {
     let mut setup = refuse(on);
-    setup.endpoints[0].slow = (3.0, 40.0, 70.0);
+    setup.endpoints[0].slowdown = (3.0, 40.0, 70.0);
     setup
 }
 
-/// The operators allow each endpoint eight times what it can work on at once.
+/// Each endpoint is configured for eight times the requests it can process at once.
 fn full_endpoints(on: bool) -> Setup {
     endpoints(on, SLOTS * 2)
 }
 
-/// Eight routers that know nothing of each other; each could fill the endpoints alone.
+/// Eight routers without knowledge of each other; each could fill the endpoints alone.
 fn eight_routers(on: bool) -> Setup {
     let mut setup = endpoints(on, SLOTS / 2);
     setup.endpoints = vec![Endpoint::new(SLOTS / 2, SLOTS / 2); 2];
@@ -131,15 +140,15 @@
     setup
 }
 
-/// Eight workspaces that together ask for `load` times what the pool can serve.
+/// Eight workspaces that together ask for `load` times the pool's capacity.
 fn even(load: f64) -> Vec<Stream> {
     (1..=8).map(|workspace| Stream::of(workspace, load * 4.0)).collect()
 }
 
-/// Callers allow eight times what the answers come to.
+/// Callers allow eight times the actual output.
 fn high(load: f64) -> Vec<Stream> {
     let mut streams = even(load);
-    streams.iter_mut().for_each(|stream| stream.estimate = 8.0);
+    streams.iter_mut().for_each(|stream| stream.estimate_ratio = 8.0);
     streams
 }
 
@@ -147,7 +156,7 @@
     with(even(0.5), Stream::of(1, 160.0).span(20.0, 24.0))
 }
 
-fn hot(rank: u8) -> Vec<Stream> {
+fn overloading(rank: u8) -> Vec<Stream> {
     with(even(0.5), Stream::of(0, 96.0).rank(rank))
 }
 
@@ -174,51 +183,54 @@
     streams
 }
 
-fn share(served: &[Served], of: impl Fn(&Served) -> bool) -> f64 {
-    served.iter().filter(|one| of(one)).count() as f64 / served.len() as f64
+fn share(records: &[Record], of: impl Fn(&Record) -> bool) -> f64 {
+    records.iter().filter(|one| of(one)).count() as f64 / records.len() as f64
 }
 
-fn whole(served: &[Served]) -> Figures {
+fn all_callers(records: &[Record]) -> Figures {
     vec![
-        ("in time", in_time(served, |_| true)),
-        ("late", share(served, |one| one.got == Got::Late)),
-        ("p99 first token, s", first_quantile(served, 0.99, |_| true)),
+        ("in time", in_time(records, |_| true)),
+        ("late", share(records, |one| one.result == CallerResult::Late)),
+        ("p99 first token, s", first_quantile(records, 0.99, |_| true)),
     ]
 }
 
-fn returns(served: &[Served]) -> Figures {
-    let callers = share(served, |one| !one.second);
-    let good = share(served, |one| matches!(one.got, Got::Answer { .. }));
-    let second = in_time(served, |one| one.second);
+fn retries(records: &[Record]) -> Figures {
+    let callers = share(records, |one| !one.is_retry);
+    let answered = share(records, |one| matches!(one.result, CallerResult::Answer { .. }));
+    let retried = in_time(records, |one| one.is_retry);
     vec![
-        ("callers served in the end", good / callers),
-        ("second tries in time", second),
+        ("callers served eventually", answered / callers),
+        ("retries in time", retried),
     ]
 }
 
-fn behaved(served: &[Served]) -> Figures {
-    let behaved = |one: &Served| one.arrival.workspace != 0;
+fn other_workspaces(records: &[Record]) -> Figures {
+    let other_workspaces = |one: &Record| one.arrival.workspace != 0;
     vec![
-        ("others in time", in_time(served, behaved)),
-        ("others p99 first token, s", first_quantile(served, 0.99, behaved)),
-        ("hot in time", in_time(served, |one| !behaved(one))),
+        ("others in time", in_time(records, other_workspaces)),
+        (
+            "others p99 first token, s",
+            first_quantile(records, 0.99, other_workspaces),
+        ),
+        ("overloading in time", in_time(records, |one| !other_workspaces(one))),
     ]
 }
 
-fn by_length(served: &[Served]) -> Figures {
-    let short = |one: &Served| one.arrival.workspace != 9;
+fn by_length(records: &[Record]) -> Figures {
+    let short = |one: &Record| one.arrival.workspace != 9;
     vec![
-        ("short in time", in_time(served, short)),
-        ("short p99 first token, s", first_quantile(served, 0.99, short)),
-        ("long in time", in_time(served, |one| !short(one))),
+        ("short in time", in_time(records, short)),
+        ("short p99 first token, s", first_quantile(records, 0.99, short)),
+        ("long in time", in_time(records, |one| !short(one))),
     ]
 }
 
-fn by_rank(served: &[Served]) -> Figures {
-    let urgent = |one: &Served| one.arrival.rank == 0;
+fn by_rank(records: &[Record]) -> Figures {
+    let urgent = |one: &Record| one.arrival.rank == 0;
     vec![
-        ("urgent in time", in_time(served, urgent)),
-        ("urgent p99 first token, s", first_quantile(served, 0.99, urgent)),
-        ("others in time", in_time(served, |one| !urgent(one))),
+        ("urgent in time", in_time(records, urgent)),
+        ("urgent p99 first token, s", first_quantile(records, 0.99, urgent)),
+        ("others in time", in_time(records, |one| !urgent(one))),
     ]
 }
