--- a/crates/admission/tests/support/scenarios.rs
+++ b/crates/admission/tests/support/scenarios.rs
@@ -7,7 +7,7 @@
 pub const SLOTS: u32 = 16;
 const SEED: u64 = 11;
 /// Evaluated time span, seconds. Before it the service model is trained.
-const EVALUATED: (f64, f64) = (10.0, 120.0);
+const EVALUATED_SPAN: (f64, f64) = (10.0, 120.0);
 
 /// Named figures of one run.
 pub type Figures = Vec<(&'static str, f64)>;
@@ -24,10 +24,10 @@
     /// Runs the scenario with the mechanism on or off.
     pub fn run(&self, on: bool) -> Figures {
         let records = run(&(self.setup)(on), &arrivals(&(self.streams)(), SEED));
-        let warm = |one: &&Record| one.arrival.at.as_secs_f64() > EVALUATED.0;
+        let warm = |one: &&Record| one.arrival.at.as_secs_f64() > EVALUATED_SPAN.0;
         let evaluated: Vec<Record> = records.iter().filter(warm).copied().collect();
         let mut figures = (self.measure)(&evaluated);
-        figures.push(("goodput", goodput(&records, SLOTS, EVALUATED)));
+        figures.push(("goodput", goodput(&records, SLOTS, EVALUATED_SPAN)));
         let waited = |one: &Record| matches!(one.result, CallerResult::Refused(_)) && !one.after.is_zero();
         figures.push(("refused after waiting", share(&evaluated, waited)));
         figures
--- a/crates/placement/src/chain/mod.rs
+++ b/crates/placement/src/chain/mod.rs
@@ -6,14 +6,14 @@
 use ids::{Digest, ModelId, WeightsVersion, WorkspaceId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Levels of a caller who states none, as ends in blocks. Prompts that share a prefix share the levels inside it, and a
-/// level that a prompt has for itself does no harm: it only picks among the homes of the level around it.
-const IMPLIED: [usize; 4] = [1, 4, 16, 64];
+/// Level ends in blocks for callers that specify none. Prompts that share a prefix share the levels inside it. A level
+/// that only one prompt has does no harm: it only selects among the homes of the enclosing level.
+const DEFAULT_LEVELS: [usize; 4] = [1, 4, 16, 64];
 
-/// What a cache entry belongs to.
+/// Scope of a cache entry.
 #[derive(Debug, Clone, Copy)]
 pub struct Scope<'a> {
-    /// Owner of the entries.
+    /// Workspace of the entries.
     pub workspace: &'a WorkspaceId,
     /// Model that computed them.
     pub model: &'a ModelId,
@@ -22,7 +22,7 @@
 }
 
 impl Scope<'_> {
-    /// Seed of the scope's chains. Each part goes in with its length, so that no two scopes give the same text.
+    /// Seed of the scope's chains. Each part is hashed with its length, so that no two scopes give the same text.
     pub fn seed(&self) -> u64 {
         let parts = [self.workspace.as_str(), self.model.as_str(), self.weights.as_str()];
         let mut text = Vec::with_capacity(parts.iter().map(|part| part.len() + size_of::<u64>()).sum());
@@ -42,19 +42,20 @@
     seed: u64,
 }
 
-/// A nested level that several prompts share.
+/// A nested prefix level, shared by several prompts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Level {
-    /// Hash of the level's last whole block, and so of everything before it.
+    /// Hash of the level's last whole block, which identifies the prefix up to it.
     pub hash: u64,
-    /// Whole blocks up to the level's end.
+    /// Number of whole blocks up to the level's end.
     pub blocks: usize,
 }
 
 impl PrefixChain {
-    /// Hashes `prompt` in one pass. `ends` are the levels' ends in bytes, ascending; an end beyond the prompt is
-    /// cut to it and a level without a whole block of its own is left out. Without any, levels are implied. A last, partial block is never cached and
-    /// has no hash. Allocates once for the scope's text, once for the blocks and once for the levels.
+    /// Hashes `prompt` in one pass. `ends` are the ends of the levels in bytes, ascending. An end beyond the prompt is
+    /// cut to it, and a level without a whole block of its own is omitted. Without `ends` the default levels apply. A
+    /// last, partial block is never cached and has no hash. Allocates once for the scope's text, once for the blocks
+    /// and once for the levels.
     ///
     /// # Panics
     ///
@@ -63,27 +64,27 @@
         Self::from_seed(scope.seed(), prompt, block_bytes, ends)
     }
 
-    /// Like [`PrefixChain::new`] for callers that keep the scope's seed.
+    /// Like [`PrefixChain::new`], for callers that store the scope's seed.
     pub fn from_seed(seed: u64, prompt: &[u8], block_bytes: usize, ends: &[usize]) -> Self {
-        assert!(block_bytes > 0, "a block holds at least one byte");
+        assert!(block_bytes > 0, "block_bytes must be at least 1");
         let mut blocks = Vec::with_capacity(prompt.len() / block_bytes);
         let mut last = seed;
         for block in prompt.chunks_exact(block_bytes) {
             last = xxh3_64_with_seed(block, last);
             blocks.push(last);
         }
-        let levels = Vec::with_capacity(ends.len().max(IMPLIED.len()));
+        let levels = Vec::with_capacity(ends.len().max(DEFAULT_LEVELS.len()));
         let mut chain = Self { blocks, levels, seed };
         for end in ends {
             chain.push_level(end / block_bytes);
         }
         if ends.is_empty() {
-            IMPLIED.iter().for_each(|end| chain.push_level(*end));
+            DEFAULT_LEVELS.iter().for_each(|end| chain.push_level(*end));
         }
         chain
     }
 
-    /// A chain of hashes that were computed elsewhere, for experiments; `levels` are ends in blocks.
+    /// Creates a chain from existing hashes, for experiments. `levels` are ends in blocks.
     pub fn from_hashes(seed: u64, blocks: Vec<u64>, levels: &[usize]) -> Self {
         let mut chain = Self {
             blocks,
@@ -98,8 +99,8 @@
 
     fn push_level(&mut self, end: usize) {
         let end = end.min(self.blocks.len());
-        let begin = self.levels.last().map_or(0, |level| level.blocks);
-        if end <= begin {
+        let start = self.levels.last().map_or(0, |level| level.blocks);
+        if end <= start {
             return;
         }
         self.levels.push(Level {
@@ -108,7 +109,7 @@
         });
     }
 
-    /// Hashes of the whole blocks, first to last; each stands for all before it as well.
+    /// Hashes of the whole blocks in order. Each identifies the prefix up to its end.
     pub fn blocks(&self) -> &[u64] {
         &self.blocks
     }
--- a/crates/placement/src/index/mod.rs
+++ b/crates/placement/src/index/mod.rs
@@ -1,141 +1,146 @@
-//! Which endpoints hold which blocks, as learnt from this router's own placements and replies.
+//! Index of the endpoints that hold a block, learnt from this router's own placements and the replies to them.
 //!
-//! An entry is bound to one incarnation of an endpoint: an engine that crashed comes back empty, and an entry that
-//! outlived the crash would send requests to a cache that is gone. Memory is bounded by two generations: when the young
-//! one is full or old, it becomes the old one and what nobody used since goes.
+//! An entry is bound to one incarnation of an endpoint. An engine that crashed restarts with an empty cache, and an
+//! entry that outlived the crash would send requests there. Memory is bounded by two generations: when the current one
+//! is full or old it becomes the previous one, and entries not used since are dropped.
 
 use crate::EndpointKey;
-use crate::uniform::Uniform;
+use crate::identity_hasher::BuildIdentityHasher;
 use ids::Incarnation;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Endpoints remembered for one block. A prefix that is hotter than this many endpoints can serve is found by its ranks.
-pub const HOLDERS: usize = 4;
+/// Endpoints stored per block. A prefix that needs more endpoints than this is found by its ranks.
+pub const MAX_HOLDERS: usize = 4;
 
-/// Endpoints doubted before the index starts anew, a bound on memory.
-const DOUBTS: usize = 4096;
+/// Invalidated endpoints after which the index is cleared, to bound memory.
+const MAX_INVALIDATIONS: usize = 4096;
 
-/// An endpoint believed to hold a block.
+/// An endpoint that is expected to hold a block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holder {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// The life of the endpoint that computed the block.
+    /// Incarnation of the endpoint that computed the block.
     pub incarnation: Incarnation,
-    /// When a reply last showed that the block was there.
+    /// Time of the last reply that showed the block there.
     pub seen: Duration,
 }
 
-/// A holder, and the index's counter when it was learnt.
+/// A holder, and the epoch of the index when it was recorded.
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     holder: Holder,
-    learnt: u64,
+    epoch: u64,
 }
 
-type Holders = [Option<Entry>; HOLDERS];
-type Generation = HashMap<u64, Holders, Uniform>;
+type Holders = [Option<Entry>; MAX_HOLDERS];
+type Generation = HashMap<u64, Holders, BuildIdentityHasher>;
 
-/// The learnt index.
+/// Bounded index from blocks to endpoints.
 #[derive(Debug, Clone)]
-pub struct LearntIndex {
-    young: Generation,
-    old: Generation,
-    half: usize,
-    keep: Duration,
-    turned: Duration,
-    counter: u64,
-    doubts: HashMap<EndpointKey, u64, Uniform>,
+pub struct PrefixIndex {
+    current: Generation,
+    previous: Generation,
+    generation_capacity: usize,
+    max_age: Duration,
+    rotated_at: Duration,
+    epoch: u64,
+    invalidations: HashMap<EndpointKey, u64, BuildIdentityHasher>,
 }
 
-impl LearntIndex {
-    /// An empty index of at most `capacity` blocks, each forgotten at the latest after twice `keep` without use.
-    pub fn new(capacity: usize, keep: Duration) -> Self {
-        let half = (capacity / 2).max(1);
-        let (young, old) = (Generation::default(), Generation::default());
+impl PrefixIndex {
+    /// Creates an empty index of at most `capacity` blocks. A block is dropped at the latest after twice `max_age`
+    /// without use.
+    pub fn new(capacity: usize, max_age: Duration) -> Self {
+        let generation_capacity = (capacity / 2).max(1);
+        let (current, previous) = (Generation::default(), Generation::default());
         Self {
-            young,
-            old,
-            half,
-            keep,
-            turned: Duration::ZERO,
-            counter: 0,
-            doubts: HashMap::default(),
+            current,
+            previous,
+            generation_capacity,
+            max_age,
+            rotated_at: Duration::ZERO,
+            epoch: 0,
+            invalidations: HashMap::default(),
         }
     }
 
-    /// Blocks remembered.
+    /// Number of blocks in the index.
     pub fn len(&self) -> usize {
-        self.young.len() + self.old.len()
+        self.current.len() + self.previous.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Endpoints believed to hold `block`.
+    /// Endpoints that are expected to hold `block`.
     pub fn holders(&self, block: u64) -> impl Iterator<Item = &Holder> {
-        let found = self.young.get(&block).or_else(|| self.old.get(&block));
-        let believed = |entry: &&Entry| {
-            self.doubts
+        let found = self.current.get(&block).or_else(|| self.previous.get(&block));
+        let is_valid = |entry: &&Entry| {
+            self.invalidations
                 .get(&entry.holder.endpoint)
-                .is_none_or(|doubt| entry.learnt >= *doubt)
+                .is_none_or(|epoch| entry.epoch >= *epoch)
         };
         found
             .into_iter()
             .flatten()
             .flatten()
-            .filter(believed)
+            .filter(is_valid)
             .map(|entry| &entry.holder)
     }
 
-    /// Remembers that `holder` holds `blocks`. The stalest of too many holders is replaced.
+    /// Records that `holder` holds `blocks`. If a block has too many holders, the least recently seen one is replaced.
     pub fn insert(&mut self, blocks: &[u64], holder: Holder) {
         for block in blocks {
-            self.turn(holder.seen);
-            let carried = self.old.remove(block);
-            let holders = self.young.entry(*block).or_insert_with(|| carried.unwrap_or_default());
-            put(
+            self.rotate(holder.seen);
+            let carried = self.previous.remove(block);
+            let holders = self
+                .current
+                .entry(*block)
+                .or_insert_with(|| carried.unwrap_or_default());
+            insert_holder(
                 holders,
                 Entry {
                     holder,
-                    learnt: self.counter,
+                    epoch: self.epoch,
                 },
             );
         }
     }
 
-    /// Believes nothing learnt of `endpoint` so far, in constant time: entries stay until they are replaced or age out.
-    pub fn doubt(&mut self, endpoint: EndpointKey) {
-        if self.doubts.len() >= DOUBTS {
-            self.young.clear();
-            self.old.clear();
-            self.doubts.clear();
+    /// Invalidates all entries of `endpoint` in constant time. The entries are skipped until they are replaced or age
+    /// out.
+    pub fn invalidate(&mut self, endpoint: EndpointKey) {
+        if self.invalidations.len() >= MAX_INVALIDATIONS {
+            self.current.clear();
+            self.previous.clear();
+            self.invalidations.clear();
         }
-        self.counter += 1;
-        self.doubts.insert(endpoint, self.counter);
+        self.epoch += 1;
+        self.invalidations.insert(endpoint, self.epoch);
     }
 
-    fn turn(&mut self, now: Duration) {
-        let full = self.young.len() >= self.half;
-        let aged = now.saturating_sub(self.turned) >= self.keep;
+    fn rotate(&mut self, now: Duration) {
+        let full = self.current.len() >= self.generation_capacity;
+        let aged = now.saturating_sub(self.rotated_at) >= self.max_age;
         if !full && !aged {
             return;
         }
-        std::mem::swap(&mut self.young, &mut self.old);
-        self.young.clear();
-        self.turned = now;
+        std::mem::swap(&mut self.current, &mut self.previous);
+        self.current.clear();
+        self.rotated_at = now;
     }
 }
 
-fn put(holders: &mut Holders, entry: Entry) {
+fn insert_holder(holders: &mut Holders, entry: Entry) {
     let endpoint = entry.holder.endpoint;
     let same = holders
         .iter()
-        .position(|slot| slot.is_some_and(|known| known.holder.endpoint == endpoint));
-    let seen = |at: &usize| holders[*at].map(|known| known.holder.seen);
-    let at = same.or_else(|| (0..HOLDERS).min_by_key(seen)).unwrap_or(0);
+        .position(|slot| slot.is_some_and(|existing| existing.holder.endpoint == endpoint));
+    let seen = |at: &usize| holders[*at].map(|existing| existing.holder.seen);
+    let at = same.or_else(|| (0..MAX_HOLDERS).min_by_key(seen)).unwrap_or(0);
     holders[at] = Some(entry);
 }
--- a/crates/placement/src/load/builder.rs
+++ b/crates/placement/src/load/builder.rs
@@ -4,10 +4,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Builds a [`LoadView`]. Each mechanism can be switched off, so that its worth can be measured.
+/// Builds a [`LoadView`]. Each mechanism can be switched off to measure its effect.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadViewBuilder {
-    pub(super) rate: f64,
+    pub(super) prefill_rate: f64,
     pub(super) reports: bool,
     pub(super) own_placements: bool,
     pub(super) pace_detection: bool,
@@ -17,11 +17,12 @@
 }
 
 impl LoadViewBuilder {
-    /// `rate` is what the pool's median endpoint prefills, in tokens a second.
-    pub fn new(rate: f64) -> Self {
+    /// Creates a builder with the defaults. `prefill_rate` is the prefill rate of the pool's median endpoint, in tokens
+    /// per second.
+    pub fn new(prefill_rate: f64) -> Self {
         let smoothing_time = Duration::from_secs(90);
         Self {
-            rate,
+            prefill_rate,
             reports: true,
             own_placements: true,
             pace_detection: true,
@@ -31,49 +32,51 @@
         }
     }
 
-    /// Whether reports count.
+    /// Whether load reports are used.
     pub fn reports(mut self, on: bool) -> Self {
         self.reports = on;
         self
     }
 
-    /// Whether own placements count on top of a report.
+    /// Whether own placements are added to the reported load.
     pub fn own_placements(mut self, on: bool) -> Self {
         self.own_placements = on;
         self
     }
 
-    /// Whether slow endpoints are noticed from their answers.
+    /// Whether slow endpoints are detected from the pace of their answers.
     pub fn pace_detection(mut self, on: bool) -> Self {
         self.pace_detection = on;
         self
     }
 
-    /// Share of the rate by which a report's queue is believed to shrink as it ages: less than 1, since others send work.
+    /// Share of the prefill rate at which the reported queue is assumed to drain as the report ages. Less than 1, since
+    /// other routers send work as well.
     pub fn drain_share(mut self, share: f64) -> Self {
         self.drain_share = share;
         self
     }
 
-    /// Time over which the work inside is smoothed. Homes move with it, and each move costs misses.
+    /// Time constant for smoothing the load of an endpoint. Homes move with the smoothed load, and each move costs
+    /// cache misses.
     pub fn smoothing_time(mut self, time: Duration) -> Self {
         self.smoothing_time = time;
         self
     }
 
-    /// How strongly homes move away from crowded endpoints: 0 not at all, 1 in proportion.
+    /// How strongly homes move away from overloaded endpoints: 0 not at all, 1 in proportion to the load.
     pub fn weight_exponent(mut self, power: f64) -> Self {
         self.weight_exponent = power;
         self
     }
 
-    /// The view, empty.
+    /// Builds an empty view.
     pub fn build(self) -> LoadView {
         LoadView {
             settings: self,
             endpoints: HashMap::default(),
-            next: 0,
-            pace: None,
+            next_ticket: 0,
+            median_pace: None,
         }
     }
 }
--- a/crates/placement/src/load/endpoint.rs
+++ b/crates/placement/src/load/endpoint.rs
@@ -1,39 +1,39 @@
-//! What is known of one endpoint's load.
+//! Load state of one endpoint.
 
 use super::pace::Pace;
 use super::{LoadViewBuilder, Report, Ticket};
 use ids::Incarnation;
 use std::time::Duration;
 
-/// A request of this router at the endpoint.
+/// An in-flight request of this router at the endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct Flight {
-    /// Its name.
+    /// Ticket of the placement.
     pub ticket: Ticket,
-    /// When it was placed.
-    pub placed: Duration,
-    /// Prompt tokens that have to be computed for it.
+    /// Time of the placement.
+    pub placed_at: Duration,
+    /// Uncached prompt tokens.
     pub tokens: u64,
-    /// When its progress was last seen, and its tokens by then; none before the first token.
-    pub mark: Option<(Duration, u64)>,
+    /// Time and token count of the last recorded progress; `None` before the first token.
+    pub progress: Option<(Duration, u64)>,
 }
 
-/// The pressure that a router starts with counts as much as this many reports.
-const FIRST: f64 = 4.0;
+/// Weight of the initial pressure, in reports.
+const INITIAL_REPORTS: f64 = 4.0;
 
-/// Waiting prompt tokens that weigh as much as one request inside. From the experiment; 500 to 2000 are alike.
+/// Queued prompt tokens that count as one request. Values from 500 to 2000 give the same results.
 const REQUEST_TOKENS: f64 = 1000.0;
-/// A pressure taken over from another router counts as much as this many reports.
-const ASSUMED: f64 = 100.0;
-/// Bounds of a pressure, and their inverse.
-const SANE: f64 = 100.0;
+/// Weight of a pressure seeded from another router, in reports.
+const SEEDED_REPORTS: f64 = 100.0;
+/// Maximum plausible pressure; the minimum is its inverse.
+const MAX_PRESSURE: f64 = 100.0;
 
 /// Load of one endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointLoad {
-    /// Requests of this router.
+    /// In-flight requests of this router.
     pub flights: Vec<Flight>,
-    /// Pace of its answers.
+    /// Pace of the endpoint's answers.
     pub pace: Pace,
     pressure: f64,
     weight: f64,
@@ -57,8 +57,8 @@
 }
 
 impl EndpointLoad {
-    /// A restarted endpoint is empty, and its queue and pace are new.
-    pub fn renew(&mut self, incarnation: Incarnation) {
+    /// Resets the state if the endpoint has restarted, since its queue and pace are then new.
+    pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         if incarnation == self.incarnation {
             return;
         }
@@ -72,7 +72,7 @@
         };
     }
 
-    /// Smoothed work inside relative to the pool's mean.
+    /// Smoothed work relative to the pool's mean.
     pub fn pressure(&self) -> f64 {
         self.pressure
     }
@@ -82,58 +82,58 @@
         self.weight
     }
 
-    /// Work inside by the last report.
+    /// Work by the last report.
     pub fn work(&self) -> Option<f64> {
         self.report.map(work)
     }
 
-    /// Takes in a report; `mean` is the pool's mean work inside. One is added to both, so that a nearly idle
-    /// pool is not ruled by chance. The pressure begins at 1 and moves slowly: a router that has just started finds the
-    /// homes near where they were, instead of moving them by one report. The first report only begins the count, since
-    /// the other endpoints' may not have come yet.
-    pub fn take_in(&mut self, report: Report, mean: f64, settings: &LoadViewBuilder) {
+    /// Records a report; `mean` is the pool's mean work. One is added to both, so that random fluctuations do not
+    /// dominate in a nearly idle pool. The pressure starts at 1 and changes slowly: a newly started router finds the
+    /// homes near their previous positions instead of moving them by one report. The first report only starts the
+    /// count, since the reports of other endpoints may be missing.
+    pub fn record_report(&mut self, report: Report, mean: f64, settings: &LoadViewBuilder) {
         let Some(last) = self.report.replace(report) else {
             return;
         };
         let gap = report.measured.saturating_sub(last.measured);
         self.reports += 1.0;
-        let settled = 1.0 - (-gap.as_secs_f64() / settings.smoothing_time.as_secs_f64()).exp();
-        let weight = settled.max(1.0 / (self.reports + FIRST));
-        let now = (work(report) + 1.0) / (mean + 1.0);
-        self.pressure += weight * (now - self.pressure);
+        let gain = 1.0 - (-gap.as_secs_f64() / settings.smoothing_time.as_secs_f64()).exp();
+        let weight = gain.max(1.0 / (self.reports + INITIAL_REPORTS));
+        let sample = (work(report) + 1.0) / (mean + 1.0);
+        self.pressure += weight * (sample - self.pressure);
         self.weight = self.pressure.powf(-settings.weight_exponent);
     }
 
-    /// Starts from a pressure that another router knew.
+    /// Initialises the pressure from another router's value.
     pub fn seed_pressure(&mut self, pressure: f64, settings: &LoadViewBuilder) {
-        let sane = pressure.is_finite() && (1.0 / SANE..=SANE).contains(&pressure);
-        if !sane || self.reports > 0.0 {
+        let plausible = pressure.is_finite() && (1.0 / MAX_PRESSURE..=MAX_PRESSURE).contains(&pressure);
+        if !plausible || self.reports > 0.0 {
             return;
         }
         self.pressure = pressure;
         self.weight = pressure.powf(-settings.weight_exponent);
-        self.reports = ASSUMED;
+        self.reports = SEEDED_REPORTS;
     }
 
-    /// Prompt tokens that a new request would wait for: the report, less what was prefilled since, and the router's own
-    /// later placements; at least what the router itself waits for.
+    /// Prompt tokens queued ahead of a new request: the reported queue, less what was prefilled since, plus the
+    /// router's own later placements. At least the tokens of the router's own waiting requests.
     pub fn queued(&self, settings: &LoadViewBuilder, now: Duration) -> u64 {
         let waiting = self
             .flights
             .iter()
-            .filter(|flight| flight.mark.is_none() && settings.own_placements);
-        let own: u64 = waiting.clone().map(|flight| flight.tokens).sum();
-        let Some(report) = self.report else { return own };
-        let later = waiting.filter(|flight| flight.placed >= report.measured);
-        let newer: u64 = later.map(|flight| flight.tokens).sum();
+            .filter(|flight| flight.progress.is_none() && settings.own_placements);
+        let own_tokens: u64 = waiting.clone().map(|flight| flight.tokens).sum();
+        let Some(report) = self.report else { return own_tokens };
+        let later = waiting.filter(|flight| flight.placed_at >= report.measured);
+        let later_tokens: u64 = later.map(|flight| flight.tokens).sum();
         let age = now.saturating_sub(report.measured).as_secs_f64();
-        let drained = (age * settings.rate * settings.drain_share) as u64;
-        own.max(report.prefill.saturating_sub(drained) + newer)
+        let drained = (age * settings.prefill_rate * settings.drain_share) as u64;
+        own_tokens.max(report.prefill.saturating_sub(drained) + later_tokens)
     }
 }
 
-/// Work inside by a report, in requests: those that generate, and the prompt tokens that wait. Either alone misses endpoints
-/// whose few requests have long prompts, or whose many have short ones.
+/// Work by a report, in requests: the running ones plus the queued prompt tokens. Either alone misses endpoints with
+/// few requests of long prompts, or with many of short ones.
 fn work(report: Report) -> f64 {
     f64::from(report.requests) + report.prefill as f64 / REQUEST_TOKENS
 }
--- a/crates/placement/src/load/mod.rs
+++ b/crates/placement/src/load/mod.rs
@@ -1,7 +1,7 @@
-//! How busy and how fast each endpoint is, as far as this router can know.
+//! Estimates of the load and speed of each endpoint, from what this router can observe.
 //!
-//! Load pattern: reports lag, and every router sees the same endpoint idle at the same time. Without the router's own
-//! recent placements on top of the report, it sends one request after the other to that endpoint until the next report.
+//! Load pattern: reports are delayed, and every router sees the same endpoint idle at the same time. If a router did
+//! not add its own recent placements to the report, it would send all requests to that endpoint until the next report.
 
 mod builder;
 mod endpoint;
@@ -11,44 +11,44 @@
 
 use self::endpoint::{EndpointLoad, Flight};
 use crate::EndpointKey;
-use crate::uniform::Uniform;
+use crate::identity_hasher::BuildIdentityHasher;
 use ids::Incarnation;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Names one placement until it has finished.
+/// Identifies one placement until it has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Ticket(u64);
 
-/// What an endpoint reported of itself.
+/// Load report of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Report {
-    /// The life that reported.
+    /// Incarnation that sent the report.
     pub incarnation: Incarnation,
-    /// Requests running or waiting inside the endpoint.
+    /// Requests running or queued in the endpoint.
     pub requests: u32,
-    /// Prompt tokens still to be prefilled.
+    /// Prompt tokens waiting for prefill.
     pub prefill: u64,
-    /// When the endpoint measured it, on this router's clock.
+    /// Time of the measurement, on this router's clock.
     pub measured: Duration,
 }
 
-/// What is believed of an endpoint now.
+/// Current estimate of an endpoint's load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
     /// Requests in flight from this router.
     pub in_flight: u32,
-    /// Prompt tokens that a new request would wait for.
+    /// Prompt tokens queued ahead of a new request.
     pub queued: u64,
-    /// Relative to the pool's median endpoint: 1.0 as fast, 0.5 half as fast.
+    /// Speed relative to the pool's median endpoint: 1.0 is as fast, 0.5 half as fast.
     pub speed: f64,
-    /// Relative share of homes: below 1.0 for an endpoint that has more work inside than the pool's mean, or is slow.
-    /// All routers read the same reports, so their weights are nearly the same and they still agree on homes.
+    /// Relative share of homes: below 1.0 for an endpoint that is slow or more loaded than the pool's mean. All routers
+    /// read the same reports, so their weights are nearly equal and they agree on homes.
     pub weight: f64,
 }
 
 impl Estimate {
-    /// Of an endpoint nothing is known of.
+    /// Estimate for an unknown endpoint.
     const UNKNOWN: Self = Self {
         in_flight: 0,
         queued: 0,
@@ -57,27 +57,27 @@
     };
 }
 
-/// The load view of one router.
+/// Load view of one router for one pool.
 #[derive(Debug, Clone)]
 pub struct LoadView {
     settings: LoadViewBuilder,
-    endpoints: HashMap<EndpointKey, EndpointLoad, Uniform>,
-    next: u64,
-    pace: Option<f64>,
+    endpoints: HashMap<EndpointKey, EndpointLoad, BuildIdentityHasher>,
+    next_ticket: u64,
+    median_pace: Option<f64>,
 }
 
 impl LoadView {
-    /// An empty view; `rate` is what the pool's median endpoint prefills, in tokens a second.
-    pub fn new(rate: f64) -> Self {
-        Self::builder(rate).build()
+    /// Creates an empty view. `prefill_rate` is the prefill rate of the pool's median endpoint, in tokens per second.
+    pub fn new(prefill_rate: f64) -> Self {
+        Self::builder(prefill_rate).build()
     }
 
-    /// A builder; `rate` is what the pool's median endpoint prefills, in tokens a second.
-    pub fn builder(rate: f64) -> LoadViewBuilder {
-        LoadViewBuilder::new(rate)
+    /// Returns a builder. `prefill_rate` is the prefill rate of the pool's median endpoint, in tokens per second.
+    pub fn builder(prefill_rate: f64) -> LoadViewBuilder {
+        LoadViewBuilder::new(prefill_rate)
     }
 
-    /// A request with `tokens` uncached prompt tokens was placed.
+    /// Records that a request with `tokens` uncached prompt tokens was placed.
     pub fn record_placement(
         &mut self,
         endpoint: EndpointKey,
@@ -85,46 +85,47 @@
         tokens: u64,
         now: Duration,
     ) -> Ticket {
-        let ticket = Ticket(self.next);
-        self.next += 1;
+        let ticket = Ticket(self.next_ticket);
+        self.next_ticket += 1;
         let load = self.endpoints.entry(endpoint).or_default();
-        load.renew(incarnation);
+        load.set_incarnation(incarnation);
         load.flights.push(Flight {
             ticket,
-            placed: now,
+            placed_at: now,
             tokens,
-            mark: None,
+            progress: None,
         });
         ticket
     }
 
-    /// The first token of `ticket` arrived: its prompt no longer waits.
+    /// Records the first token of `ticket`: its prompt is no longer queued.
     pub fn record_first_token(&mut self, endpoint: EndpointKey, ticket: Ticket, now: Duration) {
         let Some(flight) = self.flight(endpoint, ticket) else {
             return;
         };
-        flight.mark = Some((now, 1));
+        flight.progress = Some((now, 1));
     }
 
-    /// So far `generated` tokens of `ticket` have arrived: shows how fast the endpoint is. To be called now and then while
-    /// an answer streams, and at its end: whole answers of a slow endpoint come too late to notice it by.
+    /// Records that `generated` tokens of `ticket` have arrived so far, which shows the endpoint's speed. Call it
+    /// repeatedly while an answer streams and at its end: complete answers of a slow endpoint arrive too late to detect
+    /// it.
     pub fn record_progress(&mut self, endpoint: EndpointKey, ticket: Ticket, generated: u64, now: Duration) {
         let Some(flight) = self.flight(endpoint, ticket) else {
             return;
         };
-        let Some(mark) = flight.mark else { return };
-        let Some(pace) = pace::between(mark, (now, generated)) else {
+        let Some(progress) = flight.progress else { return };
+        let Some(pace) = pace::measure(progress, (now, generated)) else {
             return;
         };
-        flight.mark = Some((now, generated));
+        flight.progress = Some((now, generated));
         let Some(load) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
-        load.pace.take_in(pace, now);
-        self.pace = pace::median(self.endpoints.values().filter_map(|load| load.pace.value()));
+        load.pace.record(pace, now);
+        self.median_pace = pace::median(self.endpoints.values().filter_map(|load| load.pace.value()));
     }
 
-    /// `ticket` has ended, however it ended.
+    /// Records the end of `ticket`, whatever its outcome.
     pub fn record_end(&mut self, endpoint: EndpointKey, ticket: Ticket) {
         let Some(load) = self.endpoints.get_mut(&endpoint) else {
             return;
@@ -132,29 +133,30 @@
         load.flights.retain(|flight| flight.ticket != ticket);
     }
 
-    /// The endpoint reported its load.
+    /// Records a load report of the endpoint.
     pub fn record_report(&mut self, endpoint: EndpointKey, report: Report) {
         if !self.settings.reports {
             return;
         }
-        let known = || self.endpoints.values().filter_map(EndpointLoad::work);
-        let mean = known().sum::<f64>() / known().count().max(1) as f64;
+        let reported = || self.endpoints.values().filter_map(EndpointLoad::work);
+        let mean = reported().sum::<f64>() / reported().count().max(1) as f64;
         let load = self.endpoints.entry(endpoint).or_default();
-        load.renew(report.incarnation);
-        load.take_in(report, mean, &self.settings);
+        load.set_incarnation(report.incarnation);
+        load.record_report(report, mean, &self.settings);
     }
 
-    /// Pressures of all endpoints: a hint for routers that start, worth handing to them by a peer or by the platform. A
-    /// few bytes for each endpoint; nothing breaks without it, but until its own reports tell, a router that starts
-    /// without the hint ranks endpoints unlike the others and misses a tenth more blocks.
+    /// Pressures (smoothed load relative to the pool's mean) of all endpoints, as a hint for starting routers. It takes
+    /// a few bytes per endpoint and can be provided by a peer or by the platform. The hint is optional. Without it a
+    /// starting router ranks endpoints differently from the others until it has its own reports, and misses a tenth
+    /// more blocks.
     pub fn pressures(&self) -> impl Iterator<Item = (EndpointKey, f64)> {
         self.endpoints
             .iter()
             .map(|(endpoint, load)| (*endpoint, load.pressure()))
     }
 
-    /// Starts from the pressure that another router knew, unless own reports have told already. A figure that is no sane
-    /// pressure is ignored.
+    /// Initialises the pressure of an endpoint from another router's value, unless own reports exist. Implausible
+    /// values are ignored.
     pub fn seed_pressure(&mut self, endpoint: EndpointKey, pressure: f64) {
         self.endpoints
             .entry(endpoint)
@@ -162,19 +164,19 @@
             .seed_pressure(pressure, &self.settings);
     }
 
-    /// Forgets an endpoint that left.
+    /// Removes an endpoint that left.
     pub fn forget(&mut self, endpoint: EndpointKey) {
         self.endpoints.remove(&endpoint);
     }
 
-    /// What is believed of `endpoint`; an unknown one is idle and ordinary.
+    /// Estimates the load of `endpoint`. An unknown endpoint is taken as idle and of median speed.
     pub fn estimate(&self, endpoint: EndpointKey, now: Duration) -> Estimate {
         let Some(load) = self.endpoints.get(&endpoint) else {
             return Estimate::UNKNOWN;
         };
         let in_flight = u32::try_from(load.flights.len()).unwrap_or(u32::MAX);
         let speed = if self.settings.pace_detection {
-            load.pace.speed(self.pace, now)
+            load.pace.speed(self.median_pace, now)
         } else {
             1.0
         };
--- a/crates/placement/src/load/pace.rs
+++ b/crates/placement/src/load/pace.rs
@@ -1,28 +1,30 @@
-//! Slow endpoints.
+//! Detection of slow endpoints.
 //!
-//! Load pattern: an endpoint becomes several times slower, by a neighbour or a throttled card, and goes on answering. It
-//! looks idle, since it takes little, so it would get the same work as the others until its queue shows. It is noticed
-//! from the time between the tokens of its answers, against the pool's median, given less, and probed back.
+//! Load pattern: an endpoint becomes several times slower, because of co-located load or a throttled accelerator, and
+//! keeps answering. It appears idle, since it completes little, and would get the same work as the others until its
+//! queue grows. It is detected from the time between the tokens of its answers, relative to the pool's median. It then
+//! gets less work, and is probed until it has recovered.
 
 use std::time::Duration;
 
-/// Weight of the newest answer.
-const WEIGHT: f64 = 0.2;
-/// A pace of up to this many times the median is ordinary: an endpoint that also prefills generates up to three times as
-/// slowly as an idle one.
-const ORDINARY: f64 = 3.0;
-/// Without answers the believed speed doubles in this time, so that the endpoint gets some work again and shows whether it
-/// has recovered. Were it believed ordinary at once, a share of a whole endpoint would be the probe.
-const RECOVERY: Duration = Duration::from_secs(5);
-/// Least speed believed: below, an endpoint would get nothing at all.
-const LEAST: f64 = 0.05;
-/// Fewer tokens say little.
-const FEWEST: u64 = 8;
+/// Weight of a new sample.
+const EWMA_WEIGHT: f64 = 0.2;
+/// A pace above this multiple of the median is slow. An endpoint that also prefills normally generates up to three
+/// times as slowly as an idle one.
+const SLOW_RATIO: f64 = 3.0;
+/// Time in which the estimated speed doubles without answers, so that the endpoint gets some work again and shows
+/// whether it has recovered. If the estimate returned to normal at once, the probe would be a full endpoint's share of
+/// the requests.
+const DOUBLING_TIME: Duration = Duration::from_secs(5);
+/// Minimum estimated speed. With a lower one the endpoint would get no work.
+const MIN_SPEED: f64 = 0.05;
+/// Minimum number of tokens in a sample.
+const MIN_TOKENS: u64 = 8;
 
-/// Seconds for each token generated between two moments with their counts of tokens; none if they are too few to tell.
-pub fn between(earlier: (Duration, u64), later: (Duration, u64)) -> Option<f64> {
+/// Seconds per generated token between two points of time and token count; `None` if there are too few tokens.
+pub fn measure(earlier: (Duration, u64), later: (Duration, u64)) -> Option<f64> {
     let generated = later.1.saturating_sub(earlier.1);
-    (generated >= FEWEST).then(|| later.0.saturating_sub(earlier.0).as_secs_f64() / generated as f64)
+    (generated >= MIN_TOKENS).then(|| later.0.saturating_sub(earlier.0).as_secs_f64() / generated as f64)
 }
 
 /// Median of `paces`.
@@ -40,15 +42,15 @@
 }
 
 impl Pace {
-    /// Seconds for each generated token.
+    /// Seconds per generated token.
     pub fn value(&self) -> Option<f64> {
         self.value
     }
 
-    /// Takes in the pace of one answer.
-    pub fn take_in(&mut self, pace: f64, now: Duration) {
-        let known = self.value.unwrap_or(pace);
-        self.value = Some(known + WEIGHT * (pace - known));
+    /// Records a sample.
+    pub fn record(&mut self, pace: f64, now: Duration) {
+        let previous = self.value.unwrap_or(pace);
+        self.value = Some(previous + EWMA_WEIGHT * (pace - previous));
         self.seen = now;
     }
 
@@ -57,10 +59,10 @@
         let (Some(pace), Some(median)) = (self.value, median) else {
             return 1.0;
         };
-        if pace <= median * ORDINARY {
+        if pace <= median * SLOW_RATIO {
             return 1.0;
         }
-        let silent = now.saturating_sub(self.seen).as_secs_f64() / RECOVERY.as_secs_f64();
-        ((median / pace).max(LEAST) * silent.exp2()).min(1.0)
+        let doublings = now.saturating_sub(self.seen).as_secs_f64() / DOUBLING_TIME.as_secs_f64();
+        ((median / pace).max(MIN_SPEED) * doublings.exp2()).min(1.0)
     }
 }
--- a/crates/placement/src/placer/builder.rs
+++ b/crates/placement/src/placer/builder.rs
@@ -5,11 +5,11 @@
 use super::offer::Offers;
 use super::price::Pricing;
 use super::share::LevelShares;
-use crate::LearntIndex;
+use crate::PrefixIndex;
 use std::time::Duration;
 
-/// Builds a [`Placer`]. Each mechanism can be switched off, so that its worth can be measured. The defaults are the best
-/// of several hundred settings tried by the experiment over both deployments, see `docs/DECISIONS.md`.
+/// Builds a [`Placer`]. Each mechanism can be switched off to measure its effect. `docs/DECISIONS.md` explains the
+/// defaults.
 #[derive(Debug, Clone)]
 pub struct PlacerBuilder {
     pub(super) hashing: bool,
@@ -46,88 +46,88 @@
 }
 
 impl PlacerBuilder {
-    /// Whether levels are ranked by hash.
+    /// Whether endpoints are ranked by hash for each level.
     pub fn hashing(mut self, on: bool) -> Self {
         self.hashing = on;
         self
     }
 
-    /// Whether own placements and replies are remembered.
+    /// Whether replies to own placements are recorded in the index.
     pub fn learning(mut self, on: bool) -> Self {
         self.learning = on;
         self
     }
 
-    /// How long a learnt block is believed without being seen again. Engines evict within seconds.
+    /// How long an index entry is valid without being confirmed. Engines evict within seconds.
     pub fn entry_ttl(mut self, time: Duration) -> Self {
         self.entry_ttl = time;
         self
     }
 
-    /// Most blocks remembered, and most levels counted.
+    /// Maximum number of blocks in the index and of counted levels.
     pub fn capacity(mut self, blocks: usize) -> Self {
         self.capacity = blocks;
         self
     }
 
-    /// How many ranks after the homes are offered at each level, at most 4.
+    /// Number of ranks after the homes that are offered at each level, at most 4.
     pub fn ranks(mut self, count: usize) -> Self {
         self.ranks = count.min(MAX_RANKS);
         self
     }
 
-    /// Least share of all endpoints that the outermost level selects. Fewer would save copies of the outermost layer, but
-    /// some endpoints would be selected by many levels and others by none.
+    /// Minimum share of all endpoints that the outermost level selects. A smaller share would save copies of the
+    /// outermost prefix, but some endpoints would be selected by many levels and others by none.
     pub fn outer_share(mut self, share: f64) -> Self {
         self.outer_share = share;
         self
     }
 
-    /// Share of a very hot level's blocks that count as cached at the next rank.
+    /// Share of a very hot level's blocks that is expected to be cached at the next rank.
     pub fn spill_hit_share(mut self, share: f64) -> Self {
         self.spill_hit_share = share;
         self
     }
 
-    /// Time in which counts of requests fade to 37%.
+    /// Time constant in which request counts decay to 37%.
     pub fn decay_time(mut self, time: Duration) -> Self {
         self.decay_time = time;
         self
     }
 
-    /// Tokens of a block.
+    /// Tokens per block.
     pub fn block_tokens(mut self, tokens: u32) -> Self {
         self.price.block_tokens = tokens;
         self
     }
 
-    /// Tokens a second that the pool's median endpoint prefills.
+    /// Prefill rate of the pool's median endpoint, in tokens per second.
     pub fn prefill_rate(mut self, rate: f64) -> Self {
         self.price.prefill_rate = rate;
         self
     }
 
-    /// What a request pays for an endpoint in another failure domain: there and back.
+    /// Round-trip time to an endpoint in another failure domain.
     pub fn domain_rtt(mut self, time: Duration) -> Self {
         self.price.domain_rtt = time;
         self
     }
 
-    /// Price of a second of recomputing in an idle pool, in seconds of waiting.
+    /// Price of a second of recomputation in an idle pool, in seconds of waiting.
     pub fn price_base(mut self, seconds: f64) -> Self {
         self.price.base = seconds;
         self
     }
 
-    /// Rise of that price for each second of the pool's mean wait.
+    /// Increase of that price per second of the pool's mean wait.
     pub fn price_rise(mut self, rise: f64) -> Self {
         self.price.rise = rise;
         self
     }
 
-    /// The placer, empty.
+    /// Builds a placer with an empty index.
     pub fn build(self) -> Placer {
-        let index = LearntIndex::new(self.capacity, self.entry_ttl);
+        let index = PrefixIndex::new(self.capacity, self.entry_ttl);
         let shares = LevelShares::new(self.decay_time, self.capacity);
         Placer {
             settings: self,
--- a/crates/placement/src/placer/candidate.rs
+++ b/crates/placement/src/placer/candidate.rs
@@ -1,10 +1,10 @@
-//! What a choice is made from, and its outcome.
+//! Input and outcome of a choice.
 
 use derive_more::{Display, From, Into};
 use ids::{EndpointId, Incarnation};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Stands for an endpoint in hashes, the same at every router.
+/// Identifies an endpoint in hashes; the same at every router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, From, Into)]
 pub struct EndpointKey(pub u64);
 
@@ -14,29 +14,29 @@
     }
 }
 
-/// An endpoint that may be chosen. The caller leaves out those that are leaving, dead or serve other weights.
+/// An endpoint that may be chosen. The caller excludes endpoints that are leaving, dead or serving other weights.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Its life now.
+    /// Its current incarnation.
     pub incarnation: Incarnation,
     /// Whether it is in this router's failure domain.
     pub same_domain: bool,
     /// Requests in flight from this router.
     pub in_flight: u32,
-    /// Most requests this router may have in flight there.
+    /// Maximum number of requests in flight from this router.
     pub limit: u32,
-    /// Prompt tokens that a new request would wait for; see [`crate::Estimate`].
+    /// Prompt tokens queued ahead of a new request; see [`crate::Estimate`].
     pub queued: u64,
-    /// Relative to the pool's median, 1.0 as fast; see [`crate::Estimate`].
+    /// Speed relative to the pool's median; see [`crate::Estimate`].
     pub speed: f64,
     /// Relative share of homes, 1.0 the mean; see [`crate::Estimate`].
     pub weight: f64,
 }
 
 impl Candidate {
-    /// Whether the limit leaves room for one more.
+    /// Whether the limit allows one more request.
     pub fn has_room(&self) -> bool {
         self.in_flight < self.limit
     }
@@ -48,29 +48,29 @@
 pub enum Reason {
     /// A home of the prompt by hash.
     Home,
-    /// The next in rank by hash, since the homes are too busy.
+    /// The next in rank by hash, because the homes are too busy.
     Spill,
-    /// A reply showed that the prefix was there.
+    /// A reply showed the prefix in its cache.
     Learnt,
-    /// Drawn at random: no cache would help enough.
+    /// Drawn at random, because no cache hit would save enough.
     Drawn,
 }
 
 /// A chosen endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pick {
-    /// Its place among the candidates.
+    /// Its index in the candidates.
     pub index: usize,
     /// Blocks of the prompt expected in its cache.
     pub cached: usize,
-    /// Why.
+    /// Reason of the choice.
     pub reason: Reason,
 }
 
 /// The outcome of a choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// Send it there.
+    /// Place the request at this endpoint.
     At(Pick),
     /// No candidate has room.
     Full,
--- a/crates/placement/src/placer/homes.rs
+++ b/crates/placement/src/placer/homes.rs
@@ -1,14 +1,15 @@
 //! Homes of a prompt by nested rendezvous hashing.
 //!
-//! Load pattern: prompts that share nested prefixes, more of them than one cache holds, from many routers that may have
-//! started a moment ago. Every router ranks the endpoints for each level by the same hash, so all send a prefix to the
-//! same endpoint without talking and without state. Without it each prefix is computed at every endpoint in turn: the
-//! experiment's hit rate falls from 0.89 to 0.52.
+//! Load pattern: prompts share nested prefixes, more of them than fit in one cache, and arrive at many routers that may
+//! just have started. Every router ranks the endpoints for each level by the same hash, so all routers send a prefix to
+//! the same endpoint without communication or state. Otherwise each prefix is computed at every endpoint in turn: in
+//! simulations the hit rate falls from 0.89 to 0.52.
 //!
-//! The levels are nested: the outermost one selects a set of endpoints, the next one a part of that set, and so on, so
-//! that tasks of one tenant meet where the tenant's layer is. Hashing the innermost level alone spreads the tenants'
-//! layers over all endpoints, where they evict each other (hit rate 0.73). A set is as wide as the level's share of the
-//! load asks for. Spill goes to the next in rank, which is the same for all routers, so that overflow finds a cache too.
+//! The levels are nested: the outermost one selects a set of endpoints, the next one a subset of it, and so on, so that
+//! tasks of one tenant share the endpoints that cache the tenant's prefix. Hashing the innermost level alone spreads
+//! the tenants' prefixes over all endpoints, where they evict each other (hit rate 0.73). The size of a set follows the
+//! level's share of the load. Spill goes to the next rank, which is the same at all routers, so that spilled requests
+//! find a cached prefix too.
 
 use super::offer::{Offer, Offers};
 use super::{Candidate, EndpointKey, PlacerBuilder, Reason};
@@ -23,8 +24,8 @@
     mixed ^ (mixed >> 32)
 }
 
-/// Rank of `candidate` for a level, the highest first. An endpoint of twice the weight is first for twice as many levels,
-/// and when a weight changes only levels of that endpoint move (weighted rendezvous hashing, Schindelhauer and
+/// Rank of `candidate` for a level; the highest is first. An endpoint of twice the weight is first for twice as many
+/// levels, and a change of weight moves only levels of that endpoint (weighted rendezvous hashing, Schindelhauer and
 /// Schomaker 2005).
 fn rank(level: u64, candidate: &Candidate) -> f64 {
     let hash = score(level, candidate.endpoint) >> (u64::BITS - f64::MANTISSA_DIGITS);
@@ -38,15 +39,15 @@
     index: usize,
 }
 
-/// Finds homes. Kept between choices for its memory.
+/// Selects homes. Reused between choices to avoid allocations.
 #[derive(Debug, Clone, Default)]
 pub struct Homes {
     set: Vec<Ranked>,
 }
 
 impl Homes {
-    /// Offers the homes of `chain`, and at each level the next ones in rank. `share` is the share of all requests that
-    /// have a level, by its hash.
+    /// Offers the homes of `chain`, and the next ranks at each level. `share` returns the share of all requests that
+    /// have a level, by the level's hash.
     pub fn offer(
         &mut self,
         settings: &PlacerBuilder,
@@ -61,73 +62,73 @@
         self.set.clear();
         self.set
             .extend((0..candidates.len()).map(|index| Ranked { rank: 0.0, index }));
-        let mut outer = 0;
+        let mut outer_blocks = 0;
         for (depth, level) in chain.levels().iter().enumerate() {
             let load = share(level.hash) * candidates.len() as f64;
-            let floor = if depth == 0 {
+            let min_width = if depth == 0 {
                 settings.outer_share * candidates.len() as f64
             } else {
                 1.0
             };
-            let width = load.max(floor).ceil() as usize;
+            let width = load.max(min_width).ceil() as usize;
             let spill = self.narrow(level.hash, candidates, width, settings.ranks);
             for next in spill {
-                offers.add(candidates, Offer::new(next.index, outer as f64, Reason::Spill));
+                offers.add(candidates, Offer::new(next.index, outer_blocks as f64, Reason::Spill));
             }
-            let own = (level.blocks - outer) as f64;
-            offers.expect_more(own * settings.spill_hit_share * load / (load + HALF_LOAD));
-            outer = level.blocks;
+            let own = (level.blocks - outer_blocks) as f64;
+            offers.add_expected(own * settings.spill_hit_share * load / (load + HALF_LOAD));
+            outer_blocks = level.blocks;
         }
         for home in &self.set {
-            offers.add(candidates, Offer::new(home.index, outer as f64, Reason::Home));
+            offers.add(candidates, Offer::new(home.index, outer_blocks as f64, Reason::Home));
         }
     }
 
-    /// Keeps the first `width` of the set by the level's ranks; returns the `next` ones after them.
+    /// Narrows the set to its first `width` endpoints by the level's ranks. Returns the next `spill_count` ones.
     fn narrow(
         &mut self,
         level: u64,
         candidates: &[Candidate],
         width: usize,
-        next: usize,
+        spill_count: usize,
     ) -> impl Iterator<Item = Ranked> + use<> {
         for ranked in &mut self.set {
             ranked.rank = rank(level, &candidates[ranked.index]);
         }
         let width = width.clamp(1, self.set.len());
-        first(&mut self.set, width);
+        select_top(&mut self.set, width);
         let rest = &mut self.set[width..];
-        let next = next.min(rest.len());
-        first(rest, next);
-        rest[..next].sort_unstable_by(descending);
+        let spill_count = spill_count.min(rest.len());
+        select_top(rest, spill_count);
+        rest[..spill_count].sort_unstable_by(descending);
         let mut spill = [None; MAX_RANKS];
-        for (slot, ranked) in spill.iter_mut().zip(&rest[..next]) {
+        for (slot, ranked) in spill.iter_mut().zip(&rest[..spill_count]) {
             *slot = Some(*ranked);
         }
         self.set.truncate(width);
         spill.into_iter().flatten()
     }
 
-    /// Room kept between choices.
+    /// Capacity of the reused buffer.
     pub fn capacity(&self) -> usize {
         self.set.capacity()
     }
 }
 
-fn descending(one: &Ranked, other: &Ranked) -> Ordering {
-    other.rank.total_cmp(&one.rank)
+fn descending(a: &Ranked, b: &Ranked) -> Ordering {
+    b.rank.total_cmp(&a.rank)
 }
 
-/// Brings the highest `count` to the front, in any order.
-fn first(set: &mut [Ranked], count: usize) {
+/// Moves the `count` highest ranks to the front, in any order.
+fn select_top(set: &mut [Ranked], count: usize) {
     if 0 < count && count < set.len() {
         set.select_nth_unstable_by(count - 1, descending);
     }
 }
 
-/// Most ranks after the homes that are offered at each level.
+/// Maximum number of ranks after the homes that are offered at each level.
 pub const MAX_RANKS: usize = 4;
-/// A level with this much load, in endpoints' fair loads, is taken as cached at the next rank in half of the cases: routers
-/// spill it often enough to keep it there, and a new copy serves many later requests. From the experiment, see
-/// `docs/DECISIONS.md`.
+/// Load of a level, in fair loads of one endpoint, at which it is expected to be cached at the next rank in half of the
+/// cases. At this load routers spill the level often enough to keep it cached there, and a new copy serves many later
+/// requests. See `docs/DECISIONS.md`.
 const HALF_LOAD: f64 = 0.3;
--- a/crates/placement/src/placer/mod.rs
+++ b/crates/placement/src/placer/mod.rs
@@ -1,8 +1,8 @@
-//! The choice of an endpoint for one request.
+//! Choice of an endpoint for one request.
 //!
-//! Every endpoint worth a look becomes an offer: the prompt's homes by hash, the next ones in rank, endpoints that are
-//! known to hold a part of it, and two drawn at random. The offer with the least cost is taken: its expected wait plus
-//! the price of the blocks that it would have to compute.
+//! The following endpoints are considered: the prompt's homes by hash, the next ones in rank, endpoints that are known
+//! to hold a part of the prompt, and two drawn at random. The one with the lowest cost is chosen: its expected wait
+//! plus the price of the blocks that it would have to compute.
 
 mod builder;
 mod candidate;
@@ -18,28 +18,28 @@
 use self::homes::Homes;
 use self::offer::{Offer, Offers};
 use self::share::LevelShares;
-use crate::{Holder, LearntIndex, PrefixChain};
+use crate::{Holder, PrefixChain, PrefixIndex};
 use ids::Incarnation;
 use std::time::Duration;
 
-/// Chooses endpoints for one pool, and remembers what it learnt.
+/// Chooses endpoints for one pool, and maintains the index of cached blocks.
 #[derive(Debug, Clone)]
 pub struct Placer {
     settings: PlacerBuilder,
-    index: LearntIndex,
+    index: PrefixIndex,
     shares: LevelShares,
     homes: Homes,
     offers: Offers,
 }
 
 impl Placer {
-    /// A builder with the defaults that the experiment arrived at.
+    /// Returns a builder with the defaults.
     pub fn builder() -> PlacerBuilder {
         PlacerBuilder::default()
     }
 
-    /// Chooses one of `candidates`, which are sorted by endpoint without doubles. `draw` is a uniform random number.
-    /// Changes nothing that later choices depend on, so a choice may be tried and dropped.
+    /// Chooses one of `candidates`, which are sorted by endpoint without duplicates. `draw` is a uniform random number.
+    /// Does not affect later choices, so a choice may be discarded.
     ///
     /// # Panics
     ///
@@ -48,7 +48,7 @@
         let ascending = |pair: &[Candidate]| pair[0].endpoint < pair[1].endpoint;
         assert!(
             candidates.windows(2).all(ascending),
-            "candidates are sorted by endpoint, without doubles"
+            "candidates must be sorted by endpoint, without duplicates"
         );
         self.offers.clear();
         if self.settings.hashing {
@@ -59,18 +59,19 @@
         if self.settings.learning {
             self.offer_learnt(chain, candidates, now);
         }
-        self.offers.add_drawn(candidates, draw);
+        self.offers.add_random(candidates, draw);
         if self.offers.all().is_empty() {
-            self.offers.add_open(candidates);
+            self.offers.add_all(candidates);
         }
         self.cheapest(chain, candidates)
     }
 
-    /// A reply showed that `endpoint` now holds all of `chain`; `cached` blocks were there before.
+    /// Records a reply that shows that `endpoint` now holds all of `chain`, `cached` blocks of which were cached
+    /// before.
     ///
     /// # Panics
     ///
-    /// If more blocks were cached than the chain has.
+    /// If `cached` exceeds the blocks of the chain.
     pub fn learn(
         &mut self,
         endpoint: EndpointKey,
@@ -79,7 +80,7 @@
         cached: usize,
         now: Duration,
     ) {
-        assert!(cached <= chain.blocks().len(), "no more is cached than the prompt has");
+        assert!(cached <= chain.blocks().len(), "more blocks cached than the prompt has");
         self.shares.count(chain.levels(), now);
         if self.settings.learning {
             self.index.insert(
@@ -93,38 +94,39 @@
         }
     }
 
-    /// Forgets all about an endpoint that left or crashed.
+    /// Invalidates all entries of an endpoint that left or crashed.
     pub fn forget(&mut self, endpoint: EndpointKey) {
-        self.index.doubt(endpoint);
+        self.index.invalidate(endpoint);
     }
 
-    /// The endpoint's cache events have a gap: what is believed of it may be gone, so nothing is believed.
+    /// Invalidates all entries of an endpoint whose cache events have a gap: evictions may have been missed.
     pub fn mark_uncertain(&mut self, endpoint: EndpointKey) {
-        self.index.doubt(endpoint);
+        self.index.invalidate(endpoint);
     }
 
-    /// What was learnt.
-    pub fn index(&self) -> &LearntIndex {
+    /// Index of cached blocks.
+    pub fn index(&self) -> &PrefixIndex {
         &self.index
     }
 
-    /// Room in the buffers kept between choices. A choice allocates nothing else, so a choice that leaves this as it was
-    /// has not allocated.
+    /// Capacity of the buffers that are reused between choices. A choice allocates nothing else, so a choice that
+    /// leaves this unchanged has not allocated.
     pub fn scratch_capacity(&self) -> usize {
         self.homes.capacity() + self.offers.capacity()
     }
 
-    /// Offers the endpoints that are known to hold a part of the prompt, each with the longest part.
+    /// Offers the endpoints that are known to hold a part of the prompt, each with its longest part.
     fn offer_learnt(&mut self, chain: &PrefixChain, candidates: &[Candidate], now: Duration) {
         let first = self.offers.all().len();
         for (at, block) in chain.blocks().iter().enumerate().rev() {
             for holder in self.index.holders(*block) {
                 let mut offered = self.offers.all()[first..].iter();
-                let known = offered.any(|offer| candidates[offer.index].endpoint == holder.endpoint);
-                if known || now.saturating_sub(holder.seen) > self.settings.entry_ttl {
+                let exists = offered.any(|offer| candidates[offer.index].endpoint == holder.endpoint);
+                if exists || now.saturating_sub(holder.seen) > self.settings.entry_ttl {
                     continue;
                 }
-                let Ok(index) = candidates.binary_search_by_key(&holder.endpoint, |known| known.endpoint) else {
+                let Ok(index) = candidates.binary_search_by_key(&holder.endpoint, |candidate| candidate.endpoint)
+                else {
                     continue;
                 };
                 if candidates[index].incarnation != holder.incarnation {
@@ -137,16 +139,12 @@
     }
 
     fn cheapest(&self, chain: &PrefixChain, candidates: &[Candidate]) -> Choice {
-        let price = self.settings.price.of(candidates);
+        let price = self.settings.price.for_candidates(candidates);
         let blocks = chain.blocks().len() as f64;
         let cost = |offer: &Offer| price.cost(&candidates[offer.index], blocks - offer.cached);
-        let best = self
-            .offers
-            .all()
-            .iter()
-            .min_by(|one, other| cost(one).total_cmp(&cost(other)));
+        let best = self.offers.all().iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
         let Some(best) = best else { return Choice::Full };
-        assert!(candidates[best.index].has_room(), "a limit is never passed");
+        assert!(candidates[best.index].has_room(), "the chosen endpoint is at its limit");
         Choice::At(Pick {
             index: best.index,
             cached: best.cached as usize,
--- a/crates/placement/src/placer/price.rs
+++ b/crates/placement/src/placer/price.rs
@@ -1,10 +1,10 @@
-//! What it costs to send a request somewhere.
+//! Cost of placing a request at an endpoint.
 //!
-//! Load pattern: a pool near its capacity. A request that leaves its busy home for an idle endpoint gains some wait, but
-//! its prefix is computed again, which holds up all who come later and evicts what others need. Were recomputing weighed
-//! like waiting, every queue would push requests away from their caches, the misses would lengthen the queues, and the
-//! pool would stay in that state long after the load has gone: in the experiment a steady 80% load then collapses to a
-//! hit rate of 0.7. So a miss has a price above its own time, and the price rises with the pool's mean wait.
+//! Load pattern: a pool near its capacity. A request that leaves its busy home for an idle endpoint waits less, but its
+//! prefix is computed again, which delays later requests and evicts other prefixes. If recomputation were weighed like
+//! waiting, every queue would push requests away from their caches, the misses would lengthen the queues, and the pool
+//! would stay in that state long after the load has dropped. In simulations a steady 80% load then collapses to a hit
+//! rate of 0.7. A miss is therefore priced above its own time, and the price rises with the pool's mean wait.
 
 use super::Candidate;
 use std::time::Duration;
@@ -12,47 +12,47 @@
 /// Settings of the price.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pricing {
-    /// Tokens of a block.
+    /// Tokens per block.
     pub block_tokens: u32,
-    /// Tokens a second that the pool's median endpoint prefills.
+    /// Prefill rate of the pool's median endpoint, in tokens per second.
     pub prefill_rate: f64,
-    /// What a request pays for an endpoint in another failure domain: there and back.
+    /// Round-trip time to an endpoint in another failure domain.
     pub domain_rtt: Duration,
-    /// Price of a second of recomputing in an idle pool, in seconds of waiting.
+    /// Price of a second of recomputation in an idle pool, in seconds of waiting.
     pub base: f64,
-    /// Rise of the price for each second of mean wait.
+    /// Increase of the price per second of mean wait.
     pub rise: f64,
 }
 
-/// The price at one moment.
+/// Price for the current load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Price {
     pricing: Pricing,
-    miss: f64,
+    miss_price: f64,
 }
 
 impl Pricing {
-    /// The price that the load of `candidates` makes.
-    pub fn of(&self, candidates: &[Candidate]) -> Price {
+    /// Computes the price for the load of `candidates`.
+    pub fn for_candidates(&self, candidates: &[Candidate]) -> Price {
         let queued: f64 = candidates.iter().map(|candidate| candidate.queued as f64).sum();
         let wait = queued / (self.prefill_rate * candidates.len().max(1) as f64);
         Price {
             pricing: *self,
-            miss: self.base + self.rise * wait,
+            miss_price: self.base + self.rise * wait,
         }
     }
 }
 
 impl Price {
-    /// Cost in seconds of a request that misses `missed` blocks at `candidate`.
-    pub fn cost(&self, candidate: &Candidate, missed: f64) -> f64 {
+    /// Cost, in seconds, of a request with `missed_blocks` uncached blocks at `candidate`.
+    pub fn cost(&self, candidate: &Candidate, missed_blocks: f64) -> f64 {
         let domain_rtt = if candidate.same_domain {
             Duration::ZERO
         } else {
             self.pricing.domain_rtt
         };
-        let tokens = missed.max(0.0) * f64::from(self.pricing.block_tokens);
-        let work = candidate.queued as f64 + tokens * self.miss;
+        let tokens = missed_blocks.max(0.0) * f64::from(self.pricing.block_tokens);
+        let work = candidate.queued as f64 + tokens * self.miss_price;
         work / (self.pricing.prefill_rate * candidate.speed.max(f64::MIN_POSITIVE)) + domain_rtt.as_secs_f64()
     }
 }
