--- a/crates/placement/src/placer/share.rs
+++ b/crates/placement/src/placer/share.rs
@@ -65,10 +65,8 @@
 
     /// Share of recent requests with `level`, 0 to 1.
     pub fn share(&self, level: u64, now: Duration) -> f64 {
-        let Some(count) = self.counts.get(&level) else {
-            return 0.0;
-        };
-        count.decayed(now, self.decay_time) / (self.total.decayed(now, self.decay_time) + PRIOR_REQUESTS)
+        let Some(own) = self.counts.get(&level) else { return 0.0 };
+        own.decayed(now, self.decay_time) / (self.total.decayed(now, self.decay_time) + PRIOR_REQUESTS)
     }
 
     fn evict(&mut self, now: Duration) {
--- a/crates/placement/tests/chain.rs
+++ b/crates/placement/tests/chain.rs
@@ -1,10 +1,10 @@
-//! Chains of block hashes.
+//! Tests of the chains of block hashes.
 
 use ids::{ModelId, WeightsVersion, WorkspaceId};
 use placement::{PrefixChain, Scope};
 use quickcheck::{Gen, QuickCheck};
 
-/// Each run tries the same cases, so that its verdict is the same.
+/// Fixed seed, so that each run tests the same cases.
 const SEED: u64 = 5;
 
 fn seeded() -> QuickCheck {
@@ -29,14 +29,14 @@
     )
 }
 
-const OURS: [&str; 3] = ["granary", "advisor", "7"];
+const OWN_SCOPE: [&str; 3] = ["granary", "advisor", "7"];
 
-// A router that takes another workspace's blocks, or those of older weights, for its own sends the request to a cache
-// that the engine must not use: the caller waits for a prefill that was counted on as done.
+// If hashes of another workspace or of older weights matched, the router would send the request to a cache that the
+// engine must not use, and the caller would wait for a prefill that was not expected.
 #[test]
-fn another_scope_never_matches() {
+fn scopes_share_no_hashes() {
     let prompt = vec![b'p'; 64];
-    let ours = chain(OURS, &prompt, 8, &[16, 32]);
+    let own = chain(OWN_SCOPE, &prompt, 8, &[16, 32]);
     let others = [
         ["mill", "advisor", "7"],
         ["granary", "forecaster", "7"],
@@ -47,13 +47,13 @@
     ];
     for scope in others {
         let other = chain(scope, &prompt, 8, &[16, 32]);
-        assert_ne!(ours.seed(), other.seed(), "{scope:?}");
+        assert_ne!(own.seed(), other.seed(), "{scope:?}");
         assert!(
-            ours.blocks().iter().all(|block| !other.blocks().contains(block)),
+            own.blocks().iter().all(|block| !other.blocks().contains(block)),
             "{scope:?}"
         );
         assert!(
-            ours.levels().iter().all(|level| !other.levels().contains(level)),
+            own.levels().iter().all(|level| !other.levels().contains(level)),
             "{scope:?}"
         );
     }
@@ -125,7 +125,7 @@
         },
     ];
     for case in cases {
-        let chain = chain(OURS, &vec![1; case.bytes], 8, case.ends);
+        let chain = chain(OWN_SCOPE, &vec![1; case.bytes], 8, case.ends);
         let ends: Vec<usize> = chain.levels().iter().map(|level| level.blocks).collect();
         assert_eq!(
             (chain.blocks().len(), ends.as_slice()),
@@ -139,10 +139,11 @@
     }
 }
 
-// Two prompts have the same question under different instructions. What was computed for one is of no use to the other.
+// Two prompts have the same question under different instructions. Blocks computed for one cannot be used for the
+// other.
 #[test]
-fn equal_blocks_after_different_ones_never_match() {
-    let prompts = [b"AAAAssssssssssss", b"BBBBssssssssssss"].map(|prompt| chain(OURS, prompt, 4, &[]));
+fn equal_blocks_after_different_prefixes_never_match() {
+    let prompts = [b"AAAAssssssssssss", b"BBBBssssssssssss"].map(|prompt| chain(OWN_SCOPE, prompt, 4, &[]));
     assert!(
         prompts[0]
             .blocks()
@@ -150,29 +151,29 @@
             .all(|block| !prompts[1].blocks().contains(block))
     );
     let distinct: std::collections::HashSet<&u64> = prompts[0].blocks().iter().collect();
-    assert_eq!(distinct.len(), 4, "nor do equal blocks at different places");
+    assert_eq!(distinct.len(), 4, "equal blocks at different positions must differ");
 }
 
 #[test]
 fn chains_agree_on_exactly_the_common_whole_blocks() {
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
-    fn holds(common: Vec<u8>, one: Vec<u8>, other: Vec<u8>) -> bool {
-        let whole = |own: &[u8]| [common.as_slice(), own].concat();
-        let (first, second) = (whole(&one), whole(&other));
-        let same = first
+    fn agrees(common: Vec<u8>, one: Vec<u8>, other: Vec<u8>) -> bool {
+        let prompt = |own: &[u8]| [common.as_slice(), own].concat();
+        let (first, second) = (prompt(&one), prompt(&other));
+        let shared_blocks = first
             .iter()
             .zip(&second)
             .take_while(|(left, right)| left == right)
             .count()
             / 4;
-        let (first, second) = (chain(OURS, &first, 4, &[]), chain(OURS, &second, 4, &[]));
-        let agreed = first
+        let (first, second) = (chain(OWN_SCOPE, &first, 4, &[]), chain(OWN_SCOPE, &second, 4, &[]));
+        let matching = first
             .blocks()
             .iter()
             .zip(second.blocks())
             .filter(|(left, right)| left == right)
             .count();
-        agreed == same.min(first.blocks().len()).min(second.blocks().len())
+        matching == shared_blocks.min(first.blocks().len()).min(second.blocks().len())
     }
-    seeded().quickcheck(holds as fn(Vec<u8>, Vec<u8>, Vec<u8>) -> bool);
+    seeded().quickcheck(agrees as fn(Vec<u8>, Vec<u8>, Vec<u8>) -> bool);
 }
--- a/crates/placement/tests/choices.rs
+++ b/crates/placement/tests/choices.rs
@@ -1,4 +1,4 @@
-//! Choices judged by what they are for: agreement, spill, hot levels, crashes, domains.
+//! Tests of choices: agreement, spill, hot levels, crashes, failure domains.
 
 mod support;
 
@@ -14,17 +14,17 @@
     pick
 }
 
-/// Where a router that has just started sends `chain`.
+/// Home that a newly started router chooses for `chain`.
 fn home(chain: &PrefixChain, candidates: &[Candidate]) -> usize {
     let pick = pick(&mut Placer::builder().build(), chain, candidates, 1);
     assert_eq!(pick.reason, Reason::Home);
     pick.index
 }
 
-// Fourteen routers start at the same moment and know nothing. If they did not agree, each prefix would be computed at
-// many endpoints, and callers would wait for prefills that were done elsewhere a moment before.
+// Fourteen routers start at the same time without state. If they did not agree, each prefix would be computed at many
+// endpoints, and callers would wait for prefills that were just done at another endpoint.
 #[test]
-fn routers_without_state_agree() {
+fn new_routers_agree_on_homes() {
     let candidates = candidates(12);
     let homes = |draw: u64| -> Vec<usize> {
         let mut placer = Placer::builder().build();
@@ -36,12 +36,12 @@
     let first = homes(0);
     assert!((1..14).all(|router| homes(router) == first));
     let used: HashSet<&usize> = first.iter().collect();
-    assert_eq!(used.len(), 12, "all endpoints are used");
+    assert_eq!(used.len(), 12, "all endpoints must be used");
 }
 
-// Tasks of one tenant share the tenant's layer: they must meet where it is.
+// Tasks of one tenant share the tenant's prefix, so they must be placed at the endpoint that caches it.
 #[test]
-fn tasks_meet_at_their_tenant() {
+fn tasks_of_a_tenant_share_a_home() {
     let candidates = candidates(12);
     for tenant in 0..20 {
         let homes: HashSet<usize> = (0..10)
@@ -51,61 +51,62 @@
     }
 }
 
-// An endpoint leaves or joins. If other endpoints' prefixes moved as well, a rolling restart would empty all caches.
+// An endpoint leaves or joins. If prefixes of other endpoints moved as well, a rolling restart would empty all caches.
 #[test]
-fn only_the_share_of_a_lost_endpoint_moves() {
+fn removing_an_endpoint_moves_only_its_homes() {
     let all = candidates(12);
     let mut moved = 0;
-    for lost in 0..all.len() {
+    for removed in 0..all.len() {
         let mut rest = all.clone();
-        rest.remove(lost);
+        rest.remove(removed);
         let prompts = (0..300).map(|task| chain(task % 7, task / 7, task, 0));
         let homes = prompts.map(|prompt| (home(&prompt, &all), rest[home(&prompt, &rest)].endpoint));
-        let others = homes.filter(|(before, _)| *before != lost);
+        let others = homes.filter(|(before, _)| *before != removed);
         moved += others.filter(|(before, after)| all[*before].endpoint != *after).count();
     }
-    // The outermost level selects 6 of 12 and 6 of 11: now and then the tail of that selection changes.
+    // The outermost level selects 6 of 12 endpoints, then 6 of 11, so the last endpoints of that selection sometimes
+    // change.
     assert!(moved < 12 * 300 / 12, "{moved} of {} moved", 12 * 300);
 }
 
-struct Busy {
+struct SpillCase {
     name: &'static str,
-    /// Prompt tokens queued at the home, and everywhere else.
+    /// Prompt tokens queued at the home and at each other endpoint.
     queued: (u64, u64),
     full: bool,
     reason: Reason,
 }
 
-// The home of a hot prefix is busy. Leaving it too early computes the prefix again and again; too late, callers wait in a
-// queue of seconds beside idle endpoints.
+// The home of a hot prefix is busy. Spilling too early recomputes the prefix repeatedly. Spilling too late makes
+// callers wait in a queue of seconds while other endpoints are idle.
 #[test]
-fn a_busy_home_spills_when_it_pays() {
+fn busy_home_spills_when_cheaper() {
     let cases = [
-        Busy {
+        SpillCase {
             name: "idle",
             queued: (0, 0),
             full: false,
             reason: Reason::Home,
         },
-        Busy {
+        SpillCase {
             name: "a short queue",
             queued: (8_000, 0),
             full: false,
             reason: Reason::Home,
         },
-        Busy {
+        SpillCase {
             name: "seconds of queue",
             queued: (80_000, 0),
             full: false,
             reason: Reason::Spill,
         },
-        Busy {
+        SpillCase {
             name: "all busy",
             queued: (80_000, 80_000),
             full: false,
             reason: Reason::Home,
         },
-        Busy {
+        SpillCase {
             name: "its limit reached",
             queued: (0, 0),
             full: true,
@@ -126,14 +127,19 @@
             .collect();
         let pick = pick(&mut Placer::builder().build(), &prompt, &candidates, 3);
         assert_eq!(pick.reason, case.reason, "{}", case.name);
-        assert_eq!(picks.len(), 1, "{}: all routers spill to the same one", case.name);
+        assert_eq!(
+            picks.len(),
+            1,
+            "{}: all routers must spill to the same endpoint",
+            case.name
+        );
     }
 }
 
-// A tenant suddenly gets nearly all requests. One endpoint cannot serve them; as many as needed must, and no more once it
-// has cooled down.
+// A tenant suddenly gets nearly all requests. More than one endpoint must serve them, and the number must shrink again
+// once the load has dropped.
 #[test]
-fn a_hot_level_spreads_and_shrinks_back() {
+fn hot_level_spreads_and_shrinks_back() {
     let candidates = candidates(12);
     let mut placer = Placer::builder().learning(false).build();
     let homes = |placer: &mut Placer, now: f64| -> usize {
@@ -172,42 +178,42 @@
     assert_eq!(homes(&mut placer, 120.0), 1);
 }
 
-struct Forgotten {
+struct IndexCase {
     name: &'static str,
-    /// Seconds after the reply.
+    /// Seconds since the reply.
     after: f64,
     incarnation: u64,
     uncertain: bool,
     learnt: bool,
 }
 
-// A reply showed the prefix at an endpoint that is no home of it. The engine crashes, or its events have a gap, or it has
-// had time to evict: who still sends requests there makes the caller wait for a prefill that nobody expected.
+// A reply showed the prefix at an endpoint that is not its home. Then the engine crashes, its events have a gap, or
+// enough time passes for an eviction. If requests were still sent there, callers would wait for an unexpected prefill.
 #[test]
-fn what_was_learnt_is_believed_only_while_it_can_be_true() {
+fn outdated_index_entries_are_ignored() {
     let cases = [
-        Forgotten {
+        IndexCase {
             name: "fresh",
             after: 1.0,
             incarnation: 1,
             uncertain: false,
             learnt: true,
         },
-        Forgotten {
+        IndexCase {
             name: "old",
             after: 6.0,
             incarnation: 1,
             uncertain: false,
             learnt: false,
         },
-        Forgotten {
+        IndexCase {
             name: "crashed",
             after: 1.0,
             incarnation: 2,
             uncertain: false,
             learnt: false,
         },
-        Forgotten {
+        IndexCase {
             name: "gap in events",
             after: 1.0,
             incarnation: 1,
@@ -219,26 +225,27 @@
         let mut candidates = candidates(12);
         let prompt = chain(1, 1, 1, 1);
         let home = home(&prompt, &candidates);
-        let elsewhere = (0..12).find(|index| *index != home).expect("there are others");
+        let other = (0..12).find(|index| *index != home).expect("there are others");
         let mut placer = Placer::builder().build();
-        placer.learn(candidates[elsewhere].endpoint, Incarnation(1), &prompt, 0, secs(10.0));
+        placer.learn(candidates[other].endpoint, Incarnation(1), &prompt, 0, secs(10.0));
         if case.uncertain {
-            placer.mark_uncertain(candidates[elsewhere].endpoint);
+            placer.mark_uncertain(candidates[other].endpoint);
         }
-        candidates[elsewhere].incarnation = Incarnation(case.incarnation);
+        candidates[other].incarnation = Incarnation(case.incarnation);
         candidates[home].queued = 4_000;
         let choice = placer.choose(&prompt, &candidates, secs(10.0 + case.after), 1);
         let Choice::At(pick) = choice else {
             panic!("{}", case.name)
         };
-        let learnt = pick.reason == Reason::Learnt && pick.index == elsewhere;
+        let learnt = pick.reason == Reason::Learnt && pick.index == other;
         assert_eq!(learnt, case.learnt, "{}: {pick:?}", case.name);
     }
 }
 
-// Plain services have no cache: a call should stay in its failure domain unless that costs more than crossing.
+// Plain services have no cache. A call should stay in its failure domain unless the queue costs more than the round
+// trip to another domain.
 #[test]
-fn calls_without_a_prompt_stay_near_and_avoid_queues() {
+fn calls_without_prompt_prefer_own_domain_and_short_queues() {
     let mut placer = Placer::builder().build();
     let nothing = PrefixChain::from_hashes(1, Vec::new(), &[]);
     let mut candidates = candidates(2);
--- a/crates/placement/tests/load.rs
+++ b/crates/placement/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load view: lagging reports, own placements, slow endpoints, restarts.
+//! Tests of the load view: delayed reports, own placements, slow endpoints, restarts.
 
 mod support;
 
@@ -17,16 +17,16 @@
 struct Case {
     name: &'static str,
     report: Option<(u64, f64)>,
-    /// Tokens and time of own placements that still wait.
+    /// Tokens and times of own placements without a first token.
     placed: &'static [(u64, f64)],
     own: bool,
     queued: u64,
 }
 
-// An endpoint was idle when it reported, and the router has sent it a long prompt since. Without counting that, the next
-// requests go there too and wait behind it.
+// An endpoint was idle when it reported, and the router has sent it a long prompt since. If that were not counted, the
+// next requests would be sent there and wait behind it.
 #[test]
-fn own_placements_count_on_top_of_a_lagging_report() {
+fn own_placements_are_added_to_a_delayed_report() {
     let cases = [
         Case {
             name: "unknown",
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_placement_waits_until_its_first_token_and_counts_until_its_end() {
+fn placement_is_queued_until_first_token_and_in_flight_until_end() {
     let mut view = LoadView::new(RATE);
     let ticket = view.record_placement(key(1), ONE, 3_000, secs(0.0));
     assert_eq!(
@@ -114,7 +114,7 @@
     assert_eq!(view.estimate(key(1), secs(0.4)).in_flight, 0);
 }
 
-/// Lets each of five endpoints stream an answer, with these milliseconds between tokens.
+/// Streams one answer from each of five endpoints, with these milliseconds between tokens.
 fn stream(view: &mut LoadView, paces: [u64; 5], begin: Duration) {
     for (number, pace) in (1..).zip(paces) {
         let ticket = view.record_placement(key(number), ONE, 1_000, begin);
@@ -127,33 +127,33 @@
     }
 }
 
-// A neighbour takes a runner's card: its tokens come five times as slowly. It takes little work and so looks idle; callers
-// sent there wait several times as long. Once it is well it must get its share back.
+// Co-located load slows a runner down: its tokens take five times as long. It completes little and therefore appears
+// idle, and callers sent there wait several times as long. After it has recovered, it must get its share back.
 #[test]
-fn a_slow_endpoint_is_noticed_and_probed_back() {
+fn slow_endpoint_is_detected_and_probed() {
     let mut view = LoadView::new(RATE);
     stream(&mut view, [20, 25, 30, 35, 60], secs(0.0));
     assert!(
         (1..=5).all(|number| view.estimate(key(number), secs(6.0)).speed == 1.0),
-        "batches differ, that is ordinary"
+        "normal differences between batches do not count as slow"
     );
     stream(&mut view, [20, 25, 30, 150, 30], secs(6.0));
     let slow = view.estimate(key(4), secs(21.0));
     assert!(slow.speed < 0.4 && slow.weight < 0.4, "{slow:?}");
     assert_eq!(view.estimate(key(1), secs(21.0)).speed, 1.0);
-    let silent = view.estimate(key(4), secs(60.0));
-    assert_eq!(silent.speed, 1.0, "without answers it gets work again");
+    let unobserved = view.estimate(key(4), secs(60.0));
+    assert_eq!(unobserved.speed, 1.0, "without answers its estimated speed recovers");
     stream(&mut view, [20, 25, 30, 25, 30], secs(60.0));
     stream(&mut view, [20, 25, 30, 25, 30], secs(70.0));
-    assert_eq!(view.estimate(key(4), secs(80.0)).speed, 1.0, "it is well");
+    assert_eq!(view.estimate(key(4), secs(80.0)).speed, 1.0, "it has recovered");
 }
 
-// One endpoint is home of more than its share: its queue stays longer than the others'. Homes lean away from it, slowly,
-// since each home that moves costs misses, and equally at all routers.
+// One endpoint is the home of more than its share, so its queue stays longer than the others'. Homes must move away
+// from it, slowly because each move costs cache misses, and equally at all routers.
 #[test]
-fn homes_lean_away_from_a_crowded_endpoint() {
-    let after = |seconds: u32, lean: f64| {
-        let mut view = LoadView::builder(RATE).weight_exponent(lean).build();
+fn homes_move_away_from_an_overloaded_endpoint() {
+    let after = |seconds: u32, exponent: f64| {
+        let mut view = LoadView::builder(RATE).weight_exponent(exponent).build();
         for half in 0..seconds * 2 {
             for number in 1..=4 {
                 let requests = if number == 1 { 30 } else { 5 };
@@ -171,9 +171,9 @@
     assert!(later.0 < 0.6 && later.1 > 1.2, "{later:?}");
 }
 
-// A router starts and takes over what another one knew. A damaged hint must do no harm.
+// A router starts with the pressures of another one. Damaged values must be ignored.
 #[test]
-fn a_router_that_starts_takes_over_pressures() {
+fn new_router_uses_seeded_pressures() {
     let mut warm = LoadView::new(RATE);
     for half in 0..200 {
         for number in 1..=4 {
@@ -181,30 +181,30 @@
             warm.record_report(key(number), report(0, requests, secs(f64::from(half) / 2.0)));
         }
     }
-    let mut fresh = LoadView::new(RATE);
+    let mut started = LoadView::new(RATE);
     warm.pressures()
-        .for_each(|(endpoint, pressure)| fresh.seed_pressure(endpoint, pressure));
+        .for_each(|(endpoint, pressure)| started.seed_pressure(endpoint, pressure));
     for number in 1..=4 {
-        let weights = [&warm, &fresh].map(|view| view.estimate(key(number), secs(100.0)).weight);
+        let weights = [&warm, &started].map(|view| view.estimate(key(number), secs(100.0)).weight);
         assert_eq!(weights[0], weights[1]);
         for damaged in [f64::NAN, f64::INFINITY, 0.0, -1.0, 1e9] {
-            let mut fresh = LoadView::new(RATE);
-            fresh.seed_pressure(key(number), damaged);
-            assert_eq!(fresh.estimate(key(number), secs(0.0)).weight, 1.0);
+            let mut started = LoadView::new(RATE);
+            started.seed_pressure(key(number), damaged);
+            assert_eq!(started.estimate(key(number), secs(0.0)).weight, 1.0);
         }
         let before = warm.estimate(key(number), secs(100.0)).weight;
         warm.seed_pressure(key(number), 1.0);
         assert_eq!(
             warm.estimate(key(number), secs(100.0)).weight,
             before,
-            "own reports go first"
+            "own reports take precedence"
         );
     }
 }
 
-// A runner restarts: its queue is gone, and its old report must not keep work away from it.
+// A runner restarts with an empty queue. Its old report must not keep work away from it.
 #[test]
-fn a_new_life_begins_idle() {
+fn restarted_endpoint_is_idle() {
     let mut view = LoadView::new(RATE);
     view.record_report(key(1), report(90_000, 30, secs(1.0)));
     view.record_placement(key(1), ONE, 9_000, secs(1.0));
--- a/crates/placement/tests/long_run.rs
+++ b/crates/placement/tests/long_run.rs
@@ -18,7 +18,7 @@
     key: EndpointKey,
     incarnation: u64,
     alive: bool,
-    /// Blocks that this life of the engine was ever asked to compute.
+    /// Blocks that this incarnation of the engine has been asked to compute.
     computed: HashSet<u64>,
 }
 
@@ -29,7 +29,7 @@
     placer: Placer,
     view: LoadView,
     flights: Vec<(usize, u64, Ticket, [u64; 4])>,
-    scratch: usize,
+    capacity: usize,
 }
 
 impl Run {
@@ -67,7 +67,7 @@
         let Choice::At(pick) = self.placer.choose(&prompt, &candidates, self.now, draw) else {
             assert!(
                 candidates.iter().all(|candidate| !candidate.has_room()),
-                "full only if nobody has room"
+                "`Full` only if no candidate has room"
             );
             return;
         };
@@ -78,18 +78,15 @@
             .position(|engine| engine.key == chosen.endpoint)
             .expect("a known engine");
         let engine = &mut self.engines[at];
-        assert!(engine.alive, "no dead endpoint");
+        assert!(engine.alive, "a dead endpoint was chosen");
         assert_eq!(engine.incarnation, chosen.incarnation.0);
-        assert!(chosen.has_room(), "the limit is never passed");
+        assert!(chosen.has_room(), "the chosen endpoint is at its limit");
         assert!(pick.cached <= prompt.blocks().len());
         if pick.reason == Reason::Learnt {
             let held = prompt.blocks()[..pick.cached]
                 .iter()
                 .all(|block| engine.computed.contains(block));
-            assert!(
-                held,
-                "what was learnt is of this life, this workspace and these weights"
-            );
+            assert!(held, "index entries must be of this incarnation, workspace and weights");
         }
         engine.computed.extend(prompt.blocks());
         let ticket = self
@@ -109,11 +106,11 @@
         self.view.record_first_token(key, ticket, self.now);
         self.view.record_progress(key, ticket, 20, self.now);
         self.view.record_end(key, ticket);
-        // Replies of a life that has ended arrive late.
+        // Replies of a previous incarnation arrive late.
         self.placer.learn(key, Incarnation(incarnation), &prompt, 4, self.now);
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let at = self.rng.random_range(0..self.engines.len());
         let kind = self.rng.random_range(0..4);
         let engine = &mut self.engines[at];
@@ -141,7 +138,7 @@
     }
 
     fn check(&mut self) {
-        assert!(self.placer.index().len() <= CAPACITY, "memory is bounded");
+        assert!(self.placer.index().len() <= CAPACITY, "the index exceeds its capacity");
         let flights = |key| {
             self.flights
                 .iter()
@@ -150,13 +147,13 @@
         };
         for engine in &self.engines {
             let estimate = self.view.estimate(engine.key, self.now);
-            assert!(estimate.in_flight <= flights(engine.key), "no flight is counted twice");
+            assert!(estimate.in_flight <= flights(engine.key), "a request is counted twice");
             assert!(estimate.speed > 0.0 && estimate.speed <= 1.0);
             assert!(estimate.weight > 0.0 && estimate.weight.is_finite());
         }
-        let scratch = self.placer.scratch_capacity();
-        assert!(scratch >= self.scratch);
-        self.scratch = scratch;
+        let capacity = self.placer.scratch_capacity();
+        assert!(capacity >= self.capacity);
+        self.capacity = capacity;
     }
 }
 
@@ -174,14 +171,14 @@
         placer: Placer::builder().capacity(CAPACITY).build(),
         view: LoadView::new(20_000.0),
         flights: Vec::new(),
-        scratch: 0,
+        capacity: 0,
     };
     for _ in 0..STEPS {
         run.now += Duration::from_millis(run.rng.random_range(0..50));
         match run.rng.random_range(0..100) {
             0..50 => run.place(),
             50..97 => run.reply(),
-            _ => run.trouble(),
+            _ => run.inject_fault(),
         }
         run.check();
     }
@@ -189,13 +186,13 @@
 }
 
 #[test]
-fn invariants_hold_for_long() {
+fn invariants_hold_in_long_runs() {
     for seed in 1..=6 {
         let run = run(seed);
         let mut placer = run.placer.clone();
         let candidates = support::candidates(7);
         placer.choose(&chain(0, 1, 1, 1), &candidates, run.now, 7);
-        let scratch = placer.scratch_capacity();
+        let capacity = placer.scratch_capacity();
         for number in 0..500 {
             placer.choose(
                 &chain(0, number % 4, number % 3, number),
@@ -206,8 +203,8 @@
         }
         assert_eq!(
             placer.scratch_capacity(),
-            scratch,
-            "choices allocate nothing once their buffers have grown"
+            capacity,
+            "choices must not allocate once their buffers have grown"
         );
     }
 }
--- a/crates/placement/tests/naive.rs
+++ b/crates/placement/tests/naive.rs
@@ -1,4 +1,4 @@
-//! The placer against a naive one that keeps every reply, sorts everything and looks at everything.
+//! Compares the placer with a naive one that stores every reply, sorts all endpoints and examines all of them.
 
 mod support;
 
@@ -8,19 +8,19 @@
 use std::time::Duration;
 use support::{chain, secs, spread};
 
-/// Each run tries the same cases, so that its verdict is the same.
+/// Fixed seed, so that each run tests the same cases.
 const SEED: u64 = 6;
 
 fn seeded() -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(100, SEED))
 }
 
-/// Endpoints that reply: the index remembers so many for one block, the naive placer all.
+/// Number of endpoints that reply. Equal to the index's holders per block, since the naive placer has no such bound.
 const HOLDERS: u64 = 4;
-const KEEP: f64 = 5.0;
-const FADE: f64 = 30.0;
+const ENTRY_TTL: f64 = 5.0;
+const DECAY_TIME: f64 = 30.0;
 
-/// A reply that the router saw.
+/// A reply received by the router.
 #[derive(Debug, Clone)]
 struct Reply {
     endpoint: EndpointKey,
@@ -30,127 +30,137 @@
 }
 
 #[derive(Debug, Clone)]
-struct World {
+struct Scenario {
     candidates: Vec<Candidate>,
     replies: Vec<Reply>,
-    doubt: Option<(usize, EndpointKey)>,
+    invalidation: Option<(usize, EndpointKey)>,
     chain: [u64; 4],
     draw: u64,
 }
 
-fn pick(gen_: &mut Gen, below: u64) -> u64 {
+fn random_below(gen_: &mut Gen, below: u64) -> u64 {
     u64::arbitrary(gen_) % below
 }
 
-fn some_chain(gen_: &mut Gen) -> [u64; 4] {
-    [pick(gen_, 2), pick(gen_, 3), pick(gen_, 3), pick(gen_, 1000)]
+fn random_chain(gen_: &mut Gen) -> [u64; 4] {
+    [
+        random_below(gen_, 2),
+        random_below(gen_, 3),
+        random_below(gen_, 3),
+        random_below(gen_, 1000),
+    ]
 }
 
-impl Arbitrary for World {
+impl Arbitrary for Scenario {
     fn arbitrary(gen_: &mut Gen) -> Self {
-        let count = pick(gen_, 9);
+        let count = random_below(gen_, 9);
         let mut candidates = support::candidates(count);
         for candidate in &mut candidates {
-            candidate.incarnation = Incarnation(1 + pick(gen_, 2));
+            candidate.incarnation = Incarnation(1 + random_below(gen_, 2));
             candidate.same_domain = bool::arbitrary(gen_);
-            candidate.in_flight = pick(gen_, 10) as u32;
-            candidate.queued = pick(gen_, 3) * pick(gen_, 40_000);
-            candidate.speed = [1.0, 1.0, 0.25][pick(gen_, 3) as usize];
-            candidate.weight = [1.0, 0.7, 1.3][pick(gen_, 3) as usize];
+            candidate.in_flight = random_below(gen_, 10) as u32;
+            candidate.queued = random_below(gen_, 3) * random_below(gen_, 40_000);
+            candidate.speed = [1.0, 1.0, 0.25][random_below(gen_, 3) as usize];
+            candidate.weight = [1.0, 0.7, 1.3][random_below(gen_, 3) as usize];
         }
         let mut at = 0.0;
-        let replies = (0..pick(gen_, 12)).map(|_| {
-            at += pick(gen_, 3000) as f64 / 1000.0;
-            let endpoint = EndpointKey(spread(1 + pick(gen_, HOLDERS)));
+        let replies = (0..random_below(gen_, 12)).map(|_| {
+            at += random_below(gen_, 3000) as f64 / 1000.0;
+            let endpoint = EndpointKey(spread(1 + random_below(gen_, HOLDERS)));
             Reply {
                 endpoint,
-                incarnation: 1 + pick(gen_, 2),
-                chain: some_chain(gen_),
+                incarnation: 1 + random_below(gen_, 2),
+                chain: random_chain(gen_),
                 at,
             }
         });
         let replies: Vec<Reply> = replies.collect();
-        let doubted = (
-            pick(gen_, 13) as usize % (replies.len() + 1),
-            EndpointKey(spread(1 + pick(gen_, HOLDERS))),
+        let invalidated = (
+            random_below(gen_, 13) as usize % (replies.len() + 1),
+            EndpointKey(spread(1 + random_below(gen_, HOLDERS))),
         );
-        let doubt = bool::arbitrary(gen_).then_some(doubted);
+        let invalidation = bool::arbitrary(gen_).then_some(invalidated);
         Self {
             candidates,
             replies,
-            doubt,
-            chain: some_chain(gen_),
+            invalidation,
+            chain: random_chain(gen_),
             draw: u64::arbitrary(gen_),
         }
     }
 }
 
-fn built([scope, tenant, task, own]: [u64; 4]) -> PrefixChain {
+fn to_chain([scope, tenant, task, own]: [u64; 4]) -> PrefixChain {
     chain(scope, tenant, task, own)
 }
 
-impl World {
+impl Scenario {
     fn now(&self) -> f64 {
         self.replies.last().map_or(0.0, |reply| reply.at) + 1.0
     }
 
     fn placer(&self) -> Placer {
-        let mut placer = Placer::builder().entry_ttl(secs(KEEP)).decay_time(secs(FADE)).build();
+        let mut placer = Placer::builder()
+            .entry_ttl(secs(ENTRY_TTL))
+            .decay_time(secs(DECAY_TIME))
+            .build();
         for (at, reply) in self.replies.iter().enumerate() {
-            self.doubted(at)
+            self.invalidated(at)
                 .into_iter()
                 .for_each(|endpoint| placer.mark_uncertain(endpoint));
             placer.learn(
                 reply.endpoint,
                 Incarnation(reply.incarnation),
-                &built(reply.chain),
+                &to_chain(reply.chain),
                 0,
                 secs(reply.at),
             );
         }
-        self.doubted(self.replies.len())
+        self.invalidated(self.replies.len())
             .into_iter()
             .for_each(|endpoint| placer.mark_uncertain(endpoint));
         placer
     }
 
-    fn doubted(&self, at: usize) -> Option<EndpointKey> {
-        self.doubt.filter(|doubt| doubt.0 == at).map(|doubt| doubt.1)
+    fn invalidated(&self, at: usize) -> Option<EndpointKey> {
+        self.invalidation
+            .filter(|invalidation| invalidation.0 == at)
+            .map(|invalidation| invalidation.1)
     }
 
     fn share(&self, level: u64) -> f64 {
-        let faded = |reply: &Reply| ((reply.at - self.now()) / FADE).exp();
-        let has = |reply: &&Reply| built(reply.chain).levels().iter().any(|known| known.hash == level);
-        let all: f64 = self.replies.iter().map(faded).sum();
-        self.replies.iter().filter(has).map(faded).sum::<f64>() / (all + 5.0)
+        let decayed = |reply: &Reply| ((reply.at - self.now()) / DECAY_TIME).exp();
+        let has = |reply: &&Reply| to_chain(reply.chain).levels().iter().any(|other| other.hash == level);
+        let all: f64 = self.replies.iter().map(decayed).sum();
+        self.replies.iter().filter(has).map(decayed).sum::<f64>() / (all + 5.0)
     }
 
-    /// Blocks of the prompt that a reply showed at each candidate, and is still believed.
+    /// Cached blocks of the prompt at a candidate, by the replies that are still valid.
     fn learnt(&self, chain: &PrefixChain, candidate: &Candidate) -> usize {
         let valid = |at: usize, reply: &Reply| {
-            let doubted = self
-                .doubt
-                .is_some_and(|doubt| doubt.1 == candidate.endpoint && at < doubt.0);
+            let invalidated = self
+                .invalidation
+                .is_some_and(|invalidation| invalidation.1 == candidate.endpoint && at < invalidation.0);
             let same = reply.endpoint == candidate.endpoint && reply.incarnation == candidate.incarnation.0;
-            same && !doubted && self.now() - reply.at <= KEEP
+            same && !invalidated && self.now() - reply.at <= ENTRY_TTL
         };
-        let held = |block: &u64| {
+        let is_cached = |block: &u64| {
             let latest = self.replies.iter().enumerate().rev();
             let mut latest = latest.filter(|(_, reply)| reply.endpoint == candidate.endpoint);
             latest
-                .find(|(_, reply)| built(reply.chain).blocks().contains(block))
+                .find(|(_, reply)| to_chain(reply.chain).blocks().contains(block))
                 .is_some_and(|(at, reply)| valid(at, reply))
         };
-        chain.blocks().iter().rposition(held).map_or(0, |at| at + 1)
+        chain.blocks().iter().rposition(is_cached).map_or(0, |at| at + 1)
     }
 
-    /// Expected blocks of each offer.
+    /// Offers as (candidate, expected cached blocks).
     fn offers(&self) -> Vec<(usize, f64)> {
-        let chain = built(self.chain);
+        let chain = to_chain(self.chain);
         let count = self.candidates.len() as f64;
         let mut set: Vec<usize> = (0..self.candidates.len()).collect();
         let mut offers: Vec<(usize, f64)> = Vec::new();
-        let mut outer = 0.0;
+        let mut outer_blocks = 0.0;
         for (depth, level) in chain.levels().iter().enumerate() {
             let rank = |index: &usize| {
                 let candidate = &self.candidates[*index];
@@ -161,15 +171,15 @@
             set.sort_by(|one, other| rank(other).total_cmp(&rank(one)));
             let load = self.share(level.hash) * count;
             let width = load.max(if depth == 0 { count / 2.0 } else { 1.0 }).ceil() as usize;
-            offers.extend(set.iter().skip(width).take(1).map(|index| (*index, outer)));
-            let own = level.blocks as f64 - outer;
+            offers.extend(set.iter().skip(width).take(1).map(|index| (*index, outer_blocks)));
+            let own = level.blocks as f64 - outer_blocks;
             offers
                 .iter_mut()
                 .for_each(|offer| offer.1 += own * 0.95 * load / (load + 0.3));
             set.truncate(width);
-            outer = level.blocks as f64;
+            outer_blocks = level.blocks as f64;
         }
-        offers.extend(set.iter().map(|index| (*index, outer)));
+        offers.extend(set.iter().map(|index| (*index, outer_blocks)));
         let learnt = |index: usize| (index, self.learnt(&chain, &self.candidates[index]) as f64);
         offers.extend((0..self.candidates.len()).map(learnt).filter(|offer| offer.1 > 0.0));
         let drawn = [self.draw & 0xffff_ffff, self.draw >> 32].map(|half| (half * self.candidates.len() as u64) >> 32);
@@ -194,12 +204,15 @@
 }
 
 #[expect(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
-fn agrees(world: World) -> bool {
-    let choice = world
-        .placer()
-        .choose(&built(world.chain), &world.candidates, secs(world.now()), world.draw);
-    let offers = world.offers();
-    let best = offers.iter().map(|offer| world.cost(*offer)).min_by(f64::total_cmp);
+fn agrees(scenario: Scenario) -> bool {
+    let choice = scenario.placer().choose(
+        &to_chain(scenario.chain),
+        &scenario.candidates,
+        secs(scenario.now()),
+        scenario.draw,
+    );
+    let offers = scenario.offers();
+    let best = offers.iter().map(|offer| scenario.cost(*offer)).min_by(f64::total_cmp);
     let Choice::At(pick) = choice else {
         return best.is_none();
     };
@@ -208,24 +221,24 @@
     offers
         .iter()
         .filter(near)
-        .any(|offer| (world.cost(*offer) - best).abs() < 1e-6)
+        .any(|offer| (scenario.cost(*offer) - best).abs() < 1e-6)
 }
 
 #[test]
-fn the_choice_is_the_naive_one() {
-    seeded().tests(3000).quickcheck(agrees as fn(World) -> bool);
+fn choices_match_naive_placer() {
+    seeded().tests(3000).quickcheck(agrees as fn(Scenario) -> bool);
 }
 
 #[test]
-fn a_choice_changes_no_later_choice() {
+fn choices_do_not_affect_later_ones() {
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
-    fn same(world: World) -> bool {
-        let mut placer = world.placer();
-        let now = Duration::from_secs_f64(world.now());
-        let chain = built(world.chain);
-        let first = placer.choose(&chain, &world.candidates, now, world.draw);
-        placer.choose(&built([1, 2, 2, 7]), &world.candidates, now, !world.draw);
-        placer.choose(&chain, &world.candidates, now, world.draw) == first
+    fn unchanged(scenario: Scenario) -> bool {
+        let mut placer = scenario.placer();
+        let now = Duration::from_secs_f64(scenario.now());
+        let chain = to_chain(scenario.chain);
+        let first = placer.choose(&chain, &scenario.candidates, now, scenario.draw);
+        placer.choose(&to_chain([1, 2, 2, 7]), &scenario.candidates, now, !scenario.draw);
+        placer.choose(&chain, &scenario.candidates, now, scenario.draw) == first
     }
-    seeded().tests(300).quickcheck(same as fn(World) -> bool);
+    seeded().tests(300).quickcheck(unchanged as fn(Scenario) -> bool);
 }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several test files need.
+//! Helpers shared by the test files.
 #![allow(dead_code)]
 
 use ids::Incarnation;
@@ -19,14 +19,14 @@
     }
 }
 
-/// Idle candidates with spread keys, sorted.
+/// Idle candidates with distributed keys, sorted.
 pub fn candidates(count: u64) -> Vec<Candidate> {
     let mut all: Vec<Candidate> = (1..=count).map(|number| candidate(spread(number))).collect();
     all.sort_by_key(|candidate| candidate.endpoint);
     all
 }
 
-/// A chain of a base, a tenant's layer, a task's layer and one block of its own, four blocks each but the last.
+/// A chain of a base, a tenant's prefix, a task's prefix and one block of its own, four blocks each except the last.
 pub fn chain(scope: u64, tenant: u64, task: u64, own: u64) -> PrefixChain {
     let mut last = spread(scope);
     let content = |at: u64| match at {
@@ -42,7 +42,7 @@
     PrefixChain::from_hashes(spread(scope), blocks.collect(), &[4, 8, 12])
 }
 
-/// A report without anything inside but `prefill` and `requests`.
+/// A report of `prefill` queued tokens and `requests` requests.
 pub fn report(prefill: u64, requests: u32, measured: Duration) -> Report {
     Report {
         incarnation: Incarnation(1),
@@ -52,7 +52,7 @@
     }
 }
 
-/// Spreads small numbers over all of `u64`.
+/// Maps small numbers to values distributed over all of `u64`.
 pub fn spread(number: u64) -> u64 {
     placement::score(number, EndpointKey(0x5eed))
 }
