--- a/crates/placement/src/placer/homes.rs
+++ b/crates/placement/src/placer/homes.rs
@@ -1,4 +1,4 @@
-//! Homes of a prompt by nested rendezvous hashing.
+//! Homes of a prompt, the endpoints where its prefixes are expected to be cached, by nested rendezvous hashing.
 //!
 //! Load pattern: prompts share nested prefixes, more of them than fit in one cache, and arrive at many routers that may
 //! just have started. Every router ranks the endpoints for each level by the same hash, so all routers send a prefix to
@@ -128,7 +128,7 @@
 
 /// Maximum number of ranks after the homes that are offered at each level.
 pub const MAX_RANKS: usize = 4;
-/// Load of a level, in fair loads of one endpoint, at which it is expected to be cached at the next rank in half of the
-/// cases. At this load routers spill the level often enough to keep it cached there, and a new copy serves many later
-/// requests. See `docs/DECISIONS.md`.
+/// Load of a level, as a multiple of one endpoint's fair share, at which the level is expected to be cached at the next
+/// rank in half of the cases. At this load routers spill the level often enough to keep it cached there, and a new copy
+/// serves many later requests. See `docs/DECISIONS.md`.
 const HALF_LOAD: f64 = 0.3;
