--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -151,7 +151,7 @@
         Candidate {
             endpoint: known.key,
             incarnation: Incarnation((known.entry.incarnation.0 << WEIGHTS_BITS) | (weights & 0xffff)),
-            near: known.entry.domain == self.settings.domain,
+            same_domain: known.entry.domain == self.settings.domain,
             in_flight: known.in_flight(),
             limit: known.entry.slots.max(1) * DEPTH,
             queued: self.queued(known, now) + if apart { APART_TOKENS } else { 0 },
@@ -168,7 +168,10 @@
 }
 
 pub(super) fn placer() -> Placer {
-    Placer::builder().tokens(BLOCK as u32).rate(PREFILL_RATE).build()
+    Placer::builder()
+        .block_tokens(BLOCK as u32)
+        .prefill_rate(PREFILL_RATE)
+        .build()
 }
 
 fn reason(reason: placement::Reason) -> &'static str {
--- a/crates/experiment/src/cost/mod.rs
+++ b/crates/experiment/src/cost/mod.rs
@@ -74,9 +74,9 @@
             prefill: 4_000,
             measured: Duration::ZERO,
         };
-        view.report(candidate.endpoint, report);
+        view.record_report(candidate.endpoint, report);
         (0..3).for_each(|_| {
-            view.placed(candidate.endpoint, 1.into(), 2_000, Duration::ZERO);
+            view.record_placement(candidate.endpoint, 1.into(), 2_000, Duration::ZERO);
         });
     }
     let chains: Vec<PrefixChain> = (0..PROMPTS).map(|prompt| chain(prompt, blocks)).collect();
@@ -95,9 +95,9 @@
                 (candidate.speed, candidate.weight) = (estimate.speed, estimate.weight);
             }
         });
-        let scratch = placer.scratch();
+        let scratch = placer.scratch_capacity();
         let choice = timed(&mut cost.choose, || placer.choose(chain, &candidates, now, mix(number)));
-        cost.grown += u64::from(placer.scratch() != scratch);
+        cost.grown += u64::from(placer.scratch_capacity() != scratch);
         timed(&mut cost.hash, || {
             PrefixChain::from_seed(number, &text, BLOCK_BYTES, &ends)
         });
@@ -123,7 +123,7 @@
     Candidate {
         endpoint: EndpointKey(mix(number)),
         incarnation: 1.into(),
-        near: number.is_multiple_of(4),
+        same_domain: number.is_multiple_of(4),
         in_flight: 3,
         limit: 32,
         queued: mix(number) % 10_000,
--- a/crates/placement/tests/load.rs
+++ b/crates/placement/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load view: lagging reports, own placements, slow endpoints, restarts.
+//! Tests of the load view: delayed reports, own placements, slow endpoints, restarts.
 
 mod support;
 
@@ -17,16 +17,16 @@
 struct Case {
     name: &'static str,
     report: Option<(u64, f64)>,
-    /// Tokens and time of own placements that still wait.
+    /// Tokens and times of own placements without a first token.
     placed: &'static [(u64, f64)],
     own: bool,
     queued: u64,
 }
 
-// An endpoint was idle when it reported, and the router has sent it a long prompt since. Without counting that, the next
-// requests go there too and wait behind it.
+// An endpoint was idle when it reported, and the router has sent it a long prompt since. If that were not counted, the
+// next requests would be sent there and wait behind it.
 #[test]
-fn own_placements_count_on_top_of_a_lagging_report() {
+fn own_placements_are_added_to_a_delayed_report() {
     let cases = [
         Case {
             name: "unknown",
@@ -79,21 +79,21 @@
         },
     ];
     for case in cases {
-        let mut view = LoadView::builder(RATE).own(case.own).build();
+        let mut view = LoadView::builder(RATE).own_placements(case.own).build();
         for (tokens, at) in case.placed {
-            view.placed(key(1), ONE, *tokens, secs(*at));
+            view.record_placement(key(1), ONE, *tokens, secs(*at));
         }
         if let Some((prefill, at)) = case.report {
-            view.report(key(1), report(prefill, 1, secs(at)));
+            view.record_report(key(1), report(prefill, 1, secs(at)));
         }
         assert_eq!(view.estimate(key(1), secs(1.0)).queued, case.queued, "{}", case.name);
     }
 }
 
 #[test]
-fn a_placement_waits_until_its_first_token_and_counts_until_its_end() {
+fn placement_is_queued_until_first_token_and_in_flight_until_end() {
     let mut view = LoadView::new(RATE);
-    let ticket = view.placed(key(1), ONE, 3_000, secs(0.0));
+    let ticket = view.record_placement(key(1), ONE, 3_000, secs(0.0));
     assert_eq!(
         (
             view.estimate(key(1), secs(0.1)).queued,
@@ -101,7 +101,7 @@
         ),
         (3_000, 1)
     );
-    view.first_token(key(1), ticket, secs(0.2));
+    view.record_first_token(key(1), ticket, secs(0.2));
     assert_eq!(
         (
             view.estimate(key(1), secs(0.3)).queued,
@@ -109,55 +109,55 @@
         ),
         (0, 1)
     );
-    view.finished(key(1), ticket);
-    view.finished(key(1), ticket);
+    view.record_end(key(1), ticket);
+    view.record_end(key(1), ticket);
     assert_eq!(view.estimate(key(1), secs(0.4)).in_flight, 0);
 }
 
-/// Lets each of five endpoints stream an answer, with these milliseconds between tokens.
+/// Streams one answer from each of five endpoints, with these milliseconds between tokens.
 fn stream(view: &mut LoadView, paces: [u64; 5], begin: Duration) {
     for (number, pace) in (1..).zip(paces) {
-        let ticket = view.placed(key(number), ONE, 1_000, begin);
-        view.first_token(key(number), ticket, begin);
+        let ticket = view.record_placement(key(number), ONE, 1_000, begin);
+        view.record_first_token(key(number), ticket, begin);
         for piece in 1..=6u64 {
             let now = begin + Duration::from_millis(pace * 16 * piece);
-            view.progress(key(number), ticket, 1 + 16 * piece, now);
+            view.record_progress(key(number), ticket, 1 + 16 * piece, now);
         }
-        view.finished(key(number), ticket);
+        view.record_end(key(number), ticket);
     }
 }
 
-// A neighbour takes a runner's card: its tokens come five times as slowly. It takes little work and so looks idle; callers
-// sent there wait several times as long. Once it is well it must get its share back.
+// Co-located load slows a runner down: its tokens take five times as long. It completes little and therefore appears
+// idle, and callers sent there wait several times as long. After it has recovered, it must get its share back.
 #[test]
-fn a_slow_endpoint_is_noticed_and_probed_back() {
+fn slow_endpoint_is_detected_and_probed() {
     let mut view = LoadView::new(RATE);
     stream(&mut view, [20, 25, 30, 35, 60], secs(0.0));
     assert!(
         (1..=5).all(|number| view.estimate(key(number), secs(6.0)).speed == 1.0),
-        "batches differ, that is ordinary"
+        "normal differences between batches do not count as slow"
     );
     stream(&mut view, [20, 25, 30, 150, 30], secs(6.0));
     let slow = view.estimate(key(4), secs(21.0));
     assert!(slow.speed < 0.4 && slow.weight < 0.4, "{slow:?}");
     assert_eq!(view.estimate(key(1), secs(21.0)).speed, 1.0);
-    let silent = view.estimate(key(4), secs(60.0));
-    assert_eq!(silent.speed, 1.0, "without answers it gets work again");
+    let unobserved = view.estimate(key(4), secs(60.0));
+    assert_eq!(unobserved.speed, 1.0, "without answers its estimated speed recovers");
     stream(&mut view, [20, 25, 30, 25, 30], secs(60.0));
     stream(&mut view, [20, 25, 30, 25, 30], secs(70.0));
-    assert_eq!(view.estimate(key(4), secs(80.0)).speed, 1.0, "it is well");
+    assert_eq!(view.estimate(key(4), secs(80.0)).speed, 1.0, "it has recovered");
 }
 
-// One endpoint is home of more than its share: its queue stays longer than the others'. Homes lean away from it, slowly,
-// since each home that moves costs misses, and equally at all routers.
+// One endpoint is the home of more than its share, so its queue stays longer than the others'. Homes must move away
+// from it, slowly because each move costs cache misses, and equally at all routers.
 #[test]
-fn homes_lean_away_from_a_crowded_endpoint() {
-    let after = |seconds: u32, lean: f64| {
-        let mut view = LoadView::builder(RATE).lean(lean).build();
+fn homes_move_away_from_an_overloaded_endpoint() {
+    let after = |seconds: u32, exponent: f64| {
+        let mut view = LoadView::builder(RATE).weight_exponent(exponent).build();
         for half in 0..seconds * 2 {
             for number in 1..=4 {
                 let requests = if number == 1 { 30 } else { 5 };
-                view.report(key(number), report(0, requests, secs(f64::from(half) / 2.0)));
+                view.record_report(key(number), report(0, requests, secs(f64::from(half) / 2.0)));
             }
         }
         (
@@ -171,44 +171,44 @@
     assert!(later.0 < 0.6 && later.1 > 1.2, "{later:?}");
 }
 
-// A router starts and takes over what another one knew. A damaged hint must do no harm.
+// A router starts with the pressures of another one. Damaged values must be ignored.
 #[test]
-fn a_router_that_starts_takes_over_pressures() {
+fn new_router_uses_seeded_pressures() {
     let mut warm = LoadView::new(RATE);
     for half in 0..200 {
         for number in 1..=4 {
             let requests = if number == 1 { 30 } else { 5 };
-            warm.report(key(number), report(0, requests, secs(f64::from(half) / 2.0)));
+            warm.record_report(key(number), report(0, requests, secs(f64::from(half) / 2.0)));
         }
     }
-    let mut fresh = LoadView::new(RATE);
+    let mut started = LoadView::new(RATE);
     warm.pressures()
-        .for_each(|(endpoint, pressure)| fresh.assume(endpoint, pressure));
+        .for_each(|(endpoint, pressure)| started.seed_pressure(endpoint, pressure));
     for number in 1..=4 {
-        let weights = [&warm, &fresh].map(|view| view.estimate(key(number), secs(100.0)).weight);
+        let weights = [&warm, &started].map(|view| view.estimate(key(number), secs(100.0)).weight);
         assert_eq!(weights[0], weights[1]);
         for damaged in [f64::NAN, f64::INFINITY, 0.0, -1.0, 1e9] {
-            let mut fresh = LoadView::new(RATE);
-            fresh.assume(key(number), damaged);
-            assert_eq!(fresh.estimate(key(number), secs(0.0)).weight, 1.0);
+            let mut started = LoadView::new(RATE);
+            started.seed_pressure(key(number), damaged);
+            assert_eq!(started.estimate(key(number), secs(0.0)).weight, 1.0);
         }
         let before = warm.estimate(key(number), secs(100.0)).weight;
-        warm.assume(key(number), 1.0);
+        warm.seed_pressure(key(number), 1.0);
         assert_eq!(
             warm.estimate(key(number), secs(100.0)).weight,
             before,
-            "own reports go first"
+            "own reports take precedence"
         );
     }
 }
 
-// A runner restarts: its queue is gone, and its old report must not keep work away from it.
+// A runner restarts with an empty queue. Its old report must not keep work away from it.
 #[test]
-fn a_new_life_begins_idle() {
+fn restarted_endpoint_is_idle() {
     let mut view = LoadView::new(RATE);
-    view.report(key(1), report(90_000, 30, secs(1.0)));
-    view.placed(key(1), ONE, 9_000, secs(1.0));
-    view.report(
+    view.record_report(key(1), report(90_000, 30, secs(1.0)));
+    view.record_placement(key(1), ONE, 9_000, secs(1.0));
+    view.record_report(
         key(1),
         Report {
             incarnation: Incarnation(2),
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::caller::Caller;
 use crate::caller::{Cause, Refused};
-use admission::{Limits, Share, ShareLimiter, Take};
+use admission::{LimitDecision, Limits, Share, ShareLimiter};
 use clock::Clock;
 use ids::WorkspaceId;
 use std::collections::HashMap;
@@ -35,7 +35,7 @@
     /// Limits of which this router grants all, until it hears of others.
     pub fn new(clock: Clock) -> Self {
         let inner = Inner {
-            share: Share { wanted: 1.0, even: 1.0 },
+            share: Share { target: 1.0, even: 1.0 },
             limiters: HashMap::new(),
         };
         Self {
@@ -72,14 +72,14 @@
         let mut inner = lock(&self.inner);
         let share = inner.share;
         let limiter = inner.limiters.entry(caller.workspace.clone());
-        let (known, limiter) = limiter.or_insert_with(|| (limits, ShareLimiter::new(limits, share.wanted, now)));
+        let (known, limiter) = limiter.or_insert_with(|| (limits, ShareLimiter::new(limits, share.target, now)));
         if *known != limits {
             *known = limits;
             limiter.set_limits(limits, now);
         }
-        match limiter.take(tokens, now) {
-            Take::Granted => Ok(taken),
-            Take::Later(after) => {
+        match limiter.try_acquire(tokens, now) {
+            LimitDecision::Granted => Ok(taken),
+            LimitDecision::Denied(after) => {
                 let mut refused = Refused::not_run(Cause::Limit);
                 refused.retry_after = after;
                 Err(refused)
--- a/crates/router/src/pool/state.rs
+++ b/crates/router/src/pool/state.rs
@@ -104,7 +104,7 @@
 
     /// An endpoint reported its load.
     pub fn report(&mut self, key: EndpointKey, report: Report) {
-        self.loads.report(key, report);
+        self.loads.record_report(key, report);
     }
 
     pub(super) fn pressures(&self) -> Vec<(u64, u32)> {
@@ -118,7 +118,7 @@
         for (key, pressure) in pressures {
             let key = EndpointKey(*key);
             if self.has(key) {
-                self.loads.assume(key, f64::from(*pressure) / THOUSANDTHS);
+                self.loads.seed_pressure(key, f64::from(*pressure) / THOUSANDTHS);
             }
         }
     }
@@ -156,7 +156,9 @@
         let member = &mut self.members[index];
         // Admission bounds the pool; one endpoint may run more than its limit where its cache is worth it.
         member.start();
-        let ticket = self.loads.placed(member.key, member.believed.incarnation, missing, now);
+        let ticket = self
+            .loads
+            .record_placement(member.key, member.believed.incarnation, missing, now);
         Some(Flight::new(pool.clone(), member, ticket, pick.reason, now))
     }
 
@@ -203,7 +205,7 @@
         Candidate {
             endpoint: member.key,
             incarnation: member.believed.incarnation,
-            near: member.near,
+            same_domain: member.near,
             in_flight: member.running(),
             limit: member.slots,
             queued: estimate.queued,
