--- a/crates/control/src/health/endpoint.rs
+++ b/crates/control/src/health/endpoint.rs
@@ -1,6 +1,6 @@
 //! One endpoint's evidence.
 
-use super::{Belief, DEAD_AFTER, FIRST_PROBE, Failure, LAST_PROBE, Listing, Report, SUSPECT_AFTER};
+use super::{DEAD_AFTER, FIRST_PROBE, Failure, HealthState, LAST_PROBE, Listing, Report, SUSPECT_AFTER};
 use ids::Incarnation;
 use std::time::Duration;
 
@@ -46,18 +46,18 @@
         }
     }
 
-    pub(super) fn belief(&self) -> Belief {
+    pub(super) fn belief(&self) -> HealthState {
         if self.dead {
-            return Belief::Dead;
+            return HealthState::Dead;
         }
         let unlisted = self.known && self.listing.is_none();
         if self.leaves || unlisted || self.listing == Some(Listing::Leaving) {
-            return Belief::Leaving;
+            return HealthState::Leaving;
         }
         if self.broken > 0 || self.timeouts >= SUSPECT_AFTER {
-            return Belief::Suspected;
+            return HealthState::Suspected;
         }
-        Belief::Live
+        HealthState::Live
     }
 
     pub(super) fn incarnation(&self) -> Option<Incarnation> {
--- a/crates/control/src/health/mod.rs
+++ b/crates/control/src/health/mod.rs
@@ -25,7 +25,7 @@
 
 /// What is believed of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Belief {
+pub enum HealthState {
     /// Takes work.
     Live,
     /// Answers late or not at all; takes work only when no live one does.
@@ -102,7 +102,7 @@
         /// Of whom.
         endpoint: EndpointId,
         /// What is believed now.
-        belief: Belief,
+        belief: HealthState,
     },
     /// The endpoint restarted: what was cached there is gone.
     NewLife {
@@ -132,8 +132,8 @@
     }
 
     /// What is believed of `endpoint`; an unknown one is dead.
-    pub fn belief(&self, endpoint: &EndpointId) -> Belief {
-        self.endpoints.get(endpoint).map_or(Belief::Dead, Endpoint::belief)
+    pub fn belief(&self, endpoint: &EndpointId) -> HealthState {
+        self.endpoints.get(endpoint).map_or(HealthState::Dead, Endpoint::belief)
     }
 
     /// The life that `endpoint` is in, if it is known.
@@ -167,7 +167,7 @@
             self.endpoints.insert(id.clone(), Endpoint::new(now));
             changes.push(Change::Belief {
                 endpoint: id,
-                belief: Belief::Live,
+                belief: HealthState::Live,
             });
         }
         changes
--- a/crates/control/tests/health.rs
+++ b/crates/control/tests/health.rs
@@ -1,6 +1,6 @@
 //! What is believed of an endpoint, after what was seen of it.
 
-use control::health::{Belief, Change, EndpointHealth, Event, Failure, Listing, Report};
+use control::health::{Change, EndpointHealth, Event, Failure, HealthState, Listing, Report};
 use control::startup::{self, NotReady, Offer, PEER_WAIT, Start, Startup};
 use ids::{Digest, EndpointId, Incarnation, Revision, VmId};
 use std::collections::BTreeMap;
@@ -50,7 +50,7 @@
 struct Case {
     name: &'static str,
     events: Vec<Event>,
-    belief: Belief,
+    belief: HealthState,
     probed: bool,
 }
 
@@ -62,97 +62,97 @@
         Case {
             name: "new",
             events: vec![],
-            belief: Belief::Live,
+            belief: HealthState::Live,
             probed: false,
         },
         Case {
             name: "not yet listed",
             events: vec![list(None)],
-            belief: Belief::Live,
+            belief: HealthState::Live,
             probed: false,
         },
         Case {
             name: "list says so",
             events: vec![list(Some(Listing::Leaving))],
-            belief: Belief::Leaving,
+            belief: HealthState::Leaving,
             probed: false,
         },
         Case {
             name: "gone from the list",
             events: vec![list(Some(Listing::Live)), list(None)],
-            belief: Belief::Leaving,
+            belief: HealthState::Leaving,
             probed: false,
         },
         Case {
             name: "says so itself, and the list lags",
             events: vec![report(1, true, true, 50), list(Some(Listing::Live)), replied(1)],
-            belief: Belief::Leaving,
+            belief: HealthState::Leaving,
             probed: false,
         },
         Case {
             name: "a peer passes it on",
             events: vec![report(1, true, false, 50)],
-            belief: Belief::Leaving,
+            belief: HealthState::Leaving,
             probed: false,
         },
         Case {
             name: "one break",
             events: vec![failed(Broken)],
-            belief: Belief::Suspected,
+            belief: HealthState::Suspected,
             probed: true,
         },
         Case {
             name: "two breaks",
             events: vec![list(Some(Listing::Live)), failed(Broken), failed(Broken)],
-            belief: Belief::Dead,
+            belief: HealthState::Dead,
             probed: true,
         },
         Case {
             name: "a reply between",
             events: vec![failed(Broken), replied(1), failed(Broken)],
-            belief: Belief::Suspected,
+            belief: HealthState::Suspected,
             probed: true,
         },
         Case {
             name: "slow only",
             events: vec![failed(Timeout); 30],
-            belief: Belief::Suspected,
+            belief: HealthState::Suspected,
             probed: true,
         },
         Case {
             name: "one slow answer",
             events: vec![failed(Timeout)],
-            belief: Belief::Live,
+            belief: HealthState::Live,
             probed: false,
         },
         Case {
             name: "probed back",
             events: vec![failed(Broken), failed(Broken), replied(1)],
-            belief: Belief::Live,
+            belief: HealthState::Live,
             probed: false,
         },
         Case {
             name: "a report from before the crash",
             events: vec![failed(Broken), failed(Broken), report(1, false, true, 150)],
-            belief: Belief::Dead,
+            belief: HealthState::Dead,
             probed: true,
         },
         Case {
             name: "a peer still reaches it",
             events: vec![failed(Broken), failed(Broken), report(1, false, false, 290)],
-            belief: Belief::Dead,
+            belief: HealthState::Dead,
             probed: true,
         },
         Case {
             name: "back in a new life that doesn't leave",
             events: vec![replied(1), report(1, true, true, 150), replied(2)],
-            belief: Belief::Live,
+            belief: HealthState::Live,
             probed: false,
         },
         Case {
             name: "a late answer of the old life",
             events: vec![replied(1), report(2, true, true, 150), replied(1)],
-            belief: Belief::Leaving,
+            belief: HealthState::Leaving,
             probed: false,
         },
     ];
--- a/crates/control/tests/health_model.rs
+++ b/crates/control/tests/health_model.rs
@@ -1,6 +1,6 @@
 //! Beliefs against a naive version that keeps every event and derives the belief from all of them, each time anew.
 
-use control::health::{Belief, EndpointHealth, Event, Failure, Listing, Report};
+use control::health::{EndpointHealth, Event, Failure, HealthState, Listing, Report};
 use ids::{EndpointId, Incarnation};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -104,7 +104,7 @@
     kept
 }
 
-fn naive(history: &[Seen]) -> Belief {
+fn naive(history: &[Seen]) -> HealthState {
     let kept = counted(history);
     let failures_before = |at: u64| {
         kept.iter()
@@ -125,7 +125,7 @@
         kept.iter().filter(failed).count()
     };
     if since(Failure::Broken) >= 2 {
-        return Belief::Dead;
+        return HealthState::Dead;
     }
     let lists: Vec<Option<Listing>> = kept
         .iter()
@@ -143,12 +143,12 @@
         None => false,
     };
     if told_to_go || says_it_leaves(&kept) {
-        return Belief::Leaving;
+        return HealthState::Leaving;
     }
     if since(Failure::Broken) > 0 || since(Failure::Timeout) >= 2 {
-        Belief::Suspected
+        HealthState::Suspected
     } else {
-        Belief::Live
+        HealthState::Live
     }
 }
 
--- a/crates/dispatch/src/fleet/candidates.rs
+++ b/crates/dispatch/src/fleet/candidates.rs
@@ -3,7 +3,7 @@
 use super::known::Known;
 use super::names::Named;
 use super::{Fleet, Prompt, ShortKey, Wish};
-use control::health::Belief;
+use control::health::HealthState;
 use ids::ModelId;
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
             return Standing::Full;
         }
         let belief = |known: &Known| self.health.belief(&known.entry.id);
-        let reachable = |known: &Known| matches!(belief(known), Belief::Live | Belief::Suspected);
+        let reachable = |known: &Known| matches!(belief(known), HealthState::Live | HealthState::Suspected);
         if !prefer(&mut open, |known| self.is_sound(known, now)) {
             prefer(&mut open, reachable);
         }
@@ -82,7 +82,7 @@
 
     /// Whether an endpoint is reached and fails few of its attempts.
     fn is_sound(&self, known: &Known, now: Duration) -> bool {
-        self.health.belief(&known.entry.id) == Belief::Live && known.trouble(now) < GREY
+        self.health.belief(&known.entry.id) == HealthState::Live && known.trouble(now) < GREY
     }
 
     /// Leaves out endpoints that load soon, unless there are no others: an endpoint finishes what it runs before it loads, and
--- a/crates/router/src/control/state.rs
+++ b/crates/router/src/control/state.rs
@@ -9,7 +9,7 @@
 use crate::view::{Believed, Standing, View};
 use admission::ShareView;
 use config::Revisions;
-use control::health::{Belief, EndpointHealth};
+use control::health::{EndpointHealth, HealthState};
 use control::orders;
 use control::startup::Startup;
 use ids::{EndpointId, VmId, WeightsVersion};
@@ -129,9 +129,9 @@
     fn believed(&self, id: &EndpointId) -> Believed {
         let standing = match self.health.belief(id) {
             _ if self.loads_weights(id) => Standing::Out,
-            Belief::Live => Standing::Live,
-            Belief::Suspected => Standing::Suspected,
-            Belief::Leaving | Belief::Dead => Standing::Out,
+            HealthState::Live => Standing::Live,
+            HealthState::Suspected => Standing::Suspected,
+            HealthState::Leaving | HealthState::Dead => Standing::Out,
         };
         Believed {
             standing,
