--- a/crates/control/src/health/mod.rs
+++ b/crates/control/src/health/mod.rs
@@ -98,11 +98,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// Another belief.
-    Belief {
+    State {
         /// Of whom.
         endpoint: EndpointId,
         /// What is believed now.
-        belief: HealthState,
+        state: HealthState,
     },
     /// The endpoint restarted: what was cached there is gone.
     NewLife {
@@ -165,9 +165,9 @@
             .collect::<Vec<_>>()
         {
             self.endpoints.insert(id.clone(), Endpoint::new(now));
-            changes.push(Change::Belief {
+            changes.push(Change::State {
                 endpoint: id,
-                belief: HealthState::Live,
+                state: HealthState::Live,
             });
         }
         changes
@@ -198,9 +198,9 @@
             });
         }
         if known.belief() != before.0 {
-            changes.push(Change::Belief {
+            changes.push(Change::State {
                 endpoint: id.clone(),
-                belief: known.belief(),
+                state: known.belief(),
             });
         }
         changes
--- a/crates/router/src/control/endpoints.rs
+++ b/crates/router/src/control/endpoints.rs
@@ -151,9 +151,9 @@
     pub(super) fn note(&self, changes: &[Change]) {
         for change in changes {
             match change {
-                Change::Belief { endpoint, belief } => {
-                    let belief = format!("{belief:?}").to_lowercase();
-                    log::info!(endpoint = endpoint.as_str(), belief = belief.as_str(); "endpoint health changed");
+                Change::State { endpoint, state } => {
+                    let state = format!("{state:?}").to_lowercase();
+                    log::info!(endpoint = endpoint.as_str(), belief = state.as_str(); "endpoint health changed");
                 }
                 Change::NewLife { endpoint, incarnation } => {
                     log::info!(endpoint = endpoint.as_str(), incarnation = incarnation.0; "endpoint restarted");
