--- a/crates/control/src/health/endpoint.rs
+++ b/crates/control/src/health/endpoint.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    pub(super) fn belief(&self) -> HealthState {
+    pub(super) fn state(&self) -> HealthState {
         if self.dead {
             return HealthState::Dead;
         }
--- a/crates/control/src/health/mod.rs
+++ b/crates/control/src/health/mod.rs
@@ -132,8 +132,8 @@
     }
 
     /// What is believed of `endpoint`; an unknown one is dead.
-    pub fn belief(&self, endpoint: &EndpointId) -> HealthState {
-        self.endpoints.get(endpoint).map_or(HealthState::Dead, Endpoint::belief)
+    pub fn state(&self, endpoint: &EndpointId) -> HealthState {
+        self.endpoints.get(endpoint).map_or(HealthState::Dead, Endpoint::state)
     }
 
     /// The life that `endpoint` is in, if it is known.
@@ -185,7 +185,7 @@
         let Some(known) = self.endpoints.get_mut(id) else {
             return Vec::new();
         };
-        let before = (known.belief(), known.incarnation());
+        let before = (known.state(), known.incarnation());
         change(known);
         let mut changes = Vec::new();
         if let Some(incarnation) = known
@@ -197,10 +197,10 @@
                 incarnation,
             });
         }
-        if known.belief() != before.0 {
+        if known.state() != before.0 {
             changes.push(Change::State {
                 endpoint: id.clone(),
-                state: known.belief(),
+                state: known.state(),
             });
         }
         changes
--- a/crates/control/tests/health.rs
+++ b/crates/control/tests/health.rs
@@ -169,7 +169,7 @@
         now += at(100);
         health.on(event, now);
     }
-    assert_eq!(health.belief(&id()), case.belief, "{}", case.name);
+    assert_eq!(health.state(&id()), case.belief, "{}", case.name);
     assert_eq!(health.next_probe().is_some(), case.probed, "{}", case.name);
 }
 
--- a/crates/control/tests/health_model.rs
+++ b/crates/control/tests/health_model.rs
@@ -183,7 +183,7 @@
             let now = seen(kind, detail, place);
             history.push(now);
             health.on(event(now), Duration::from_millis(place));
-            health.belief(&id()) == naive(&history)
+            health.state(&id()) == naive(&history)
         })
     }
     seeded().quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
--- a/crates/dispatch/src/fleet/candidates.rs
+++ b/crates/dispatch/src/fleet/candidates.rs
@@ -40,7 +40,7 @@
             // Those that load weights are back within a second or two.
             return Standing::Full;
         }
-        let belief = |known: &Known| self.health.belief(&known.entry.id);
+        let belief = |known: &Known| self.health.state(&known.entry.id);
         let reachable = |known: &Known| matches!(belief(known), HealthState::Live | HealthState::Suspected);
         if !prefer(&mut open, |known| self.is_sound(known, now)) {
             prefer(&mut open, reachable);
@@ -82,7 +82,7 @@
 
     /// Whether an endpoint is reached and fails few of its attempts.
     fn is_sound(&self, known: &Known, now: Duration) -> bool {
-        self.health.belief(&known.entry.id) == HealthState::Live && known.trouble(now) < GREY
+        self.health.state(&known.entry.id) == HealthState::Live && known.trouble(now) < GREY
     }
 
     /// Leaves out endpoints that load soon, unless there are no others: an endpoint finishes what it runs before it loads, and
--- a/crates/router/src/control/adopt.rs
+++ b/crates/router/src/control/adopt.rs
@@ -127,7 +127,7 @@
                     incarnation: load.incarnation,
                     model: load.model.clone()?,
                     weights: load.weights.clone(),
-                    available: self.health.belief(id) == health::HealthState::Live,
+                    available: self.health.state(id) == health::HealthState::Live,
                 })
             });
         runners.collect()
--- a/crates/router/src/control/state.rs
+++ b/crates/router/src/control/state.rs
@@ -127,7 +127,7 @@
     }
 
     fn believed(&self, id: &EndpointId) -> Believed {
-        let standing = match self.health.belief(id) {
+        let standing = match self.health.state(id) {
             _ if self.loads_weights(id) => Standing::Out,
             HealthState::Live => Standing::Live,
             HealthState::Suspected => Standing::Suspected,
