--- a/crates/control/src/health/mod.rs
+++ b/crates/control/src/health/mod.rs
@@ -105,7 +105,7 @@
         state: HealthState,
     },
     /// The endpoint restarted: what was cached there is gone.
-    NewLife {
+    Restarted {
         /// Who.
         endpoint: EndpointId,
         /// Its new life.
@@ -192,7 +192,7 @@
             .incarnation()
             .filter(|life| before.1.is_some_and(|old| old != *life))
         {
-            changes.push(Change::NewLife {
+            changes.push(Change::Restarted {
                 endpoint: id.clone(),
                 incarnation,
             });
--- a/crates/control/tests/health.rs
+++ b/crates/control/tests/health.rs
@@ -179,7 +179,7 @@
     let mut health = EndpointHealth::default();
     health.on(Event::Configured(vec![id()]), at(0));
     assert_eq!(health.on(replied(1), at(1)), []);
-    let told = vec![Change::NewLife {
+    let told = vec![Change::Restarted {
         endpoint: id(),
         incarnation: Incarnation(2),
     }];
--- a/crates/router/src/control/endpoints.rs
+++ b/crates/router/src/control/endpoints.rs
@@ -155,7 +155,7 @@
                     let state = format!("{state:?}").to_lowercase();
                     log::info!(endpoint = endpoint.as_str(), belief = state.as_str(); "endpoint health changed");
                 }
-                Change::NewLife { endpoint, incarnation } => {
+                Change::Restarted { endpoint, incarnation } => {
                     log::info!(endpoint = endpoint.as_str(), incarnation = incarnation.0; "endpoint restarted");
                 }
             }
