--- a/crates/control/src/health/endpoint.rs
+++ b/crates/control/src/health/endpoint.rs
@@ -103,7 +103,7 @@
     pub(super) fn failed(&mut self, failure: Failure, now: Duration) {
         self.failed = now;
         match failure {
-            Failure::Broken => self.broken += 1,
+            Failure::Connection => self.broken += 1,
             Failure::Timeout => self.timeouts += 1,
         }
         self.dead |= self.broken >= DEAD_AFTER;
--- a/crates/control/src/health/mod.rs
+++ b/crates/control/src/health/mod.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// The connection was refused, reset or closed without an answer.
-    Broken,
+    Connection,
     /// No answer in time.
     Timeout,
 }
--- a/crates/control/tests/health.rs
+++ b/crates/control/tests/health.rs
@@ -57,7 +57,7 @@
 /// Events come 100 ms apart, the first after 100 ms.
 #[test]
 fn beliefs() {
-    use Failure::{Broken, Timeout};
+    use Failure::{Connection, Timeout};
     let cases = vec![
         Case {
             name: "new",
@@ -97,19 +97,19 @@
         },
         Case {
             name: "one break",
-            events: vec![failed(Broken)],
+            events: vec![failed(Connection)],
             belief: HealthState::Suspected,
             probed: true,
         },
         Case {
             name: "two breaks",
-            events: vec![list(Some(Listing::Live)), failed(Broken), failed(Broken)],
+            events: vec![list(Some(Listing::Live)), failed(Connection), failed(Connection)],
             belief: HealthState::Dead,
             probed: true,
         },
         Case {
             name: "a reply between",
-            events: vec![failed(Broken), replied(1), failed(Broken)],
+            events: vec![failed(Connection), replied(1), failed(Connection)],
             belief: HealthState::Suspected,
             probed: true,
         },
@@ -127,19 +127,19 @@
         },
         Case {
             name: "probed back",
-            events: vec![failed(Broken), failed(Broken), replied(1)],
+            events: vec![failed(Connection), failed(Connection), replied(1)],
             belief: HealthState::Live,
             probed: false,
         },
         Case {
             name: "a report from before the crash",
-            events: vec![failed(Broken), failed(Broken), report(1, false, true, 150)],
+            events: vec![failed(Connection), failed(Connection), report(1, false, true, 150)],
             belief: HealthState::Dead,
             probed: true,
         },
         Case {
             name: "a peer still reaches it",
-            events: vec![failed(Broken), failed(Broken), report(1, false, false, 290)],
+            events: vec![failed(Connection), failed(Connection), report(1, false, false, 290)],
             belief: HealthState::Dead,
             probed: true,
         },
@@ -193,12 +193,12 @@
 fn probes_back_off_to_two_seconds() {
     let mut health = EndpointHealth::default();
     health.on(Event::Configured(vec![id()]), at(0));
-    health.on(failed(Failure::Broken), at(0));
+    health.on(failed(Failure::Connection), at(0));
     let mut times = Vec::new();
     for millis in (0..8_000).step_by(50) {
         if !health.due_probes(at(millis)).is_empty() {
             times.push(millis);
-            health.on(failed(Failure::Broken), at(millis));
+            health.on(failed(Failure::Connection), at(millis));
         }
     }
     assert_eq!(times, [250, 750, 1_750, 3_750, 5_750, 7_750]);
--- a/crates/control/tests/health_model.rs
+++ b/crates/control/tests/health_model.rs
@@ -47,7 +47,7 @@
         },
         3 | 4 => Seen::Replied((detail & 16 > 0).then_some(life)),
         5 => Seen::Failed(Failure::Timeout),
-        _ => Seen::Failed(Failure::Broken),
+        _ => Seen::Failed(Failure::Connection),
     }
 }
 
@@ -124,7 +124,7 @@
             |(place, seen): &&(u64, Seen)| *place > well && matches!(seen, Seen::Failed(kind) if *kind == wanted);
         kept.iter().filter(failed).count()
     };
-    if since(Failure::Broken) >= 2 {
+    if since(Failure::Connection) >= 2 {
         return HealthState::Dead;
     }
     let lists: Vec<Option<Listing>> = kept
@@ -145,7 +145,7 @@
     if told_to_go || says_it_leaves(&kept) {
         return HealthState::Leaving;
     }
-    if since(Failure::Broken) > 0 || since(Failure::Timeout) >= 2 {
+    if since(Failure::Connection) > 0 || since(Failure::Timeout) >= 2 {
         HealthState::Suspected
     } else {
         HealthState::Live
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -461,7 +461,7 @@
         },
         Outcome::Broken | Outcome::Unreached => health::Event::Failed {
             endpoint,
-            failure: health::Failure::Broken,
+            failure: health::Failure::Connection,
         },
         Outcome::Silent => health::Event::Failed {
             endpoint,
--- a/crates/router/src/control/endpoints.rs
+++ b/crates/router/src/control/endpoints.rs
@@ -59,7 +59,7 @@
             Sighting::Leaves { incarnation } => self.leaves(id, incarnation),
             Sighting::Reported(load) => self.reported(id, load),
             Sighting::NotReached | Sighting::Broke => {
-                let failure = health::Failure::Broken;
+                let failure = health::Failure::Connection;
                 self.health_event(health::Event::Failed { endpoint, failure });
             }
             Sighting::Silent => {
