--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -28,7 +28,7 @@
 
 /// From whom a router that needs everything hears of changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Lead<'a> {
+pub enum UpdateSource<'a> {
     /// From the store itself.
     Store,
     /// From one of these routers, the first one that answers.
@@ -47,13 +47,13 @@
 }
 
 /// From whom `own` hears, given the routers of its domain. The others are spread over the watchers.
-pub fn lead<'a>(own: &VmId, domain: &DomainId, live: &'a [VmId]) -> Lead<'a> {
+pub fn lead<'a>(own: &VmId, domain: &DomainId, live: &'a [VmId]) -> UpdateSource<'a> {
     let watchers = choose(domain.as_str(), live, WATCHERS);
     if watchers.is_empty() || watchers.contains(&own) {
-        return Lead::Store;
+        return UpdateSource::Store;
     }
     let count = watchers.len();
-    Lead::Routers(choose(own.as_str(), watchers, count))
+    UpdateSource::Routers(choose(own.as_str(), watchers, count))
 }
 
 /// What `own` asks, given the live routers of its domain.
