--- a/crates/control/src/rendezvous.rs
+++ b/crates/control/src/rendezvous.rs
@@ -27,7 +27,7 @@
 
 /// Whether `own` passes the endpoint's load on to its peers: the first of the watchers only. The second one reads it
 /// as well, so that it has it at hand when it becomes the first.
-pub fn passes_on(own: &VmId, endpoint: &EndpointId, live: &[VmId]) -> bool {
+pub fn forwards_load(own: &VmId, endpoint: &EndpointId, live: &[VmId]) -> bool {
     choose(endpoint.as_str(), live, 1).contains(&own)
 }
 
--- a/crates/control/tests/following.rs
+++ b/crates/control/tests/following.rs
@@ -1,6 +1,6 @@
 //! What one failure domain asks of the platform.
 
-use control::following::{Follow, UpdateSource, READ_EVERY, WATCHERS, follow, lead, wide};
+use control::following::{Follow, READ_EVERY, UpdateSource, WATCHERS, follow, lead, wide};
 use ids::{DomainId, VmId};
 use std::collections::BTreeMap;
 
@@ -53,7 +53,11 @@
                 UpdateSource::Store => watching += 1,
                 UpdateSource::Routers(leaders) => {
                     assert_eq!(leaders.len(), WATCHERS, "each has a second choice");
-                    assert!(leaders.iter().all(|leader| lead(leader, &domain, &live) == UpdateSource::Store));
+                    assert!(
+                        leaders
+                            .iter()
+                            .all(|leader| lead(leader, &domain, &live) == UpdateSource::Store)
+                    );
                     *followers.entry(leaders[0]).or_default() += 1;
                 }
             }
--- a/crates/peers/examples/traffic.rs
+++ b/crates/peers/examples/traffic.rs
@@ -6,7 +6,7 @@
 use async_std::net::TcpListener;
 use async_std::task;
 use control::membership::{Event as Seen, Listed, Member, Membership};
-use control::rendezvous::passes_on;
+use control::rendezvous::forwards_load;
 use ids::{Digest, DomainId, EndpointId, Incarnation, Revision, VmId, WeightsVersion};
 use peers::{Event, LoadReport, Offered, Peers, Published};
 use std::collections::BTreeMap;
@@ -82,7 +82,7 @@
     let mut loads = Vec::new();
     for number in 0..ENDPOINTS as u32 {
         let endpoint = EndpointId::from(format!("engine-{number:03}"));
-        if !passes_on(own, &endpoint, membership.live()) {
+        if !forwards_load(own, &endpoint, membership.live()) {
             continue;
         }
         let changes = (round + number).checked_div(share).unwrap_or_default();
--- a/crates/router/src/control/telling.rs
+++ b/crates/router/src/control/telling.rs
@@ -57,7 +57,7 @@
         let own = &self.shared.settings.vm;
         let lasting = self.peering.membership.lasting();
         let read = self.reported.iter().filter(|(_, load)| load.own);
-        let mine = read.filter(|(id, _)| rendezvous::passes_on(own, id, &lasting));
+        let mine = read.filter(|(id, _)| rendezvous::forwards_load(own, id, &lasting));
         let reports = mine.map(|(id, load)| LoadReport {
             endpoint: id.clone(),
             incarnation: load.incarnation,
