--- a/crates/control/src/membership/mod.rs
+++ b/crates/control/src/membership/mod.rs
@@ -20,7 +20,7 @@
 
 /// Time between heartbeats on one link. With 22 routers and 400 endpoints that all change their load, 2 s made the
 /// busiest router send and receive 7.2 KB/s (`cargo run -p peers --example traffic`), and 7 KB/s is the bound.
-pub const BEAT_EVERY: Duration = Duration::from_millis(2_250);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2_250);
 /// Silence after which a router counts as dead: three heartbeats and a little.
 pub const SILENCE: Duration = Duration::from_millis(7_250);
 /// A longer gap between two own events means that this router itself was paused. Its timer ticks every half second.
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -8,7 +8,7 @@
 use crate::service::{PeerError, RouterClient};
 use crate::{Event, socket};
 use async_channel::Receiver;
-use control::membership::{BEAT_EVERY, Link, Member};
+use control::membership::{HEARTBEAT_INTERVAL, Link, Member};
 use futures::FutureExt;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -96,7 +96,7 @@
             if !self.link.regular {
                 return futures::future::pending().await;
             }
-            async_std::task::sleep(BEAT_EVERY - SHORTEST).await;
+            async_std::task::sleep(HEARTBEAT_INTERVAL - SHORTEST).await;
         };
         futures::select_biased! {
             told = urgent.recv().fuse() => told.map(|()| Extent::Urgent).map_err(|_| PeerError::Stopped),
