--- a/crates/control/src/membership/links.rs
+++ b/crates/control/src/membership/links.rs
@@ -19,7 +19,7 @@
     /// Whom to call.
     pub member: Member,
     /// Whether it is in another failure domain.
-    pub far: bool,
+    pub cross_domain: bool,
     /// Whether heartbeats are sent at regular times, or only when something is urgent.
     pub regular: bool,
 }
@@ -31,7 +31,7 @@
         let mut links: Vec<Link> = near
             .map(|peer| Link {
                 member: peer.member.clone(),
-                far: false,
+                cross_domain: false,
                 regular: self.own.id < peer.member.id,
             })
             .collect();
@@ -55,7 +55,7 @@
             .into_iter()
             .map(|id| Link {
                 member: self.peers[id].member.clone(),
-                far: true,
+                cross_domain: true,
                 regular: true,
             })
             .collect()
--- a/crates/peers/tests/loopback.rs
+++ b/crates/peers/tests/loopback.rs
@@ -37,7 +37,7 @@
 fn link(to: &Router, regular: bool) -> Link {
     Link {
         member: to.member.clone(),
-        far: false,
+        cross_domain: false,
         regular,
     }
 }
@@ -159,7 +159,7 @@
     assert!(matches!(fetched, Err(PeerError::Call(_))), "{fetched:?}");
     a.peers.set_links(&[Link {
         member: silent,
-        far: false,
+        cross_domain: false,
         regular: true,
     }]);
     let event = wait_for(&a, |_| true).await;
