--- a/crates/control/src/membership/links.rs
+++ b/crates/control/src/membership/links.rs
@@ -21,7 +21,7 @@
     /// Whether it is in another failure domain.
     pub cross_domain: bool,
     /// Whether heartbeats are sent at regular times, or only when something is urgent.
-    pub regular: bool,
+    pub periodic: bool,
 }
 
 impl Membership {
@@ -32,7 +32,7 @@
             .map(|peer| Link {
                 member: peer.member.clone(),
                 cross_domain: false,
-                regular: self.own.id < peer.member.id,
+                periodic: self.own.id < peer.member.id,
             })
             .collect();
         let domains: BTreeSet<&DomainId> = self.peers.values().map(|peer| &peer.member.domain).collect();
@@ -56,7 +56,7 @@
             .map(|id| Link {
                 member: self.peers[id].member.clone(),
                 cross_domain: true,
-                regular: true,
+                periodic: true,
             })
             .collect()
     }
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -93,7 +93,7 @@
     async fn wait(&self, urgent: &Receiver<()>) -> Result<Extent, PeerError> {
         async_std::task::sleep(SHORTEST).await;
         let due = async {
-            if !self.link.regular {
+            if !self.link.periodic {
                 return futures::future::pending().await;
             }
             async_std::task::sleep(HEARTBEAT_INTERVAL - SHORTEST).await;
@@ -107,7 +107,7 @@
     async fn beat(&mut self, client: &RouterClient, extent: Extent) -> Result<(), PeerError> {
         let state = self.inner.published();
         // The regular heartbeats of the other end carry the loads of a link that is only for what is urgent.
-        let extent = if self.link.regular { extent } else { Extent::Urgent };
+        let extent = if self.link.periodic { extent } else { Extent::Urgent };
         let beat = self.sent.beat(&state, extent);
         let answer = client.beat(deadline(), beat).await?.ok_or(PeerError::Malformed)?;
         let news = self.received.take(answer).map_err(|_| PeerError::Malformed)?;
--- a/crates/peers/tests/loopback.rs
+++ b/crates/peers/tests/loopback.rs
@@ -34,11 +34,11 @@
     Router { peers, member, events }
 }
 
-fn link(to: &Router, regular: bool) -> Link {
+fn link(to: &Router, periodic: bool) -> Link {
     Link {
         member: to.member.clone(),
         cross_domain: false,
-        regular,
+        periodic,
     }
 }
 
@@ -160,7 +160,7 @@
     a.peers.set_links(&[Link {
         member: silent,
         cross_domain: false,
-        regular: true,
+        periodic: true,
     }]);
     let event = wait_for(&a, |_| true).await;
     assert_eq!(event, Event::Silent(VmId::from("b")));
