--- a/crates/control/src/membership/mod.rs
+++ b/crates/control/src/membership/mod.rs
@@ -55,7 +55,7 @@
     /// The platform's list of routers.
     Listed(Vec<Listed>),
     /// A heartbeat or the answer to one.
-    Heard {
+    Heartbeat {
         /// From whom.
         from: Member,
         /// Whether it is going.
@@ -123,7 +123,7 @@
         self.excuse_pause(now);
         match event {
             Event::Listed(list) => self.listed(&list, now),
-            Event::Heard { from, leaving, routers } => self.heard(from, leaving, routers, now),
+            Event::Heartbeat { from, leaving, routers } => self.heard(from, leaving, routers, now),
             Event::Roster(roster) => self.learn(&roster, now),
             Event::Tick => {}
         }
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -33,7 +33,7 @@
 }
 
 fn heard(number: u8) -> Event {
-    Event::Heard {
+    Event::Heartbeat {
         from: member(number, "multan"),
         leaving: false,
         routers: 1,
@@ -145,7 +145,7 @@
 /// Another failure domain is cut off. It goes on serving its callers, so that its routers keep their share.
 #[test]
 fn a_domain_out_of_reach_keeps_its_share() {
-    let far = Event::Heard {
+    let far = Event::Heartbeat {
         from: member(7, "lahore"),
         leaving: false,
         routers: 4,
--- a/crates/router/src/control/peering.rs
+++ b/crates/router/src/control/peering.rs
@@ -107,7 +107,7 @@
         match event {
             peers::Event::Heard { from, leaving, routers } => {
                 self.ask_pressures(from.clone());
-                self.member_event(membership::Event::Heard { from, leaving, routers });
+                self.member_event(membership::Event::Heartbeat { from, leaving, routers });
             }
             peers::Event::Roster(roster) => self.member_event(membership::Event::Roster(roster)),
             peers::Event::Offer { from, revision, digest } => self.offer(from, revision, digest),
