--- a/crates/control/src/membership/mod.rs
+++ b/crates/control/src/membership/mod.rs
@@ -142,7 +142,7 @@
     }
 
     /// Live routers that take new tasks: watched endpoints move away from a leaving router before it goes.
-    pub fn lasting(&self) -> Vec<VmId> {
+    pub fn not_leaving(&self) -> Vec<VmId> {
         let stays = |id: &&VmId| self.peers.get(*id).is_none_or(|peer| !peer.leaving);
         self.live.iter().filter(stays).cloned().collect()
     }
--- a/crates/router/src/control/endpoints.rs
+++ b/crates/router/src/control/endpoints.rs
@@ -34,7 +34,7 @@
     /// Reads the reports of the endpoints that are this router's to watch.
     pub(super) fn watch_endpoints(&mut self) {
         let Some(configured) = &self.configured else { return };
-        let lasting = self.peering.membership.lasting();
+        let lasting = self.peering.membership.not_leaving();
         let own = &self.shared.settings;
         let all = &configured.document.endpoints;
         let far_too = all.len() <= FAR_WATCHED;
--- a/crates/router/src/control/peering.rs
+++ b/crates/router/src/control/peering.rs
@@ -158,7 +158,7 @@
             self.peering.links = links;
         }
         let own = &self.shared.settings;
-        let lasting = self.peering.membership.lasting();
+        let lasting = self.peering.membership.not_leaving();
         let candidate = !self.peering.leaving && rendezvous::is_candidate(&own.vm, &own.domain, &lasting);
         self.orders.on(orders::Event::Candidate(candidate));
         let follow = following::follow(&own.vm, &own.domain, self.peering.membership.live());
--- a/crates/router/src/control/telling.rs
+++ b/crates/router/src/control/telling.rs
@@ -55,7 +55,7 @@
     /// Loads of the endpoints that this router reads first, for the others.
     fn loads_for_peers(&self) -> Vec<LoadReport> {
         let own = &self.shared.settings.vm;
-        let lasting = self.peering.membership.lasting();
+        let lasting = self.peering.membership.not_leaving();
         let read = self.reported.iter().filter(|(_, load)| load.own);
         let mine = read.filter(|(id, _)| rendezvous::forwards_load(own, id, &lasting));
         let reports = mine.map(|(id, load)| LoadReport {
