--- a/crates/control/src/orders/choose.rs
+++ b/crates/control/src/orders/choose.rs
@@ -6,7 +6,7 @@
 
 /// What a runner is to serve, by the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wanted {
+pub struct Assignment {
     /// The runner.
     pub endpoint: EndpointId,
     /// Its model.
@@ -45,12 +45,12 @@
 }
 
 pub(super) struct Choice {
-    pub(super) load: Option<(Wanted, Incarnation)>,
+    pub(super) load: Option<(Assignment, Incarnation)>,
     pub(super) blocked: Vec<Blocked>,
 }
 
 /// Runners that serve nothing come first: loading takes nothing from anyone.
-pub(super) fn choose(wanted: &[Wanted], runners: &[Runner], busy: &[&EndpointId]) -> Choice {
+pub(super) fn choose(wanted: &[Assignment], runners: &[Runner], busy: &[&EndpointId]) -> Choice {
     let mut blocked = Vec::new();
     let (mut empty, mut serving) = (None, None);
     let by_id: BTreeMap<&EndpointId, &Runner> = runners.iter().map(|runner| (&runner.endpoint, runner)).collect();
--- a/crates/control/src/orders/loads.rs
+++ b/crates/control/src/orders/loads.rs
@@ -2,7 +2,7 @@
 
 use super::choose::choose;
 use super::slots::SlotStep;
-use super::{Blocked, LONGEST_ORDER, ORDER_EXPIRES, OrderHolder, REPORT_LAG, Step, Wanted};
+use super::{Assignment, Blocked, LONGEST_ORDER, ORDER_EXPIRES, OrderHolder, REPORT_LAG, Step};
 use ids::{EndpointId, Fence, Incarnation};
 use std::time::Duration;
 use wire::engine::{Action, Order};
@@ -92,7 +92,7 @@
     }
 }
 
-fn send(wanted: Wanted, incarnation: Incarnation, fence: Fence) -> Step {
+fn send(wanted: Assignment, incarnation: Incarnation, fence: Fence) -> Step {
     let action = Action::Load {
         model: wanted.model,
         weights: wanted.weights,
--- a/crates/control/src/orders/messages.rs
+++ b/crates/control/src/orders/messages.rs
@@ -1,6 +1,6 @@
 //! What the holder hears, and what it wants done.
 
-use super::{Blocked, LOAD_SLOTS, Runner, SlotSeen, Wanted};
+use super::{Assignment, Blocked, LOAD_SLOTS, Runner, SlotSeen};
 use ids::{EndpointId, Fence};
 use std::time::Duration;
 use wire::engine::Order;
@@ -42,7 +42,7 @@
     /// This router is going.
     Stop,
     /// What the runners of the domain are to serve.
-    Wanted(Vec<Wanted>),
+    Assignments(Vec<Assignment>),
     /// The domain's runners as last reported.
     Runners(Vec<Runner>),
     /// The engine carried out its order.
--- a/crates/control/src/orders/mod.rs
+++ b/crates/control/src/orders/mod.rs
@@ -17,7 +17,7 @@
 mod messages;
 mod slots;
 
-pub use choose::{Blocked, Runner, Wanted};
+pub use choose::{Assignment, Blocked, Runner};
 pub use lease::Lease;
 pub use messages::{Event, Step};
 pub use slots::{SlotSeen, Slots};
@@ -73,7 +73,7 @@
     /// Runners whose load ended, until their reports can't be from before any more.
     settling: BTreeMap<EndpointId, Duration>,
     candidate: bool,
-    wanted: Vec<Wanted>,
+    wanted: Vec<Assignment>,
     runners: Vec<Runner>,
     blocked: Vec<Blocked>,
 }
@@ -118,7 +118,7 @@
             Event::SlotFreed(slot) => self.slots.freed(slot),
             Event::Candidate(candidate) => self.candidate = candidate,
             Event::Stop => self.stop(now, &mut steps),
-            Event::Wanted(wanted) => self.wanted = wanted,
+            Event::Assignments(wanted) => self.wanted = wanted,
             Event::Runners(runners) => self.runners = runners,
             Event::Done(endpoint) | Event::Refused(endpoint) => self.ended(&endpoint),
             Event::NoAnswer(_) => {}
--- a/crates/control/tests/holder.rs
+++ b/crates/control/tests/holder.rs
@@ -1,6 +1,6 @@
 //! When a holder may give orders, at the edges of its lease.
 
-use control::orders::{Event, LEASE_MARGIN, LEASE_TTL, LONGEST_ORDER, OrderHolder, Runner, SlotSeen, Step, Wanted};
+use control::orders::{Assignment, Event, LEASE_MARGIN, LEASE_TTL, LONGEST_ORDER, OrderHolder, Runner, SlotSeen, Step};
 use ids::{EndpointId, Fence, Incarnation, ModelId, WeightsVersion};
 use std::time::Duration;
 
@@ -20,12 +20,12 @@
         weights: None,
         available: true,
     };
-    let wanted = Wanted {
+    let wanted = Assignment {
         endpoint: engine(),
         model: ModelId::from("grain"),
         weights: WeightsVersion::from("1"),
     };
-    holder.on(Event::Wanted(vec![wanted]), Duration::ZERO);
+    holder.on(Event::Assignments(vec![wanted]), Duration::ZERO);
     holder.on(Event::Runners(vec![runner]), Duration::ZERO);
     holder.on(Event::Candidate(true), Duration::ZERO);
     holder.on(Event::HolderAbsent, Duration::ZERO);
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Routers of two failure domains compete for the orders to their runners, over a platform that fails and a clock that
 //! goes on while they are paused.
 
-use control::orders::{Event, LOAD_SLOTS, ORDER_CALL, OrderHolder, Runner, SlotSeen, Step, Wanted};
+use control::orders::{Assignment, Event, LOAD_SLOTS, ORDER_CALL, OrderHolder, Runner, SlotSeen, Step};
 use ids::{EndpointId, Fence, Incarnation, ModelId, WeightsVersion};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -302,12 +302,12 @@
         let domain = self.routers[place].domain;
         let near = self.engines.iter().filter(|engine| engine.domain == domain);
         let wanted = self.wanted();
-        let want = |engine: &Engine| Wanted {
+        let want = |engine: &Engine| Assignment {
             endpoint: engine.id.clone(),
             model: model(),
             weights: wanted.clone(),
         };
-        events.push(Event::Wanted(near.clone().map(want).collect()));
+        events.push(Event::Assignments(near.clone().map(want).collect()));
         events.push(Event::Runners(near.map(|engine| engine.reported[0].clone()).collect()));
         let router = &mut self.routers[place];
         let (due, later): (VecDeque<_>, VecDeque<_>) = router.inbox.drain(..).partition(|(due, _)| *due <= self.now);
--- a/crates/router/src/control/adopt.rs
+++ b/crates/router/src/control/adopt.rs
@@ -4,7 +4,7 @@
 use super::state::Control;
 use config::{Adopt, Document, EndpointRole};
 use control::health;
-use control::orders::{self, Wanted};
+use control::orders::{self, Assignment};
 use control::startup::{Event, NotReady, Offer, Start};
 use ids::{EndpointId, VmId};
 use std::collections::BTreeMap;
@@ -87,7 +87,7 @@
     }
 
     /// What the engines of this failure domain are to serve.
-    fn wanted(&self, document: &Document) -> Vec<Wanted> {
+    fn wanted(&self, document: &Document) -> Vec<Assignment> {
         let own = document
             .endpoints
             .iter()
@@ -97,7 +97,7 @@
                 return None;
             };
             let weights = document.models.get(model)?.wanted.clone();
-            Some(Wanted {
+            Some(Assignment {
                 endpoint: id.clone(),
                 model: model.clone(),
                 weights,
--- a/crates/router/src/orders/mod.rs
+++ b/crates/router/src/orders/mod.rs
@@ -9,7 +9,7 @@
 use crate::control::{Event, send};
 use crate::shared::Shared;
 use async_std::task;
-use control::orders::{self, OrderHolder, Runner, Step, Wanted};
+use control::orders::{self, Assignment, OrderHolder, Runner, Step};
 use futures::future::{AbortHandle, abortable};
 use ids::{EndpointId, Fence};
 use std::collections::BTreeMap;
@@ -41,9 +41,9 @@
     }
 
     /// What runners are to serve, and where they listen.
-    pub fn configure(&mut self, wanted: Vec<Wanted>, addresses: BTreeMap<EndpointId, SocketAddr>) {
+    pub fn configure(&mut self, wanted: Vec<Assignment>, addresses: BTreeMap<EndpointId, SocketAddr>) {
         self.addresses = addresses;
-        self.on(orders::Event::Wanted(wanted));
+        self.on(orders::Event::Assignments(wanted));
     }
 
     /// Runners as last reported.
