--- a/crates/control/src/health/mod.rs
+++ b/crates/control/src/health/mod.rs
@@ -25,7 +25,7 @@
 
 /// What is believed of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Belief {
+pub enum HealthState {
     /// Takes work.
     Live,
     /// Answers late or not at all; takes work only when no live one does.
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// The connection was refused, reset or closed without an answer.
-    Broken,
+    Connection,
     /// No answer in time.
     Timeout,
 }
@@ -98,14 +98,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// Another belief.
-    Belief {
+    State {
         /// Of whom.
         endpoint: EndpointId,
         /// What is believed now.
-        belief: Belief,
+        state: HealthState,
     },
     /// The endpoint restarted: what was cached there is gone.
-    NewLife {
+    Restarted {
         /// Who.
         endpoint: EndpointId,
         /// Its new life.
@@ -132,8 +132,8 @@
     }
 
     /// What is believed of `endpoint`; an unknown one is dead.
-    pub fn belief(&self, endpoint: &EndpointId) -> Belief {
-        self.endpoints.get(endpoint).map_or(Belief::Dead, Endpoint::belief)
+    pub fn state(&self, endpoint: &EndpointId) -> HealthState {
+        self.endpoints.get(endpoint).map_or(HealthState::Dead, Endpoint::state)
     }
 
     /// The life that `endpoint` is in, if it is known.
@@ -165,9 +165,9 @@
             .collect::<Vec<_>>()
         {
             self.endpoints.insert(id.clone(), Endpoint::new(now));
-            changes.push(Change::Belief {
+            changes.push(Change::State {
                 endpoint: id,
-                belief: Belief::Live,
+                state: HealthState::Live,
             });
         }
         changes
@@ -185,22 +185,22 @@
         let Some(known) = self.endpoints.get_mut(id) else {
             return Vec::new();
         };
-        let before = (known.belief(), known.incarnation());
+        let before = (known.state(), known.incarnation());
         change(known);
         let mut changes = Vec::new();
         if let Some(incarnation) = known
             .incarnation()
             .filter(|life| before.1.is_some_and(|old| old != *life))
         {
-            changes.push(Change::NewLife {
+            changes.push(Change::Restarted {
                 endpoint: id.clone(),
                 incarnation,
             });
         }
-        if known.belief() != before.0 {
-            changes.push(Change::Belief {
+        if known.state() != before.0 {
+            changes.push(Change::State {
                 endpoint: id.clone(),
-                belief: known.belief(),
+                state: known.state(),
             });
         }
         changes
--- a/crates/control/src/membership/links.rs
+++ b/crates/control/src/membership/links.rs
@@ -19,9 +19,9 @@
     /// Whom to call.
     pub member: Member,
     /// Whether it is in another failure domain.
-    pub far: bool,
+    pub cross_domain: bool,
     /// Whether heartbeats are sent at regular times, or only when something is urgent.
-    pub regular: bool,
+    pub periodic: bool,
 }
 
 impl Membership {
@@ -31,8 +31,8 @@
         let mut links: Vec<Link> = near
             .map(|peer| Link {
                 member: peer.member.clone(),
-                far: false,
-                regular: self.own.id < peer.member.id,
+                cross_domain: false,
+                periodic: self.own.id < peer.member.id,
             })
             .collect();
         let domains: BTreeSet<&DomainId> = self.peers.values().map(|peer| &peer.member.domain).collect();
@@ -55,8 +55,8 @@
             .into_iter()
             .map(|id| Link {
                 member: self.peers[id].member.clone(),
-                far: true,
-                regular: true,
+                cross_domain: true,
+                periodic: true,
             })
             .collect()
     }
--- a/crates/control/src/membership/mod.rs
+++ b/crates/control/src/membership/mod.rs
@@ -20,7 +20,7 @@
 
 /// Time between heartbeats on one link. With 22 routers and 400 endpoints that all change their load, 2 s made the
 /// busiest router send and receive 7.2 KB/s (`cargo run -p peers --example traffic`), and 7 KB/s is the bound.
-pub const BEAT_EVERY: Duration = Duration::from_millis(2_250);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2_250);
 /// Silence after which a router counts as dead: three heartbeats and a little.
 pub const SILENCE: Duration = Duration::from_millis(7_250);
 /// A longer gap between two own events means that this router itself was paused. Its timer ticks every half second.
@@ -55,7 +55,7 @@
     /// The platform's list of routers.
     Listed(Vec<Listed>),
     /// A heartbeat or the answer to one.
-    Heard {
+    Heartbeat {
         /// From whom.
         from: Member,
         /// Whether it is going.
@@ -123,7 +123,7 @@
         self.excuse_pause(now);
         match event {
             Event::Listed(list) => self.listed(&list, now),
-            Event::Heard { from, leaving, routers } => self.heard(from, leaving, routers, now),
+            Event::Heartbeat { from, leaving, routers } => self.heard(from, leaving, routers, now),
             Event::Roster(roster) => self.learn(&roster, now),
             Event::Tick => {}
         }
@@ -142,7 +142,7 @@
     }
 
     /// Live routers that take new tasks: watched endpoints move away from a leaving router before it goes.
-    pub fn lasting(&self) -> Vec<VmId> {
+    pub fn not_leaving(&self) -> Vec<VmId> {
         let stays = |id: &&VmId| self.peers.get(*id).is_none_or(|peer| !peer.leaving);
         self.live.iter().filter(stays).cloned().collect()
     }
--- a/crates/control/tests/health.rs
+++ b/crates/control/tests/health.rs
@@ -1,6 +1,6 @@
 //! What is believed of an endpoint, after what was seen of it.
 
-use control::health::{Belief, Change, EndpointHealth, Event, Failure, Listing, Report};
+use control::health::{Change, EndpointHealth, Event, Failure, HealthState, Listing, Report};
 use control::startup::{self, NotReady, Offer, PEER_WAIT, Start, Startup};
 use ids::{Digest, EndpointId, Incarnation, Revision, VmId};
 use std::collections::BTreeMap;
@@ -50,109 +50,109 @@
 struct Case {
     name: &'static str,
     events: Vec<Event>,
-    belief: Belief,
+    belief: HealthState,
     probed: bool,
 }
 
 /// Events come 100 ms apart, the first after 100 ms.
 #[test]
 fn beliefs() {
-    use Failure::{Broken, Timeout};
+    use Failure::{Connection, Timeout};
     let cases = vec![
         Case {
             name: "new",
             events: vec![],
-            belief: Belief::Live,
+            belief: HealthState::Live,
             probed: false,
         },
         Case {
             name: "not yet listed",
             events: vec![list(None)],
-            belief: Belief::Live,
+            belief: HealthState::Live,
             probed: false,
         },
         Case {
             name: "list says so",
             events: vec![list(Some(Listing::Leaving))],
-            belief: Belief::Leaving,
+            belief: HealthState::Leaving,
             probed: false,
         },
         Case {
             name: "gone from the list",
             events: vec![list(Some(Listing::Live)), list(None)],
-            belief: Belief::Leaving,
+            belief: HealthState::Leaving,
             probed: false,
         },
         Case {
             name: "says so itself, and the list lags",
             events: vec![report(1, true, true, 50), list(Some(Listing::Live)), replied(1)],
-            belief: Belief::Leaving,
+            belief: HealthState::Leaving,
             probed: false,
         },
         Case {
             name: "a peer passes it on",
             events: vec![report(1, true, false, 50)],
-            belief: Belief::Leaving,
+            belief: HealthState::Leaving,
             probed: false,
         },
         Case {
             name: "one break",
-            events: vec![failed(Broken)],
-            belief: Belief::Suspected,
+            events: vec![failed(Connection)],
+            belief: HealthState::Suspected,
             probed: true,
         },
         Case {
             name: "two breaks",
-            events: vec![list(Some(Listing::Live)), failed(Broken), failed(Broken)],
-            belief: Belief::Dead,
+            events: vec![list(Some(Listing::Live)), failed(Connection), failed(Connection)],
+            belief: HealthState::Dead,
             probed: true,
         },
         Case {
             name: "a reply between",
-            events: vec![failed(Broken), replied(1), failed(Broken)],
-            belief: Belief::Suspected,
+            events: vec![failed(Connection), replied(1), failed(Connection)],
+            belief: HealthState::Suspected,
             probed: true,
         },
         Case {
             name: "slow only",
             events: vec![failed(Timeout); 30],
-            belief: Belief::Suspected,
+            belief: HealthState::Suspected,
             probed: true,
         },
         Case {
             name: "one slow answer",
             events: vec![failed(Timeout)],
-            belief: Belief::Live,
+            belief: HealthState::Live,
             probed: false,
         },
         Case {
             name: "probed back",
-            events: vec![failed(Broken), failed(Broken), replied(1)],
-            belief: Belief::Live,
+            events: vec![failed(Connection), failed(Connection), replied(1)],
+            belief: HealthState::Live,
             probed: false,
         },
         Case {
             name: "a report from before the crash",
-            events: vec![failed(Broken), failed(Broken), report(1, false, true, 150)],
-            belief: Belief::Dead,
+            events: vec![failed(Connection), failed(Connection), report(1, false, true, 150)],
+            belief: HealthState::Dead,
             probed: true,
         },
         Case {
             name: "a peer still reaches it",
-            events: vec![failed(Broken), failed(Broken), report(1, false, false, 290)],
-            belief: Belief::Dead,
+            events: vec![failed(Connection), failed(Connection), report(1, false, false, 290)],
+            belief: HealthState::Dead,
             probed: true,
         },
         Case {
             name: "back in a new life that doesn't leave",
             events: vec![replied(1), report(1, true, true, 150), replied(2)],
-            belief: Belief::Live,
+            belief: HealthState::Live,
             probed: false,
         },
         Case {
             name: "a late answer of the old life",
             events: vec![replied(1), report(2, true, true, 150), replied(1)],
-            belief: Belief::Leaving,
+            belief: HealthState::Leaving,
             probed: false,
         },
     ];
@@ -169,7 +169,7 @@
         now += at(100);
         health.on(event, now);
     }
-    assert_eq!(health.belief(&id()), case.belief, "{}", case.name);
+    assert_eq!(health.state(&id()), case.belief, "{}", case.name);
     assert_eq!(health.next_probe().is_some(), case.probed, "{}", case.name);
 }
 
@@ -179,7 +179,7 @@
     let mut health = EndpointHealth::default();
     health.on(Event::Configured(vec![id()]), at(0));
     assert_eq!(health.on(replied(1), at(1)), []);
-    let told = vec![Change::NewLife {
+    let told = vec![Change::Restarted {
         endpoint: id(),
         incarnation: Incarnation(2),
     }];
@@ -193,12 +193,12 @@
 fn probes_back_off_to_two_seconds() {
     let mut health = EndpointHealth::default();
     health.on(Event::Configured(vec![id()]), at(0));
-    health.on(failed(Failure::Broken), at(0));
+    health.on(failed(Failure::Connection), at(0));
     let mut times = Vec::new();
     for millis in (0..8_000).step_by(50) {
         if !health.due_probes(at(millis)).is_empty() {
             times.push(millis);
-            health.on(failed(Failure::Broken), at(millis));
+            health.on(failed(Failure::Connection), at(millis));
         }
     }
     assert_eq!(times, [250, 750, 1_750, 3_750, 5_750, 7_750]);
--- a/crates/control/tests/health_model.rs
+++ b/crates/control/tests/health_model.rs
@@ -1,6 +1,6 @@
 //! Beliefs against a naive version that keeps every event and derives the belief from all of them, each time anew.
 
-use control::health::{Belief, EndpointHealth, Event, Failure, Listing, Report};
+use control::health::{EndpointHealth, Event, Failure, HealthState, Listing, Report};
 use ids::{EndpointId, Incarnation};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
         },
         3 | 4 => Seen::Replied((detail & 16 > 0).then_some(life)),
         5 => Seen::Failed(Failure::Timeout),
-        _ => Seen::Failed(Failure::Broken),
+        _ => Seen::Failed(Failure::Connection),
     }
 }
 
@@ -104,7 +104,7 @@
     kept
 }
 
-fn naive(history: &[Seen]) -> Belief {
+fn naive(history: &[Seen]) -> HealthState {
     let kept = counted(history);
     let failures_before = |at: u64| {
         kept.iter()
@@ -124,8 +124,8 @@
             |(place, seen): &&(u64, Seen)| *place > well && matches!(seen, Seen::Failed(kind) if *kind == wanted);
         kept.iter().filter(failed).count()
     };
-    if since(Failure::Broken) >= 2 {
-        return Belief::Dead;
+    if since(Failure::Connection) >= 2 {
+        return HealthState::Dead;
     }
     let lists: Vec<Option<Listing>> = kept
         .iter()
@@ -143,12 +143,12 @@
         None => false,
     };
     if told_to_go || says_it_leaves(&kept) {
-        return Belief::Leaving;
+        return HealthState::Leaving;
     }
-    if since(Failure::Broken) > 0 || since(Failure::Timeout) >= 2 {
-        Belief::Suspected
+    if since(Failure::Connection) > 0 || since(Failure::Timeout) >= 2 {
+        HealthState::Suspected
     } else {
-        Belief::Live
+        HealthState::Live
     }
 }
 
@@ -183,7 +183,7 @@
             let now = seen(kind, detail, place);
             history.push(now);
             health.on(event(now), Duration::from_millis(place));
-            health.belief(&id()) == naive(&history)
+            health.state(&id()) == naive(&history)
         })
     }
     seeded().quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
--- a/crates/peers/tests/loopback.rs
+++ b/crates/peers/tests/loopback.rs
@@ -34,11 +34,11 @@
     Router { peers, member, events }
 }
 
-fn link(to: &Router, regular: bool) -> Link {
+fn link(to: &Router, periodic: bool) -> Link {
     Link {
         member: to.member.clone(),
-        far: false,
-        regular,
+        cross_domain: false,
+        periodic,
     }
 }
 
@@ -159,8 +159,8 @@
     assert!(matches!(fetched, Err(PeerError::Call(_))), "{fetched:?}");
     a.peers.set_links(&[Link {
         member: silent,
-        far: false,
-        regular: true,
+        cross_domain: false,
+        periodic: true,
     }]);
     let event = wait_for(&a, |_| true).await;
     assert_eq!(event, Event::Silent(VmId::from("b")));
--- a/crates/router/src/control/endpoints.rs
+++ b/crates/router/src/control/endpoints.rs
@@ -34,7 +34,7 @@
     /// Reads the reports of the endpoints that are this router's to watch.
     pub(super) fn watch_endpoints(&mut self) {
         let Some(configured) = &self.configured else { return };
-        let lasting = self.peering.membership.lasting();
+        let lasting = self.peering.membership.not_leaving();
         let own = &self.shared.settings;
         let all = &configured.document.endpoints;
         let far_too = all.len() <= FAR_WATCHED;
@@ -59,7 +59,7 @@
             Sighting::Leaves { incarnation } => self.leaves(id, incarnation),
             Sighting::Reported(load) => self.reported(id, load),
             Sighting::NotReached | Sighting::Broke => {
-                let failure = health::Failure::Broken;
+                let failure = health::Failure::Connection;
                 self.health_event(health::Event::Failed { endpoint, failure });
             }
             Sighting::Silent => {
@@ -151,11 +151,11 @@
     pub(super) fn note(&self, changes: &[Change]) {
         for change in changes {
             match change {
-                Change::Belief { endpoint, belief } => {
-                    let belief = format!("{belief:?}").to_lowercase();
-                    log::info!(endpoint = endpoint.as_str(), belief = belief.as_str(); "endpoint health changed");
+                Change::State { endpoint, state } => {
+                    let state = format!("{state:?}").to_lowercase();
+                    log::info!(endpoint = endpoint.as_str(), belief = state.as_str(); "endpoint health changed");
                 }
-                Change::NewLife { endpoint, incarnation } => {
+                Change::Restarted { endpoint, incarnation } => {
                     log::info!(endpoint = endpoint.as_str(), incarnation = incarnation.0; "endpoint restarted");
                 }
             }
--- a/crates/router/src/control/peering.rs
+++ b/crates/router/src/control/peering.rs
@@ -107,7 +107,7 @@
         match event {
             peers::Event::Heard { from, leaving, routers } => {
                 self.ask_pressures(from.clone());
-                self.member_event(membership::Event::Heard { from, leaving, routers });
+                self.member_event(membership::Event::Heartbeat { from, leaving, routers });
             }
             peers::Event::Roster(roster) => self.member_event(membership::Event::Roster(roster)),
             peers::Event::Offer { from, revision, digest } => self.offer(from, revision, digest),
@@ -158,7 +158,7 @@
             self.peering.links = links;
         }
         let own = &self.shared.settings;
-        let lasting = self.peering.membership.lasting();
+        let lasting = self.peering.membership.not_leaving();
         let candidate = !self.peering.leaving && rendezvous::is_candidate(&own.vm, &own.domain, &lasting);
         self.orders.on(orders::Event::Candidate(candidate));
         let follow = following::follow(&own.vm, &own.domain, self.peering.membership.live());
