--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -22,7 +22,7 @@
     /// Sent, and the answer is broken, cut, spoilt or another request's: it may have run.
     Broken,
     /// Sent, and no answer in the time for this attempt: it may run still.
-    Silent,
+    Timeout,
     /// Sent, and taken back since its weights became too old to begin on: it may run still.
     Outdated,
     /// The endpoint ran it and answered with an error of its own.
@@ -43,7 +43,7 @@
             Self::Declined => "declined",
             Self::OtherWeights => "other_weights",
             Self::Broken => "broken",
-            Self::Silent => "silent",
+            Self::Timeout => "silent",
             Self::Outdated => "outdated",
             Self::Error => "error",
         }
@@ -52,30 +52,30 @@
 
 /// What is known of a request after an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tried {
+pub struct AttemptHistory {
     /// Endpoints that bytes of it were sent to.
     pub sent: u32,
     /// Endpoints that could not be connected to.
-    pub unreached: u32,
+    pub connect_failures: u32,
     /// Times that an endpoint served other weights than it was believed to.
-    pub corrected: u32,
+    pub weight_mismatches: u32,
     /// Endpoints that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// Time that is left until its deadline.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// What follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Try another endpoint, if the retry budget allows it.
-    Again,
+    Retry,
     /// Try another endpoint; nothing was sent, so it costs no budget.
-    AgainFree,
+    RetryFree,
     /// Give up.
-    Stop,
+    GiveUp,
 }
 
 /// Endpoints that a request tries in vain to connect to: a third failure in a row is the network's, not an endpoint's.
@@ -88,24 +88,24 @@
 const LEAST_LEFT: Duration = Duration::from_millis(20);
 
 /// What follows a failed attempt.
-pub fn next(tried: &Tried, failure: Failure) -> Next {
-    if tried.left < LEAST_LEFT {
-        return Next::Stop;
+pub fn retry_decision(tried: &AttemptHistory, failure: Failure) -> RetryDecision {
+    if tried.remaining < LEAST_LEFT {
+        return RetryDecision::GiveUp;
     }
     if failure == Failure::NotSent {
-        return if tried.unreached < MAX_UNREACHED {
-            Next::AgainFree
+        return if tried.connect_failures < MAX_UNREACHED {
+            RetryDecision::RetryFree
         } else {
-            Next::Stop
+            RetryDecision::GiveUp
         };
     }
-    if failure == Failure::OtherWeights && tried.corrected > MAX_CORRECTED {
-        return Next::Stop;
+    if failure == Failure::OtherWeights && tried.weight_mismatches > MAX_CORRECTED {
+        return RetryDecision::GiveUp;
     }
-    if tried.sent >= tried.attempts || !(tried.repeatable || failure.not_run()) {
-        return Next::Stop;
+    if tried.sent >= tried.max_attempts || !(tried.repeatable || failure.not_run()) {
+        return RetryDecision::GiveUp;
     }
-    Next::Again
+    RetryDecision::Retry
 }
 
 /// Share of the time that is left after which a request that may run twice is tried elsewhere: enough for an answer that is
@@ -120,12 +120,12 @@
 
 /// How long an attempt that was just sent may take until its answer begins. One that can't be followed by another has all
 /// the time that is left: silence is no reason to end it sooner.
-pub fn patience(kind: RouteKind, tried: &Tried) -> Duration {
-    if !tried.repeatable || tried.sent >= tried.attempts {
-        return tried.left;
+pub fn attempt_timeout(kind: RouteKind, tried: &AttemptHistory) -> Duration {
+    if !tried.repeatable || tried.sent >= tried.max_attempts {
+        return tried.remaining;
     }
     let share = if kind.streams() { STREAM_PATIENCE } else { PATIENCE };
-    tried.left.mul_f64(share)
+    tried.remaining.mul_f64(share)
 }
 
 /// Pause after which a wait for a first event looks again whether its weights are too old by now. Newer ones may be named, or a router may hear
@@ -135,14 +135,14 @@
 
 /// An attempt whose first event has not come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unbegun {
+pub struct PendingAttempt {
     /// Whether its first event shows that it begins, which must not be too late: that of a stream from a model's engine. Of an answer
     /// that isn't streamed nobody can tell when it began.
-    pub shows: bool,
+    pub begin_visible: bool,
     /// Whether its weights are new enough to begin on now.
-    pub may_begin: bool,
+    pub weights_usable: bool,
     /// What is left of the time for this attempt.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// How the wait for a first event goes on.
@@ -151,26 +151,26 @@
     /// This long, then ask again.
     For(Duration),
     /// The time for this attempt is over.
-    Over,
+    TimedOut,
     /// Take the request back: what it begins with now is worth nothing to the caller.
-    TakeBack,
+    Cancel,
 }
 
 /// How the wait for a first event goes on. Without it a request waits in a full engine's queue past the bound on its weights, for up to
 /// five seconds, and its caller waits for an answer that is worth nothing.
-pub fn unbegun(attempt: &Unbegun) -> Wait {
-    if attempt.left.is_zero() {
-        return Wait::Over;
+pub fn first_event_wait(attempt: &PendingAttempt) -> Wait {
+    if attempt.remaining.is_zero() {
+        return Wait::TimedOut;
     }
-    if attempt.shows && !attempt.may_begin {
-        return Wait::TakeBack;
+    if attempt.begin_visible && !attempt.weights_usable {
+        return Wait::Cancel;
     }
-    let pause = if attempt.shows { LOOK } else { attempt.left };
-    Wait::For(pause.min(attempt.left))
+    let pause = if attempt.begin_visible { LOOK } else { attempt.remaining };
+    Wait::For(pause.min(attempt.remaining))
 }
 
 /// How long a stream that has begun may be silent before another endpoint goes on with it, where that may be.
-pub fn silence(kind: RouteKind, left: Duration) -> Duration {
+pub fn stream_idle_timeout(kind: RouteKind, left: Duration) -> Duration {
     if kind.repeatable() { left.min(SILENCE) } else { left }
 }
 
@@ -188,7 +188,7 @@
     /// The body is too long.
     BodyTooLarge,
     /// Head or body did not arrive in time.
-    SlowCaller,
+    SlowClient,
     /// No key, or an unknown one.
     Unauthorized,
     /// No such route.
@@ -238,7 +238,7 @@
         Cause::Malformed => 400,
         Cause::Unauthorized => 401,
         Cause::NoRoute => 404,
-        Cause::SlowCaller => 408,
+        Cause::SlowClient => 408,
         Cause::BodyTooLarge => 413,
         Cause::HeadTooLarge => 431,
         Cause::NotReady | Cause::Stale => 503,
@@ -270,7 +270,7 @@
             Self::Malformed => "malformed",
             Self::HeadTooLarge => "head_too_large",
             Self::BodyTooLarge => "body_too_large",
-            Self::SlowCaller => "slow_caller",
+            Self::SlowClient => "slow_caller",
             Self::Unauthorized => "unauthorized",
             Self::NoRoute => "no_route",
             Self::NoEndpoint => "no_endpoint",
--- a/crates/dispatch/tests/attempt.rs
+++ b/crates/dispatch/tests/attempt.rs
@@ -1,136 +1,145 @@
 //! What follows a failed attempt, and whether a refusal is true.
 
-use dispatch::attempt::{Cause, Failure, Next, Tried, Unbegun, Wait, next, patience, refusal, silence, unbegun};
+use dispatch::attempt::{
+    AttemptHistory, Cause, Failure, PendingAttempt, RetryDecision, Wait, attempt_timeout, first_event_wait, refusal,
+    retry_decision, stream_idle_timeout,
+};
 use dispatch::site::RouteKind;
 use lifecycle::request::RequestState;
 use std::time::Duration;
 
-const FRESH: Tried = Tried {
+const FRESH: AttemptHistory = AttemptHistory {
     sent: 1,
-    unreached: 0,
-    corrected: 0,
-    attempts: 2,
+    connect_failures: 0,
+    weight_mismatches: 0,
+    max_attempts: 2,
     repeatable: false,
-    left: Duration::from_millis(500),
+    remaining: Duration::from_millis(500),
 };
 
 /// An endpoint fails a fan command after it may have run it. Sent once more, the fan is started twice.
 #[test]
 fn a_call_that_may_have_run_is_repeated_only_if_it_may_run_twice() {
     struct Case {
-        tried: Tried,
+        tried: AttemptHistory,
         failure: Failure,
-        expected: Next,
+        expected: RetryDecision,
     }
-    let again = Tried {
+    let again = AttemptHistory {
         repeatable: true,
         ..FRESH
     };
-    let spent = Tried { sent: 2, ..again };
-    let late = Tried {
-        left: Duration::from_millis(10),
+    let spent = AttemptHistory { sent: 2, ..again };
+    let late = AttemptHistory {
+        remaining: Duration::from_millis(10),
         ..again
     };
     let cases = [
         Case {
             tried: FRESH,
             failure: Failure::Broken,
-            expected: Next::Stop,
+            expected: RetryDecision::GiveUp,
         },
         Case {
             tried: FRESH,
-            failure: Failure::Silent,
-            expected: Next::Stop,
+            failure: Failure::Timeout,
+            expected: RetryDecision::GiveUp,
         },
         Case {
             tried: FRESH,
             failure: Failure::Error,
-            expected: Next::Stop,
+            expected: RetryDecision::GiveUp,
         },
         Case {
             tried: FRESH,
             failure: Failure::Full,
-            expected: Next::Again,
+            expected: RetryDecision::Retry,
         },
         Case {
             tried: FRESH,
             failure: Failure::Declined,
-            expected: Next::Again,
+            expected: RetryDecision::Retry,
         },
         Case {
             tried: FRESH,
             failure: Failure::OtherWeights,
-            expected: Next::Again,
+            expected: RetryDecision::Retry,
         },
         Case {
             tried: FRESH,
             failure: Failure::NotSent,
-            expected: Next::AgainFree,
+            expected: RetryDecision::RetryFree,
         },
         Case {
             tried: again,
             failure: Failure::Broken,
-            expected: Next::Again,
+            expected: RetryDecision::Retry,
         },
         Case {
             tried: again,
-            failure: Failure::Silent,
-            expected: Next::Again,
+            failure: Failure::Timeout,
+            expected: RetryDecision::Retry,
         },
         Case {
             tried: again,
             failure: Failure::Error,
-            expected: Next::Again,
+            expected: RetryDecision::Retry,
         },
         Case {
             tried: FRESH,
             failure: Failure::Outdated,
-            expected: Next::Stop,
+            expected: RetryDecision::GiveUp,
         },
         Case {
             tried: again,
             failure: Failure::Outdated,
-            expected: Next::Again,
+            expected: RetryDecision::Retry,
         },
         Case {
             tried: spent,
             failure: Failure::Outdated,
-            expected: Next::Stop,
+            expected: RetryDecision::GiveUp,
         },
         Case {
             tried: spent,
             failure: Failure::Error,
-            expected: Next::Stop,
+            expected: RetryDecision::GiveUp,
         },
         Case {
             tried: spent,
             failure: Failure::Full,
-            expected: Next::Stop,
+            expected: RetryDecision::GiveUp,
         },
         Case {
             tried: spent,
             failure: Failure::NotSent,
-            expected: Next::AgainFree,
+            expected: RetryDecision::RetryFree,
         },
         Case {
-            tried: Tried { unreached: 3, ..FRESH },
+            tried: AttemptHistory {
+                connect_failures: 3,
+                ..FRESH
+            },
             failure: Failure::NotSent,
-            expected: Next::Stop,
+            expected: RetryDecision::GiveUp,
         },
         Case {
-            tried: Tried { corrected: 3, ..FRESH },
+            tried: AttemptHistory {
+                weight_mismatches: 3,
+                ..FRESH
+            },
             failure: Failure::OtherWeights,
-            expected: Next::Stop,
+            expected: RetryDecision::GiveUp,
         },
         Case {
             tried: late,
             failure: Failure::Broken,
-            expected: Next::Stop,
+            expected: RetryDecision::GiveUp,
         },
     ];
     for case in cases {
         assert_eq!(
-            next(&case.tried, case.failure),
+            retry_decision(&case.tried, case.failure),
             case.expected,
             "{:?} {:?}",
             case.tried,
@@ -230,20 +239,20 @@
     ];
     let left = Duration::from_secs(4);
     for case in cases {
-        let tried = Tried {
+        let tried = AttemptHistory {
             sent: case.sent,
             repeatable: case.kind.repeatable(),
-            left,
+            remaining: left,
             ..FRESH
         };
         assert_eq!(
-            patience(case.kind, &tried),
+            attempt_timeout(case.kind, &tried),
             Duration::from_millis(case.first_ms),
             "{:?}",
             case.kind
         );
         assert_eq!(
-            silence(case.kind, left),
+            stream_idle_timeout(case.kind, left),
             Duration::from_millis(case.within_ms),
             "{:?}",
             case.kind
@@ -278,20 +287,20 @@
             shows: true,
             may_begin: true,
             left_ms: 0,
-            expected: Wait::Over,
+            expected: Wait::TimedOut,
         },
         Case {
             shows: true,
             may_begin: false,
             left_ms: 2_000,
-            expected: Wait::TakeBack,
+            expected: Wait::Cancel,
         },
         // What the caller is told at the end of the time doesn't hang on the weights' age.
         Case {
             shows: true,
             may_begin: false,
             left_ms: 0,
-            expected: Wait::Over,
+            expected: Wait::TimedOut,
         },
         // It may have begun long ago.
         Case {
@@ -304,15 +313,15 @@
             shows: false,
             may_begin: false,
             left_ms: 0,
-            expected: Wait::Over,
+            expected: Wait::TimedOut,
         },
     ];
     for case in cases {
-        let attempt = Unbegun {
-            shows: case.shows,
-            may_begin: case.may_begin,
-            left: Duration::from_millis(case.left_ms),
+        let attempt = PendingAttempt {
+            begin_visible: case.shows,
+            weights_usable: case.may_begin,
+            remaining: Duration::from_millis(case.left_ms),
         };
-        assert_eq!(unbegun(&attempt), case.expected, "{attempt:?}");
+        assert_eq!(first_event_wait(&attempt), case.expected, "{attempt:?}");
     }
 }
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -161,7 +161,7 @@
         Ok(Err(HeadError::TooLarge)) => return refuse(shared, conn, Cause::HeadTooLarge).await,
         Ok(Err(HeadError::Malformed(_))) => return refuse(shared, conn, Cause::Malformed).await,
         Ok(Err(_)) => return Ending::Abort,
-        Err(_) => return refuse(shared, conn, Cause::SlowCaller).await,
+        Err(_) => return refuse(shared, conn, Cause::SlowClient).await,
     };
     let framing = match request_framing(&head) {
         Ok(framing) => framing,
@@ -189,7 +189,7 @@
         Ok(Err(RawBodyError::TooLarge)) => return refuse(shared, conn, Cause::BodyTooLarge).await,
         Ok(Err(RawBodyError::Chunk)) => return refuse(shared, conn, Cause::Malformed).await,
         Ok(Err(_)) => return Ending::Abort,
-        Err(_) => return refuse(shared, conn, Cause::SlowCaller).await,
+        Err(_) => return refuse(shared, conn, Cause::SlowClient).await,
     };
     let caller = Caller {
         conn: conn.clone(),
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -8,7 +8,7 @@
 use crate::dialect::AnswerFacts;
 use crate::link::Link;
 use crate::shared::Shared;
-use dispatch::attempt::{self, Cause, Failure, Next, Tried, Unbegun, Wait};
+use dispatch::attempt::{self, AttemptHistory, Cause, Failure, PendingAttempt, RetryDecision, Wait};
 use dispatch::fleet::{Behind, Choice, Outcome, Picked, Wish};
 use http::raw::{Answer, ExchangeError, Headers, Source, exchange};
 use ids::EndpointId;
@@ -206,10 +206,10 @@
         if self.life.ended() {
             return false;
         }
-        match attempt::next(&self.tried(), failure) {
-            Next::AgainFree => true,
-            Next::Stop => false,
-            Next::Again => {
+        match attempt::retry_decision(&self.tried(), failure) {
+            RetryDecision::RetryFree => true,
+            RetryDecision::GiveUp => false,
+            RetryDecision::Retry => {
                 let now = self.shared.clock.now();
                 self.shared.fleet().another_attempt(self.call.service, now)
             }
@@ -252,7 +252,7 @@
         self.sent += 1;
         self.record.weights = self.behind(picked);
         self.note_prompt(picked);
-        let within = attempt::patience(self.call.route.kind, &self.tried());
+        let within = attempt::attempt_timeout(self.call.route.kind, &self.tried());
         let waited = match self.unbegun(picked, within, self.exchange(picked, link)).await {
             Ok(waited) => waited,
             Err(Outdated) => {
@@ -292,15 +292,15 @@
         let mut future = pin!(future);
         let until = self.shared.clock.now() + within;
         loop {
-            let attempt = Unbegun {
-                shows: self.shows_begin(),
-                may_begin: !self.outdated(picked),
-                left: until.saturating_sub(self.shared.clock.now()),
+            let attempt = PendingAttempt {
+                begin_visible: self.shows_begin(),
+                weights_usable: !self.outdated(picked),
+                remaining: until.saturating_sub(self.shared.clock.now()),
             };
-            let pause = match attempt::unbegun(&attempt) {
+            let pause = match attempt::first_event_wait(&attempt) {
                 Wait::For(pause) => pause,
-                Wait::Over => return Ok(Waited::TimeOver),
-                Wait::TakeBack => return Err(Outdated),
+                Wait::TimedOut => return Ok(Waited::TimeOver),
+                Wait::Cancel => return Err(Outdated),
             };
             match wait(&conn, pause, future.as_mut()).await {
                 Waited::TimeOver => {}
@@ -341,17 +341,17 @@
             return Attempted::Ended(self.give_up(Cause::Deadline));
         }
         self.life.on(RequestEvent::SendFailed);
-        Attempted::Failed(Failure::Silent)
+        Attempted::Failed(Failure::Timeout)
     }
 
-    fn tried(&self) -> Tried {
-        Tried {
+    fn tried(&self) -> AttemptHistory {
+        AttemptHistory {
             sent: self.sent,
-            unreached: self.unreached,
-            corrected: self.corrected,
-            attempts: self.call.route.attempts,
+            connect_failures: self.unreached,
+            weight_mismatches: self.corrected,
+            max_attempts: self.call.route.attempts,
             repeatable: self.repeatable(),
-            left: self.left(),
+            remaining: self.left(),
         }
     }
 
@@ -513,7 +513,7 @@
     match failure {
         Failure::NotSent | Failure::Declined | Failure::OtherWeights => Cause::NoEndpoint,
         Failure::Full => Cause::Full,
-        Failure::Silent => Cause::Deadline,
+        Failure::Timeout => Cause::Deadline,
         Failure::Broken | Failure::Outdated | Failure::Error => Cause::EndpointFailed,
     }
 }
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -45,7 +45,7 @@
         // Whether this endpoint has begun: another one may have sent the events so far.
         let mut begun = false;
         loop {
-            let within = attempt::silence(self.attempts.call.route.kind, self.attempts.left());
+            let within = attempt::stream_idle_timeout(self.attempts.call.route.kind, self.attempts.left());
             let part = answer.body.part(&mut source);
             let waited = if begun {
                 wait(&conn, within, part).await
@@ -86,7 +86,7 @@
         self.flight.outcome(Outcome::Silent);
         self.attempts.events.broke();
         self.attempts.life.on(RequestEvent::AnswerBroke);
-        Attempted::Failed(Failure::Silent)
+        Attempted::Failed(Failure::Timeout)
     }
 
     fn taken_back(self) -> Attempted {
