--- a/crates/dispatch/src/holder.rs
+++ b/crates/dispatch/src/holder.rs
@@ -4,7 +4,7 @@
 //! endpoints that don't check generation numbers then change back and forth. So the holder counts its lease from before
 //! it asked for it, on a clock that goes on while its VM is suspended, and stops [`HolderTimes::margin`] before the end.
 //! Before an order leaves, its endpoint stands in a list in the store that is written on condition that the holder key is
-//! unchanged. So a successor knows which endpoints its predecessor may have ordered last, and leaves [`Turns`] to those.
+//! unchanged. So a successor knows which endpoints its predecessor may have ordered last, and leaves [`ForeignOrders`] to those.
 
 use ids::{EndpointId, Fence};
 use std::collections::BTreeMap;
@@ -16,11 +16,11 @@
     /// Time to live without renewal.
     pub ttl: Duration,
     /// Time between renewals.
-    pub renew: Duration,
+    pub renew_interval: Duration,
     /// Last part of the lease in which no order leaves.
     pub margin: Duration,
     /// Wait before a failed call is repeated.
-    pub again: Duration,
+    pub retry_delay: Duration,
 }
 
 /// Times for sites that let requests begin on old weights for ten seconds.
@@ -29,10 +29,10 @@
     // whose holder is lost twice in a rollout has old weights past it.
     ttl: Duration::from_millis(1_500),
     // Three renewals may fail before the lease ends. One counts as a tenth of a call.
-    renew: Duration::from_millis(300),
+    renew_interval: Duration::from_millis(300),
     // Covers the time from the check to the endpoint, and clocks of unequal speed.
     margin: Duration::from_millis(400),
-    again: Duration::from_millis(500),
+    retry_delay: Duration::from_millis(500),
 };
 
 /// How much later than candidates the others ask for a free key. A router that has just started knows after 1.2 s whether it is a
@@ -57,7 +57,7 @@
 
 /// The holder key's contents as last seen.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Occupant {
+pub struct HolderRecord {
     /// The process that holds it: its VM, a slash and a part of its own, another one after each start.
     pub name: String,
     /// The generation number, by when the key was created: it only grows.
@@ -74,7 +74,7 @@
     /// Whether this router is one of the few that try to hold the key first: each try costs calls to the store.
     Candidate(bool),
     /// The holder key as the store has it now.
-    Seen(Option<Occupant>),
+    KeyObserved(Option<HolderRecord>),
     /// The store granted a lease, asked for at the given time; the key is being written.
     Granted {
         /// Its id.
@@ -82,7 +82,7 @@
         /// Its time to live.
         ttl: Duration,
         /// When it was asked for.
-        asked: Duration,
+        requested: Duration,
     },
     /// No lease was granted, or the key could not be written.
     Failed,
@@ -91,7 +91,7 @@
         /// Time to live from then.
         ttl: Duration,
         /// When the call left.
-        asked: Duration,
+        requested: Duration,
     },
     /// The store doesn't have this lease any more.
     Lapsed(u64),
@@ -114,7 +114,7 @@
 struct Lease {
     id: u64,
     end: Duration,
-    renew: Duration,
+    renew_at: Duration,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -165,26 +165,26 @@
         match event {
             Event::Tick => return self.tick(now),
             Event::Candidate(candidate) => self.candidate = candidate,
-            Event::Seen(occupant) => return self.seen(occupant, now),
+            Event::KeyObserved(occupant) => return self.seen(occupant, now),
             // The failure of an earlier claim was heard late, so that one too many was made. The key hangs on the lease it was seen
             // under; were this one renewed in its place, orders would go on after the key's has lapsed.
             Event::Granted { lease, .. } if self.lease().is_some() => return Some(Step::Release(lease)),
-            Event::Granted { lease, ttl, asked } => {
+            Event::Granted { lease, ttl, requested } => {
                 self.lease = Some(Lease {
                     id: lease,
-                    end: asked + ttl,
-                    renew: asked + self.times.renew,
+                    end: requested + ttl,
+                    renew_at: requested + self.times.renew_interval,
                 });
             }
-            Event::Renewed { ttl, asked } => {
+            Event::Renewed { ttl, requested } => {
                 if let Some(lease) = &mut self.lease {
-                    lease.end = lease.end.max(asked + ttl);
+                    lease.end = lease.end.max(requested + ttl);
                 }
             }
             Event::Failed => {
                 if matches!(self.phase, Phase::Asking { .. }) {
                     self.phase = Phase::Free {
-                        next: now + self.times.again,
+                        next: now + self.times.retry_delay,
                     };
                 }
             }
@@ -259,12 +259,12 @@
     }
 
     fn renew(&mut self, now: Duration) -> Option<Step> {
-        let lease = self.lease.as_mut().filter(|lease| now >= lease.renew)?;
-        lease.renew = now + self.times.renew;
+        let lease = self.lease.as_mut().filter(|lease| now >= lease.renew_at)?;
+        lease.renew_at = now + self.times.renew_interval;
         Some(Step::Renew(lease.id))
     }
 
-    fn seen(&mut self, occupant: Option<Occupant>, now: Duration) -> Option<Step> {
+    fn seen(&mut self, occupant: Option<HolderRecord>, now: Duration) -> Option<Step> {
         let first = !std::mem::replace(&mut self.seen, true);
         let Some(occupant) = occupant else {
             if !matches!(self.phase, Phase::Asking { .. } | Phase::Free { .. }) {
@@ -310,31 +310,31 @@
 
 /// How long after its list was sent to the store the holder may order what stands there. Without a bound, an order that is repeated
 /// seconds later would reach an endpoint that a successor takes for free: it counts its turn from when it heard of the list.
-pub const LISTED_FOR: Duration = Duration::from_millis(400);
+pub const LIST_VALIDITY: Duration = Duration::from_millis(400);
 /// Added to a turn: the age of the list when an order leaves, and a packet that is sent once more.
-pub const TURN_SLACK: Duration = Duration::from_millis(600);
+pub const HANDOVER_SLACK: Duration = Duration::from_millis(600);
 
 /// Whether an endpoint may be ordered that stands in the list which was sent to the store at the given time.
-pub fn listed(sent: Option<Duration>, now: Duration) -> bool {
-    sent.is_some_and(|sent| now.saturating_sub(sent) < LISTED_FOR)
+pub fn list_is_current(sent: Option<Duration>, now: Duration) -> bool {
+    sent.is_some_and(|sent| now.saturating_sub(sent) < LIST_VALIDITY)
 }
 
 /// When endpoints were last known to get orders of another holder.
 #[derive(Debug, Clone, Default)]
-pub struct Turns {
+pub struct ForeignOrders {
     ordered: BTreeMap<EndpointId, Duration>,
 }
 
-impl Turns {
+impl ForeignOrders {
     /// Another holder may have given orders to this endpoint until then.
-    pub fn other(&mut self, endpoint: &EndpointId, until: Duration) {
+    pub fn record(&mut self, endpoint: &EndpointId, until: Duration) {
         let last = self.ordered.entry(endpoint.clone()).or_default();
         *last = until.max(*last);
     }
 
     /// Endpoints that other holders may have ordered within the last turn, and how long ago. A holder tells them with its own: two
     /// that are lost within a turn would otherwise be followed by one that started in between and knows the second one's list only.
-    pub fn lately(&self, turn: Duration, now: Duration) -> impl Iterator<Item = (&EndpointId, Duration)> {
+    pub fn recent(&self, turn: Duration, now: Duration) -> impl Iterator<Item = (&EndpointId, Duration)> {
         let ages = self
             .ordered
             .iter()
--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -29,7 +29,7 @@
 pub enum Next {
     /// Ask for a report after a pause.
     Look(Duration),
-    /// Order the newest weights, once the list of those that load is young; see [`crate::holder::listed`].
+    /// Order the newest weights, once the list of those that load is young; see [`crate::holder::list_is_current`].
     Order {
         /// Count of orders that the order expects.
         expected: u64,
--- a/crates/dispatch/tests/holder.rs
+++ b/crates/dispatch/tests/holder.rs
@@ -1,24 +1,25 @@
 //! Who may give orders, and when.
 
 use dispatch::holder::{
-    Event, Holder, HolderTimes, LISTED_FOR, Occupant, Step, TURN_SLACK, Turns, created, fence, listed,
+    Event, ForeignOrders, HANDOVER_SLACK, Holder, HolderRecord, HolderTimes, LIST_VALIDITY, Step, created, fence,
+    list_is_current,
 };
 use ids::{EndpointId, Fence};
 use std::time::Duration;
 
 const TIMES: HolderTimes = HolderTimes {
     ttl: Duration::from_millis(2_000),
-    renew: Duration::from_millis(500),
+    renew_interval: Duration::from_millis(500),
     margin: Duration::from_millis(400),
-    again: Duration::from_millis(500),
+    retry_delay: Duration::from_millis(500),
 };
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn occupant(name: &str, lease: u64) -> Occupant {
-    Occupant {
+fn occupant(name: &str, lease: u64) -> HolderRecord {
+    HolderRecord {
         name: name.to_owned(),
         created: Fence(40),
         lease,
@@ -34,15 +35,15 @@
 /// Asked for a lease at 100 ms, and sees its own name under the key.
 fn holding() -> Holder {
     let mut holder = candidate();
-    holder.on(Event::Seen(None), at(0));
+    holder.on(Event::KeyObserved(None), at(0));
     assert_eq!(holder.on(Event::Tick, at(100)), Some(Step::Acquire(TIMES.ttl)));
     let granted = Event::Granted {
         lease: 7,
         ttl: TIMES.ttl,
-        asked: at(100),
+        requested: at(100),
     };
     holder.on(granted, at(110));
-    holder.on(Event::Seen(Some(occupant("me", 7))), at(120));
+    holder.on(Event::KeyObserved(Some(occupant("me", 7))), at(120));
     holder
 }
 
@@ -57,7 +58,7 @@
     // The renewal counts from when it was asked for, however late its answer comes.
     let renewed = Event::Renewed {
         ttl: TIMES.ttl,
-        asked: at(600),
+        requested: at(600),
     };
     holder.on(renewed, at(1_650));
     assert_eq!(holder.may_order(at(2_199)), Some(Fence(40)));
@@ -69,23 +70,23 @@
 #[test]
 fn whoever_does_not_stand_under_the_key_gives_no_orders() {
     let mut waiting = candidate();
-    waiting.on(Event::Seen(Some(occupant("other", 3))), at(0));
+    waiting.on(Event::KeyObserved(Some(occupant("other", 3))), at(0));
     assert_eq!(waiting.on(Event::Tick, at(500)), None);
     assert_eq!(waiting.may_order(at(500)), None);
 
     let mut replaced = holding();
-    let step = replaced.on(Event::Seen(Some(occupant("other", 8))), at(300));
+    let step = replaced.on(Event::KeyObserved(Some(occupant("other", 8))), at(300));
     assert_eq!(step, Some(Step::Release(7)));
     assert_eq!(replaced.may_order(at(300)), None);
 
     // The name of an earlier life of this very process's VM under another lease is not its own.
     let mut restarted = holding();
-    restarted.on(Event::Seen(Some(occupant("me", 6))), at(300));
+    restarted.on(Event::KeyObserved(Some(occupant("me", 6))), at(300));
     assert_eq!(restarted.may_order(at(300)), None);
 
     let mut stopped = holding();
     assert_eq!(stopped.on(Event::Stop, at(300)), Some(Step::Release(7)));
-    stopped.on(Event::Seen(None), at(310));
+    stopped.on(Event::KeyObserved(None), at(310));
     assert_eq!(stopped.on(Event::Tick, at(5_000)), None);
 }
 
@@ -97,7 +98,7 @@
     assert_eq!(holder.on(Event::Tick, at(700)), None);
 
     let mut failed = candidate();
-    failed.on(Event::Seen(None), at(0));
+    failed.on(Event::KeyObserved(None), at(0));
     failed.on(Event::Tick, at(0));
     failed.on(Event::Failed, at(50));
     assert_eq!(failed.on(Event::Tick, at(549)), None);
@@ -110,8 +111,8 @@
 fn a_successor_leaves_recently_ordered_endpoints_alone() {
     let turn = at(3_300);
     let (ordered, other) = (EndpointId::from("a"), EndpointId::from("b"));
-    let mut turns = Turns::default();
-    turns.other(&ordered, at(1_000));
+    let mut turns = ForeignOrders::default();
+    turns.record(&ordered, at(1_000));
     assert!(!turns.may_order(&ordered, turn, at(4_299)));
     assert!(turns.may_order(&ordered, turn, at(4_300)));
     assert!(turns.may_order(&other, turn, at(1_000)));
@@ -121,11 +122,11 @@
 /// endpoint too early.
 #[test]
 fn an_order_leaves_only_while_its_list_is_young() {
-    assert!(!listed(None, at(0)));
-    assert!(listed(Some(at(1_000)), at(1_399)));
-    assert!(!listed(Some(at(1_000)), at(1_400)));
+    assert!(!list_is_current(None, at(0)));
+    assert!(list_is_current(Some(at(1_000)), at(1_399)));
+    assert!(!list_is_current(Some(at(1_000)), at(1_400)));
     // What is left of the slack covers the order's way.
-    assert!(LISTED_FOR + at(200) <= TURN_SLACK);
+    assert!(LIST_VALIDITY + at(200) <= HANDOVER_SLACK);
 }
 
 /// The VM of the holder is restarted at once. Nobody may order until the lease of its earlier life lapses, two seconds in which
@@ -164,7 +165,11 @@
         let mut holder = Holder::new("vm-1/new".to_owned(), TIMES, Duration::ZERO);
         for (seen, expected) in case.seen.iter().zip(case.expected) {
             let occupant = seen.map(|(name, lease)| occupant(name, lease));
-            assert_eq!(&holder.on(Event::Seen(occupant), at(0)), expected, "case {index}");
+            assert_eq!(
+                &holder.on(Event::KeyObserved(occupant), at(0)),
+                expected,
+                "case {index}"
+            );
         }
     }
 }
@@ -174,13 +179,13 @@
 #[test]
 fn others_ask_for_the_key_if_no_candidate_does() {
     let mut holder = Holder::new("vm-1/me".to_owned(), TIMES, at(100));
-    holder.on(Event::Seen(None), at(0));
+    holder.on(Event::KeyObserved(None), at(0));
     assert_eq!(holder.on(Event::Tick, at(2_599)), None);
     assert_eq!(holder.on(Event::Tick, at(2_600)), Some(Step::Acquire(TIMES.ttl)));
 
     let mut taken = Holder::new("vm-1/me".to_owned(), TIMES, at(100));
-    taken.on(Event::Seen(None), at(0));
-    taken.on(Event::Seen(Some(occupant("vm-2/it", 3))), at(500));
+    taken.on(Event::KeyObserved(None), at(0));
+    taken.on(Event::KeyObserved(Some(occupant("vm-2/it", 3))), at(500));
     assert_eq!(taken.on(Event::Tick, at(5_000)), None);
 }
 
@@ -189,19 +194,19 @@
 #[test]
 fn what_an_earlier_holder_ordered_is_told_on() {
     let (engine, turn) = (EndpointId::from("e1"), Duration::from_millis(3_000));
-    let mut second = Turns::default();
-    second.other(&engine, Duration::from_millis(1_000));
+    let mut second = ForeignOrders::default();
+    second.record(&engine, Duration::from_millis(1_000));
     let now = Duration::from_millis(2_000);
-    let mut third = Turns::default();
-    for (endpoint, age) in second.lately(turn, now) {
-        third.other(endpoint, now - age);
+    let mut third = ForeignOrders::default();
+    for (endpoint, age) in second.recent(turn, now) {
+        third.record(endpoint, now - age);
     }
     assert!(!third.may_order(&engine, turn, Duration::from_millis(3_999)));
     assert!(third.may_order(&engine, turn, Duration::from_millis(4_000)));
     // An older word changes nothing.
-    third.other(&engine, Duration::from_millis(500));
+    third.record(&engine, Duration::from_millis(500));
     assert!(!third.may_order(&engine, turn, Duration::from_millis(3_999)));
-    assert_eq!(second.lately(turn, Duration::from_millis(4_000)).count(), 0);
+    assert_eq!(second.recent(turn, Duration::from_millis(4_000)).count(), 0);
 }
 
 /// The answer to a claim is lost, and the claim was not carried out: the key stays free and the watch tells nothing. Were the router to
@@ -210,12 +215,12 @@
 fn a_lost_claim_is_made_again() {
     let mut holder = Holder::new("vm-1/a".to_owned(), TIMES, at(0));
     holder.on(Event::Candidate(true), at(0));
-    holder.on(Event::Seen(None), at(0));
+    holder.on(Event::KeyObserved(None), at(0));
     assert!(matches!(holder.on(Event::Tick, at(0)), Some(Step::Acquire(_))));
     let granted = Event::Granted {
         lease: 7,
         ttl: TIMES.ttl,
-        asked: at(1),
+        requested: at(1),
     };
     holder.on(granted, at(20));
     assert!(asks_again(&mut holder, 200));
@@ -227,22 +232,22 @@
 fn the_end_of_a_lease_that_is_told_twice_leaves_the_key_free() {
     let mut holder = Holder::new("vm-1/a".to_owned(), TIMES, at(0));
     holder.on(Event::Candidate(true), at(0));
-    holder.on(Event::Seen(None), at(0));
+    holder.on(Event::KeyObserved(None), at(0));
     holder.on(Event::Tick, at(0));
     let granted = Event::Granted {
         lease: 7,
         ttl: TIMES.ttl,
-        asked: at(1),
+        requested: at(1),
     };
     holder.on(granted, at(20));
-    let own = Occupant {
+    let own = HolderRecord {
         name: "vm-1/a".to_owned(),
         created: Fence(5),
         lease: 7,
     };
-    holder.on(Event::Seen(Some(own)), at(30));
+    holder.on(Event::KeyObserved(Some(own)), at(30));
     assert!(matches!(holder.on(Event::Tick, at(600)), Some(Step::Renew(7))));
-    holder.on(Event::Seen(None), at(700));
+    holder.on(Event::KeyObserved(None), at(700));
     holder.on(Event::Lapsed(7), at(701));
     assert!(asks_again(&mut holder, 800));
 }
@@ -264,7 +269,7 @@
     let granted = Event::Granted {
         lease: 8,
         ttl: TIMES.ttl,
-        asked: at(600),
+        requested: at(600),
     };
     assert_eq!(holder.on(granted, at(650)), Some(Step::Release(8)));
     assert_eq!(holder.lease(), Some(7));
--- a/crates/dispatch/tests/lease_model.rs
+++ b/crates/dispatch/tests/lease_model.rs
@@ -1,6 +1,6 @@
 //! The right to give orders, at routers that freeze, start again and lose the store's answers: a random play against a naive store.
 
-use dispatch::holder::{Event, Holder, Occupant, Step, TIMES};
+use dispatch::holder::{Event, Holder, HolderRecord, Step, TIMES};
 use ids::Fence;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
@@ -87,7 +87,7 @@
 /// One key whose changes are counted, and leases that end by its own clock.
 #[derive(Default)]
 struct Store {
-    key: Option<Occupant>,
+    key: Option<HolderRecord>,
     changed: u64,
     leases: BTreeMap<u64, u64>,
     granted: u64,
@@ -115,7 +115,7 @@
         let free = self.key.is_none() && self.leases.contains_key(&lease);
         if free {
             self.changed += 1;
-            self.key = Some(Occupant {
+            self.key = Some(HolderRecord {
                 name: name.to_owned(),
                 created: Fence(self.changed),
                 lease,
@@ -129,7 +129,7 @@
 #[derive(Debug, Clone)]
 enum Under {
     Grant {
-        asked: u64,
+        requested: u64,
     },
     Claim {
         name: String,
@@ -137,7 +137,7 @@
     },
     Renew {
         lease: u64,
-        asked: u64,
+        requested: u64,
     },
     Release {
         lease: u64,
@@ -146,7 +146,7 @@
     Look,
     Granted {
         lease: u64,
-        asked: u64,
+        requested: u64,
     },
     Hear(Event),
     GiveUp {
@@ -154,7 +154,7 @@
     },
     Key {
         changed: u64,
-        key: Option<Occupant>,
+        key: Option<HolderRecord>,
     },
 }
 
@@ -262,22 +262,22 @@
     }
 
     /// An answer of the store to a call that left at the given time; lost, late or in time.
-    fn answer(&mut self, router: usize, asked: u64, what: Under, lost: Under) {
+    fn answer(&mut self, router: usize, requested: u64, what: Under, lost: Under) {
         let cut = self.routers[router].cut > self.now;
         let wait = self.chance(self.slow);
-        let late = self.now + wait > asked + CALL;
+        let late = self.now + wait > requested + CALL;
         if cut || late || self.chance(self.lose) == 0 {
-            let wait = (asked + CALL).saturating_sub(self.now);
+            let wait = (requested + CALL).saturating_sub(self.now);
             return self.send(router, wait, lost);
         }
         self.send(router, wait, what);
     }
 
     fn steps(&mut self, router: usize, step: Option<&Step>) {
-        let asked = self.now;
+        let requested = self.now;
         match step {
-            Some(Step::Acquire(_)) => self.call(router, Under::Grant { asked }),
-            Some(&Step::Renew(lease)) => self.call(router, Under::Renew { lease, asked }),
+            Some(Step::Acquire(_)) => self.call(router, Under::Grant { requested }),
+            Some(&Step::Renew(lease)) => self.call(router, Under::Renew { lease, requested }),
             Some(&Step::Release(lease)) => self.call(router, Under::Release { lease }),
             None => {}
         }
@@ -294,15 +294,15 @@
         let alive = self.routers[router].life == flight.life;
         let nothing = Under::Hear(Event::Tick);
         match flight.what {
-            Under::Grant { asked } => {
+            Under::Grant { requested } => {
                 self.store.granted += 1;
                 let lease = self.store.granted;
                 self.store.leases.insert(lease, self.now + self.store.lasts);
                 if alive {
                     self.answer(
                         router,
-                        asked,
-                        Under::Granted { lease, asked },
+                        requested,
+                        Under::Granted { lease, requested },
                         Under::Hear(Event::Failed),
                     );
                 }
@@ -310,20 +310,20 @@
             Under::Claim { name, lease } => {
                 let done = self.store.claim(&name, lease);
                 if alive && !done {
-                    let asked = self.now;
-                    self.answer(router, asked, Under::GiveUp { lease }, nothing);
+                    let requested = self.now;
+                    self.answer(router, requested, Under::GiveUp { lease }, nothing);
                 }
             }
-            Under::Renew { lease, asked } => {
+            Under::Renew { lease, requested } => {
                 let end = self.now + self.store.lasts;
                 let lives = self.store.leases.get_mut(&lease).map(|known| *known = end).is_some();
                 let renewed = Event::Renewed {
                     ttl: TIMES.ttl,
-                    asked: ms(asked),
+                    requested: ms(requested),
                 };
                 let event = if lives { renewed } else { Event::Lapsed(lease) };
                 if alive {
-                    self.answer(router, asked, Under::Hear(event), nothing);
+                    self.answer(router, requested, Under::Hear(event), nothing);
                 }
             }
             Under::Release { lease } => {
@@ -332,8 +332,8 @@
             }
             Under::Look if alive => {
                 let (changed, key) = (self.store.changed, self.store.key.clone());
-                let asked = self.now;
-                self.answer(router, asked, Under::Key { changed, key }, Under::Look);
+                let requested = self.now;
+                self.answer(router, requested, Under::Key { changed, key }, Under::Look);
             }
             _ => {}
         }
@@ -344,9 +344,9 @@
         let router = flight.router;
         match flight.what {
             Under::Hear(event) => self.hear(router, event),
-            Under::Granted { lease, asked } => {
-                let (ttl, asked) = (TIMES.ttl, ms(asked));
-                self.hear(router, Event::Granted { lease, ttl, asked });
+            Under::Granted { lease, requested } => {
+                let (ttl, requested) = (TIMES.ttl, ms(requested));
+                self.hear(router, Event::Granted { lease, ttl, requested });
                 let name = format!("vm-{router}/{}", flight.life);
                 self.call(router, Under::Claim { name, lease });
             }
@@ -357,7 +357,7 @@
             Under::Key { changed, key } => {
                 if self.routers[router].told != Some(changed) {
                     self.routers[router].told = Some(changed);
-                    self.hear(router, Event::Seen(key));
+                    self.hear(router, Event::KeyObserved(key));
                 }
                 self.call(router, Under::Look);
             }
--- a/crates/dispatch/tests/support/pool.rs
+++ b/crates/dispatch/tests/support/pool.rs
@@ -1,6 +1,6 @@
 //! A pool of engines whose weights a holder renews, simulated without I/O in steps of 10 ms.
 
-use dispatch::holder::{TURN_SLACK, Turns, listed};
+use dispatch::holder::{ForeignOrders, HANDOVER_SLACK, list_is_current};
 use dispatch::loading::{ANSWER, Loading, Next, OrderOutcome};
 use dispatch::rollout::{Ordered, Report, Runner, next_loads};
 use ids::EndpointId;
@@ -21,7 +21,7 @@
 /// How long it takes to write the list once more.
 const WRITE: u64 = 50;
 /// How long a successor leaves those alone that its predecessor may have ordered.
-const TURN: Duration = Duration::from_millis(TURN_BOUND).saturating_add(TURN_SLACK);
+const TURN: Duration = Duration::from_millis(TURN_BOUND).saturating_add(HANDOVER_SLACK);
 
 /// What comes over the pool.
 #[derive(Debug, Clone, Default)]
@@ -120,7 +120,7 @@
     engines: BTreeMap<EndpointId, Engine>,
     parts: BTreeMap<EndpointId, Part>,
     /// What the routers know of the holder's list.
-    turns: Turns,
+    turns: ForeignOrders,
     ended: BTreeMap<EndpointId, u64>,
     /// The list, and when it was told.
     listed: Vec<EndpointId>,
@@ -149,7 +149,7 @@
             engines: (0..trouble.engines).map(engine).collect(),
             trouble,
             parts: BTreeMap::new(),
-            turns: Turns::default(),
+            turns: ForeignOrders::default(),
             ended: BTreeMap::new(),
             listed: Vec::new(),
             told: 0,
@@ -198,7 +198,7 @@
             self.vacant = now + self.trouble.vacant;
             self.holder += 1;
             for id in std::mem::take(&mut self.listed) {
-                self.turns.other(&id, Duration::from_millis(self.told));
+                self.turns.record(&id, Duration::from_millis(self.told));
             }
             self.parts.clear();
             self.ended.clear();
@@ -253,7 +253,7 @@
 
     fn look(&mut self, id: &EndpointId, wanted: u64, now: u64) {
         let sent = Duration::from_millis(self.told);
-        let fresh = listed(Some(sent), Duration::from_millis(now));
+        let fresh = list_is_current(Some(sent), Duration::from_millis(now));
         let part = self.parts.get_mut(id).expect("it takes part");
         let engine = self.engines.get_mut(id).expect("it was listed");
         let at = Duration::from_millis(now);
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -7,7 +7,7 @@
 use crate::shared::Shared;
 use async_channel::Receiver;
 use dispatch::fleet::NameAge;
-use dispatch::holder::{Holder, Occupant, TIMES, Turns, fence};
+use dispatch::holder::{ForeignOrders, Holder, HolderRecord, TIMES, fence};
 use dispatch::rollout::Postponed;
 use dispatch::roster::{ListChange, Roster, RosterChange};
 use dispatch::site::Site;
@@ -118,7 +118,7 @@
     telling: Telling,
     /// When the list was sent that the store has.
     listed: Arc<Listed>,
-    turns: Turns,
+    turns: ForeignOrders,
     postponed: Postponed,
     /// Generation number of whoever holds the right to give orders.
     occupant: Option<Fence>,
@@ -149,7 +149,7 @@
             holding: Holding::default(),
             telling: Telling::default(),
             listed: Arc::default(),
-            turns: Turns::default(),
+            turns: ForeignOrders::default(),
             postponed: Postponed::default(),
             occupant: None,
             told: Holding::default(),
@@ -374,7 +374,7 @@
         if key == HOLDER_KEY {
             self.occupant = None;
             self.believe_loads();
-            self.holder_event(dispatch::holder::Event::Seen(None));
+            self.holder_event(dispatch::holder::Event::KeyObserved(None));
         }
     }
 
@@ -431,14 +431,14 @@
     fn occupied(&mut self, item: &Item) {
         let position = self.shared.relay.lock().log.position();
         let era = position.map_or(0, |position| position.era);
-        let occupant = Occupant {
+        let occupant = HolderRecord {
             name: String::from_utf8_lossy(&item.value).into_owned(),
             created: fence(era, item.created),
             lease: item.lease,
         };
         self.occupant = Some(occupant.created);
         self.believe_loads();
-        self.holder_event(dispatch::holder::Event::Seen(Some(occupant)));
+        self.holder_event(dispatch::holder::Event::KeyObserved(Some(occupant)));
     }
 
     /// What the holder says of endpoints.
@@ -454,11 +454,11 @@
             return;
         }
         for endpoint in holding.loading.iter().chain(&holding.recent) {
-            self.turns.other(endpoint, now);
+            self.turns.record(endpoint, now);
         }
         for (endpoint, age) in &holding.before {
             self.turns
-                .other(endpoint, now.saturating_sub(Duration::from_millis(*age)));
+                .record(endpoint, now.saturating_sub(Duration::from_millis(*age)));
         }
         self.believe(holding);
     }
--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -5,7 +5,7 @@
 use crate::orders;
 use crate::shared::Shared;
 use async_std::task;
-use dispatch::holder::{self, Step, TURN_SLACK, created};
+use dispatch::holder::{self, HANDOVER_SLACK, Step, created};
 use dispatch::rollout::{Runner, in_load_order, next_loads};
 use dispatch::site::EndpointEntry;
 use ids::{EndpointId, Fence, ModelId};
@@ -84,7 +84,7 @@
         self.telling.coming.clear();
         for (model, weights) in wanted {
             let runners = self.runners(&model);
-            let turn = self.shared.settings.load().bounds.turn() + TURN_SLACK;
+            let turn = self.shared.settings.load().bounds.turn() + HANDOVER_SLACK;
             let free: Vec<Runner> = runners
                 .into_iter()
                 .filter(|runner| self.turns.may_order(&runner.endpoint, turn, now))
@@ -194,14 +194,14 @@
             }
             return;
         };
-        let turn = self.shared.settings.load().bounds.turn() + TURN_SLACK;
+        let turn = self.shared.settings.load().bounds.turn() + HANDOVER_SLACK;
         self.leave_alone(turn, now);
         self.ended.retain(|_, at| now.saturating_sub(*at) < turn);
         self.holding.fence = fence;
         self.holding.loading = self.loading.iter().cloned().collect();
         self.holding.coming.clone_from(&self.telling.coming);
         self.holding.recent = self.ended.keys().cloned().collect();
-        let before = self.turns.lately(turn, now);
+        let before = self.turns.recent(turn, now);
         self.holding.before = before.map(|(id, age)| (id.clone(), age.as_millis() as u64)).collect();
         let mut loaded = std::mem::take(&mut self.holding.loaded);
         loaded.retain(|loaded| self.lives(loaded));
@@ -262,7 +262,7 @@
 }
 
 async fn acquire(shared: &Shared, client: &Client, name: String, ttl: Duration) {
-    let asked = shared.clock.now();
+    let requested = shared.clock.now();
     let granted = client.grant(ttl, CALL).await;
     count(shared, "grant", granted.is_ok());
     let Ok(granted) = granted else {
@@ -271,7 +271,7 @@
     };
     let lease = granted.lease;
     let ttl = granted.ttl;
-    send(shared, Event::Holder(holder::Event::Granted { lease, ttl, asked })).await;
+    send(shared, Event::Holder(holder::Event::Granted { lease, ttl, requested })).await;
     let transaction = Transaction {
         expected: vec![(HOLDER_KEY.to_owned(), 0)],
         writes: vec![Write {
@@ -291,11 +291,11 @@
 }
 
 async fn renew(shared: &Shared, client: &Client, lease: u64) {
-    let asked = shared.clock.now();
+    let requested = shared.clock.now();
     let renewed = client.renew(lease, CALL).await;
     count(shared, "renew", renewed.is_ok());
     let event = match renewed {
-        Ok(Some(ttl)) => holder::Event::Renewed { ttl, asked },
+        Ok(Some(ttl)) => holder::Event::Renewed { ttl, requested },
         Ok(None) => holder::Event::Lapsed(lease),
         // The lease goes on until it ends by the own clock.
         Err(_) => return,
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -8,7 +8,7 @@
 use async_std::future::timeout;
 use async_std::task;
 use dispatch::fleet::Outcome;
-use dispatch::holder::{Holder, listed};
+use dispatch::holder::{Holder, list_is_current};
 use dispatch::loading::{ANSWER, Loading, Next, OrderOutcome};
 use dispatch::rollout::{Ordered, Report};
 use dispatch::site::EndpointEntry;
@@ -119,7 +119,7 @@
 
     /// Whether the list is young enough for an order. It is written again if it is not.
     async fn is_listed(&self) -> bool {
-        let young = || listed(self.listed.sent(), self.shared.clock.now());
+        let young = || list_is_current(self.listed.sent(), self.shared.clock.now());
         if young() {
             return true;
         }
