--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -1,6 +1,6 @@
 //! The way of one endpoint to new weights: when it is looked at, ordered, and given up.
 
-use crate::rollout::{LoadStep, Ordered, Report, gives_up, load_step};
+use crate::rollout::{LoadStep, Report, SentOrder, load_step, should_give_up};
 use std::time::Duration;
 
 /// Pause between two looks at an endpoint.
@@ -57,9 +57,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Loading {
     /// The order that it is believed to carry out.
-    ordered: Option<Ordered>,
+    ordered: Option<SentOrder>,
     /// The first order without an answer since.
-    unanswered: Option<Ordered>,
+    unanswered: Option<SentOrder>,
     /// Orders without an answer in a row.
     silent: u32,
     misses: u32,
@@ -70,7 +70,7 @@
     pub fn looked(&mut self, report: Option<Report>, wanted: u64, now: Duration) -> Next {
         let Some(report) = report else {
             self.misses += 1;
-            return if gives_up(self.misses) {
+            return if should_give_up(self.misses) {
                 Next::Stop
             } else {
                 Next::Look(LOOK)
@@ -94,7 +94,7 @@
     /// Load pattern: half of the orders get no answer and are carried out seconds later, while every endpoint still has to load.
     /// Such an order is repeated at once: both expect the same count, so only one of the two takes effect, and the place of a load
     /// doesn't stay unused for seconds.
-    pub fn answered(&mut self, sent: Ordered, outcome: OrderOutcome) -> Next {
+    pub fn answered(&mut self, sent: SentOrder, outcome: OrderOutcome) -> Next {
         match outcome {
             OrderOutcome::Refused => Next::Stop,
             OrderOutcome::Taken => {
@@ -110,7 +110,7 @@
             }
             // The first one was taken, though its answer was lost: only what is reported from now on tells of it.
             OrderOutcome::Conflict => {
-                self.ordered = self.unanswered.take().map(|first| Ordered { at: sent.at, ..first });
+                self.ordered = self.unanswered.take().map(|first| SentOrder { at: sent.at, ..first });
                 Next::Look(FASTEST_LOAD + LOOK)
             }
         }
--- a/crates/dispatch/src/rollout.rs
+++ b/crates/dispatch/src/rollout.rs
@@ -17,7 +17,7 @@
 
 /// An endpoint that serves the model.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Runner {
+pub struct LoadCandidate {
     /// Which.
     pub endpoint: EndpointId,
     /// Number of its weights.
@@ -40,37 +40,39 @@
 /// store of weights serves only two at full speed in a small pool: an endpoint finishes what it runs first, for up to two seconds,
 /// so that few of them load at the same moment. Were they to run empty and wait for one of two places, these would stand empty
 /// while an endpoint with a long answer holds one, and who waits longest wouldn't get the next.
-fn taking_part(endpoints: usize) -> usize {
+fn concurrent_loads(endpoints: usize) -> usize {
     let part = LEAST_PART.min(endpoints / MOST_SHARE);
     part.max(endpoints / PART_SHARE).max(1)
 }
 
 /// How many get no long answers any more, since their turn is near. A third of a pool takes all its long answers.
-fn coming(endpoints: usize) -> usize {
+fn upcoming_loads(endpoints: usize) -> usize {
     let third = endpoints / 3;
-    (endpoints - third).saturating_sub(taking_part(endpoints)).min(third)
+    (endpoints - third)
+        .saturating_sub(concurrent_loads(endpoints))
+        .min(third)
 }
 
 /// Who takes part in a rollout.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Turn {
+pub struct LoadPlan {
     /// Endpoints that are to take part from now on, in order.
     pub begin: Vec<EndpointId>,
     /// Endpoints whose turn is near, in order.
-    pub coming: Vec<EndpointId>,
+    pub upcoming: Vec<EndpointId>,
 }
 
 /// Brings endpoints into the order in which those of the same weights load: those that generate long answers come last. They take longest
 /// to run empty, and their answers move away while the others load.
-pub fn in_load_order(runners: &mut [Runner]) {
+pub fn sort_by_load_order(runners: &mut [LoadCandidate]) {
     runners.sort_by_cached_key(|runner| rank(EndpointKey::from(&runner.endpoint)));
 }
 
 /// Whose turn it is, in the order of `runners` among those of the same weights. At least two thirds of all go on serving, unless
 /// there are fewer than three.
-pub fn next_loads(runners: &[Runner], wanted: u64, loading: &BTreeSet<EndpointId>) -> Turn {
-    let room = taking_part(runners.len()).saturating_sub(loading.len());
-    let mut behind: Vec<&Runner> = runners
+pub fn plan_loads(runners: &[LoadCandidate], wanted: u64, loading: &BTreeSet<EndpointId>) -> LoadPlan {
+    let room = concurrent_loads(runners.len()).saturating_sub(loading.len());
+    let mut behind: Vec<&LoadCandidate> = runners
         .iter()
         .filter(|runner| !runner.leaving && runner.weights < wanted && !loading.contains(&runner.endpoint))
         .collect();
@@ -78,8 +80,8 @@
     behind.sort_by_key(|runner| runner.weights);
     let mut order = behind.into_iter().map(|runner| runner.endpoint.clone());
     let begin = order.by_ref().take(room).collect();
-    let coming = order.take(coming(runners.len())).collect();
-    Turn { begin, coming }
+    let upcoming = order.take(upcoming_loads(runners.len())).collect();
+    LoadPlan { begin, upcoming }
 }
 
 /// What an endpoint says of itself.
@@ -95,7 +97,7 @@
 
 /// An order that was sent and not refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ordered {
+pub struct SentOrder {
     /// Count of orders it expected.
     pub expected: u64,
     /// Number of the weights.
@@ -121,7 +123,7 @@
 /// What follows a report of an endpoint that is to load `wanted`. An order that got no answer may be carried out seconds
 /// later; the count that each order expects lets only one of two take effect. Weights that were named after the order are
 /// another load: endpoints with older ones come first.
-pub fn load_step(report: &Report, wanted: u64, ordered: Option<Ordered>, now: Duration) -> LoadStep {
+pub fn load_step(report: &Report, wanted: u64, ordered: Option<SentOrder>, now: Duration) -> LoadStep {
     if report.busy {
         return LoadStep::Wait;
     }
@@ -129,7 +131,7 @@
     if report.weights.is_some_and(|weights| weights >= goal) {
         return LoadStep::Done;
     }
-    let recent = |order: Ordered| now.saturating_sub(order.at) < REPORT_LAG;
+    let recent = |order: SentOrder| now.saturating_sub(order.at) < REPORT_LAG;
     if ordered.is_some_and(recent) {
         return LoadStep::Wait;
     }
@@ -144,7 +146,7 @@
 const POSTPONED: Duration = Duration::from_secs(3);
 
 /// Whether a load is given up after this many reports in a row that could not be had.
-pub fn gives_up(misses: u32) -> bool {
+pub fn should_give_up(misses: u32) -> bool {
     misses >= MOST_MISSES
 }
 
@@ -154,11 +156,11 @@
 /// oldest weights, and so come first. Without a pause they take up all the room for loads, the others keep old weights, and are
 /// left out in the end for those.
 #[derive(Debug, Clone, Default)]
-pub struct Postponed(BTreeMap<EndpointId, Duration>);
+pub struct LoadBackoff(BTreeMap<EndpointId, Duration>);
 
-impl Postponed {
+impl LoadBackoff {
     /// A load failed.
-    pub fn failed(&mut self, endpoint: EndpointId, now: Duration) {
+    pub fn record_failure(&mut self, endpoint: EndpointId, now: Duration) {
         self.0.retain(|_, at| now.saturating_sub(*at) < POSTPONED);
         self.0.insert(endpoint, now);
     }
--- a/crates/dispatch/tests/loading.rs
+++ b/crates/dispatch/tests/loading.rs
@@ -4,7 +4,7 @@
 
 use dispatch::holder::TIMES;
 use dispatch::loading::{ANSWER, Loading, Next, OrderOutcome};
-use dispatch::rollout::{Ordered, Report};
+use dispatch::rollout::{Report, SentOrder};
 use std::time::Duration;
 use support::pool::{BOUND, Pool, Trouble};
 
@@ -206,7 +206,7 @@
         let mut next = loading.looked(Some(report), 2, now);
         if let Next::Order { expected } = next {
             orders += 1;
-            let sent = Ordered {
+            let sent = SentOrder {
                 expected,
                 weights: 2,
                 at: now,
--- a/crates/dispatch/tests/rollout.rs
+++ b/crates/dispatch/tests/rollout.rs
@@ -3,15 +3,17 @@
 mod support;
 
 use dispatch::fleet::Prompt;
-use dispatch::rollout::{LoadStep, Ordered, Postponed, Report, Runner, gives_up, in_load_order, load_step, next_loads};
+use dispatch::rollout::{
+    LoadBackoff, LoadCandidate, LoadStep, Report, SentOrder, load_step, plan_loads, should_give_up, sort_by_load_order,
+};
 use dispatch::site::EndpointEntry;
 use ids::{EndpointId, Incarnation};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use support::fleet::{at, entry, fleet, prompt, send};
 
-fn runner(name: &str, weights: u64, leaving: bool) -> Runner {
-    Runner {
+fn runner(name: &str, weights: u64, leaving: bool) -> LoadCandidate {
+    LoadCandidate {
         endpoint: EndpointId::from(name),
         weights,
         leaving,
@@ -27,11 +29,11 @@
 #[test]
 fn the_oldest_load_first_and_most_go_on_serving() {
     struct Case {
-        runners: Vec<Runner>,
+        runners: Vec<LoadCandidate>,
         loading: &'static [&'static str],
         expected: &'static [&'static str],
     }
-    let nine: Vec<Runner> = (0..9).map(|at| runner(&format!("e{at}"), 1 + at % 3, false)).collect();
+    let nine: Vec<LoadCandidate> = (0..9).map(|at| runner(&format!("e{at}"), 1 + at % 3, false)).collect();
     let cases = [
         Case {
             runners: nine.clone(),
@@ -66,7 +68,7 @@
     ];
     for case in cases {
         let expected: Vec<EndpointId> = case.expected.iter().map(|name| EndpointId::from(*name)).collect();
-        assert_eq!(next_loads(&case.runners, 4, &ids(case.loading)).begin, expected);
+        assert_eq!(plan_loads(&case.runners, 4, &ids(case.loading)).begin, expected);
     }
 }
 
@@ -77,56 +79,56 @@
     struct Case {
         endpoints: usize,
         begin: usize,
-        coming: usize,
+        upcoming: usize,
     }
     let cases = [
         Case {
             endpoints: 1,
             begin: 1,
-            coming: 0,
+            upcoming: 0,
         },
         Case {
             endpoints: 3,
             begin: 1,
-            coming: 1,
+            upcoming: 1,
         },
         Case {
             endpoints: 9,
             begin: 3,
-            coming: 3,
+            upcoming: 3,
         },
         Case {
             endpoints: 12,
             begin: 4,
-            coming: 4,
+            upcoming: 4,
         },
         Case {
             endpoints: 90,
             begin: 18,
-            coming: 30,
+            upcoming: 30,
         },
         Case {
             endpoints: 140,
             begin: 28,
-            coming: 46,
+            upcoming: 46,
         },
     ];
     for case in cases {
-        let runners: Vec<Runner> = (0..case.endpoints)
+        let runners: Vec<LoadCandidate> = (0..case.endpoints)
             .map(|at| runner(&format!("e{at:03}"), 1, false))
             .collect();
-        let turn = next_loads(&runners, 2, &BTreeSet::new());
+        let plan = plan_loads(&runners, 2, &BTreeSet::new());
         assert_eq!(
-            (turn.begin.len(), turn.coming.len()),
-            (case.begin, case.coming),
+            (plan.begin.len(), plan.upcoming.len()),
+            (case.begin, case.upcoming),
             "of {}",
             case.endpoints
         );
-        let order: Vec<&EndpointId> = turn.begin.iter().chain(&turn.coming).collect();
+        let order: Vec<&EndpointId> = plan.begin.iter().chain(&plan.upcoming).collect();
         assert!(order.is_sorted(), "those that come next follow in order");
         // Once the first ones load, the next ones are still those that were told.
-        let loading = turn.begin.iter().cloned().collect();
-        assert_eq!(next_loads(&runners, 2, &loading).coming, turn.coming);
+        let loading = plan.begin.iter().cloned().collect();
+        assert_eq!(plan_loads(&runners, 2, &loading).upcoming, plan.upcoming);
     }
 }
 
@@ -136,7 +138,7 @@
 fn an_order_expects_the_count_of_the_newest_report() {
     struct Case {
         report: Report,
-        ordered: Option<Ordered>,
+        ordered: Option<SentOrder>,
         now: u64,
         expected: LoadStep,
     }
@@ -145,7 +147,7 @@
         busy: false,
         orders: 5,
     };
-    let order = Some(Ordered {
+    let order = Some(SentOrder {
         expected: 5,
         weights: 3,
         at: Duration::from_secs(1),
@@ -229,30 +231,30 @@
 #[test]
 fn endpoints_whose_loads_fail_wait_behind_the_others() {
     let crashed = ids(&["e0", "e1", "e2", "e3"]);
-    let runners: Vec<Runner> = (0..12).map(|at| runner(&format!("e{at:x}"), 1, false)).collect();
-    let mut postponed = Postponed::default();
+    let runners: Vec<LoadCandidate> = (0..12).map(|at| runner(&format!("e{at:x}"), 1, false)).collect();
+    let mut backoff = LoadBackoff::default();
     let at = Duration::from_millis;
     for endpoint in &crashed {
-        postponed.failed(endpoint.clone(), at(1_000));
+        backoff.record_failure(endpoint.clone(), at(1_000));
     }
-    let begin = |postponed: &Postponed, now: u64| {
-        let may = |runner: &&Runner| postponed.may_load(&runner.endpoint, at(now));
-        let free: Vec<Runner> = runners.iter().filter(may).cloned().collect();
-        next_loads(&free, 2, &BTreeSet::new()).begin
+    let begin = |backoff: &LoadBackoff, now: u64| {
+        let may = |runner: &&LoadCandidate| backoff.may_load(&runner.endpoint, at(now));
+        let free: Vec<LoadCandidate> = runners.iter().filter(may).cloned().collect();
+        plan_loads(&free, 2, &BTreeSet::new()).begin
     };
-    let first = begin(&postponed, 1_000);
+    let first = begin(&backoff, 1_000);
     assert!(!first.is_empty() && first.iter().all(|endpoint| !crashed.contains(endpoint)));
     // One that is back gets its turn.
-    assert_eq!(begin(&postponed, 4_000)[0], EndpointId::from("e0"));
-    assert!(!gives_up(1), "one report may be lost");
-    assert!(gives_up(2));
+    assert_eq!(begin(&backoff, 4_000)[0], EndpointId::from("e0"));
+    assert!(!should_give_up(1), "one report may be lost");
+    assert!(should_give_up(2));
 }
 
 /// Endpoints with long answers take seconds to run empty; ordered first, they stand idle for most of the rollout.
 #[test]
 fn endpoints_with_long_answers_load_last() {
-    let mut runners: Vec<Runner> = (0..9).map(|at| runner(&format!("e{at}"), 1, false)).collect();
-    in_load_order(&mut runners);
+    let mut runners: Vec<LoadCandidate> = (0..9).map(|at| runner(&format!("e{at}"), 1, false)).collect();
+    sort_by_load_order(&mut runners);
     let entry = |at| EndpointEntry {
         slots: 64,
         ..entry(&format!("e{at}"), 1)
--- a/crates/dispatch/tests/support/pool.rs
+++ b/crates/dispatch/tests/support/pool.rs
@@ -2,7 +2,7 @@
 
 use dispatch::holder::{ForeignOrders, HANDOVER_SLACK, list_is_current};
 use dispatch::loading::{ANSWER, Loading, Next, OrderOutcome};
-use dispatch::rollout::{Ordered, Report, Runner, next_loads};
+use dispatch::rollout::{LoadCandidate, Report, SentOrder, plan_loads};
 use ids::EndpointId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -111,7 +111,7 @@
     /// When it is looked at next.
     look: u64,
     /// When an order that gets no answer is given up.
-    waits: Option<(u64, Ordered)>,
+    waits: Option<(u64, SentOrder)>,
 }
 
 /// A simulated rollout.
@@ -218,14 +218,14 @@
     fn begin(&mut self, wanted: u64, now: u64) {
         let at = Duration::from_millis(now);
         let free = |id: &&EndpointId| self.turns.may_order(id, TURN, at);
-        let runner = |id: &EndpointId| Runner {
+        let runner = |id: &EndpointId| LoadCandidate {
             endpoint: id.clone(),
             weights: self.engines[id].weights,
             leaving: false,
         };
-        let runners: Vec<Runner> = self.engines.keys().filter(free).map(runner).collect();
+        let runners: Vec<LoadCandidate> = self.engines.keys().filter(free).map(runner).collect();
         let loading: BTreeSet<EndpointId> = self.parts.keys().cloned().collect();
-        let begin = next_loads(&runners, wanted, &loading).begin;
+        let begin = plan_loads(&runners, wanted, &loading).begin;
         let changed = !begin.is_empty();
         for id in begin {
             let part = Part {
@@ -273,7 +273,7 @@
             let crossed = |(holder, at): (u64, u64)| holder != self.holder && now < at + TURN_BOUND;
             self.crossed += u64::from(engine.last.is_some_and(crossed));
             engine.last = Some((self.holder, now));
-            let sent = Ordered {
+            let sent = SentOrder {
                 expected,
                 weights: wanted,
                 at,
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -8,7 +8,7 @@
 use async_channel::Receiver;
 use dispatch::fleet::NameAge;
 use dispatch::holder::{ForeignOrders, Holder, HolderRecord, TIMES, fence};
-use dispatch::rollout::Postponed;
+use dispatch::rollout::LoadBackoff;
 use dispatch::roster::{ListChange, Roster, RosterChange};
 use dispatch::site::Site;
 use dispatch::uptime::Span;
@@ -119,7 +119,7 @@
     /// When the list was sent that the store has.
     listed: Arc<Listed>,
     turns: ForeignOrders,
-    postponed: Postponed,
+    postponed: LoadBackoff,
     /// Generation number of whoever holds the right to give orders.
     occupant: Option<Fence>,
     /// What a holder said last; of a dead one only who was ordered counts.
@@ -150,7 +150,7 @@
             telling: Telling::default(),
             listed: Arc::default(),
             turns: ForeignOrders::default(),
-            postponed: Postponed::default(),
+            postponed: LoadBackoff::default(),
             occupant: None,
             told: Holding::default(),
             shown: None,
--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -6,7 +6,7 @@
 use crate::shared::Shared;
 use async_std::task;
 use dispatch::holder::{self, HANDOVER_SLACK, Step, created};
-use dispatch::rollout::{Runner, in_load_order, next_loads};
+use dispatch::rollout::{LoadCandidate, plan_loads, sort_by_load_order};
 use dispatch::site::EndpointEntry;
 use ids::{EndpointId, Fence, ModelId};
 use std::sync::Arc;
@@ -85,13 +85,13 @@
         for (model, weights) in wanted {
             let runners = self.runners(&model);
             let turn = self.shared.settings.load().bounds.turn() + HANDOVER_SLACK;
-            let free: Vec<Runner> = runners
+            let free: Vec<LoadCandidate> = runners
                 .into_iter()
                 .filter(|runner| self.turns.may_order(&runner.endpoint, turn, now))
                 .filter(|runner| self.postponed.may_load(&runner.endpoint, now))
                 .collect();
-            let turn = next_loads(&free, weights, &self.loading);
-            self.telling.coming.extend(turn.coming);
+            let turn = plan_loads(&free, weights, &self.loading);
+            self.telling.coming.extend(turn.upcoming);
             for endpoint in turn.begin {
                 self.loading.insert(endpoint.clone());
                 self.telling.begin.push((endpoint, model.clone()));
@@ -102,18 +102,18 @@
         }
     }
 
-    fn runners(&self, model: &ModelId) -> Vec<Runner> {
+    fn runners(&self, model: &ModelId) -> Vec<LoadCandidate> {
         let fleet = self.shared.fleet();
         let runner = |entry: &Arc<EndpointEntry>| {
             let weights = fleet.weights(&entry.id, model)?;
-            Some(Runner {
+            Some(LoadCandidate {
                 endpoint: entry.id.clone(),
                 weights,
                 leaving: entry.leaving,
             })
         };
-        let mut runners: Vec<Runner> = self.roster.all().filter_map(runner).collect();
-        in_load_order(&mut runners);
+        let mut runners: Vec<LoadCandidate> = self.roster.all().filter_map(runner).collect();
+        sort_by_load_order(&mut runners);
         runners
     }
 
@@ -146,7 +146,7 @@
             }
             // Without the right to order, the failure is this router's.
             None if self.lock_holder().may_order(now).is_none() => {}
-            None => self.postponed.failed(endpoint, now),
+            None => self.postponed.record_failure(endpoint, now),
         }
         self.give_orders(now);
         self.tell();
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -10,7 +10,7 @@
 use dispatch::fleet::Outcome;
 use dispatch::holder::{Holder, list_is_current};
 use dispatch::loading::{ANSWER, Loading, Next, OrderOutcome};
-use dispatch::rollout::{Ordered, Report};
+use dispatch::rollout::{Report, SentOrder};
 use dispatch::site::EndpointEntry;
 use http::raw::{ExchangeError, Headers};
 use ids::{Fence, ModelId};
@@ -154,7 +154,7 @@
     }
 
     /// Sends an order. `None` if this router may not give any more.
-    async fn order(&self, weights: u64, expected: u64) -> Option<(Ordered, OrderOutcome)> {
+    async fn order(&self, weights: u64, expected: u64) -> Option<(SentOrder, OrderOutcome)> {
         let at = self.shared.clock.now();
         let fence = self.may_order()?;
         let order = WeightsOrder {
@@ -190,7 +190,7 @@
             outcome = name(outcome);
             "orders: given"
         );
-        Some((Ordered { expected, weights, at }, outcome))
+        Some((SentOrder { expected, weights, at }, outcome))
     }
 }
 
