--- a/crates/dispatch/src/prefixes.rs
+++ b/crates/dispatch/src/prefixes.rs
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PrefixEvents {
     /// The store's life; another one begins empty. 0 if none is known.
-    pub life: u64,
+    pub incarnation: u64,
     /// Number to ask on from.
     pub next: u64,
     /// Whether events are missing before these.
@@ -90,18 +90,18 @@
 
 impl PrefixStores {
     /// Where the stores are; new ones are believed empty.
-    pub fn located(&mut self, addresses: &[SocketAddr]) {
+    pub fn set_addresses(&mut self, addresses: &[SocketAddr]) {
         self.0.retain(|address, _| addresses.contains(address));
         for address in addresses {
             let store = self.0.entry(*address).or_default();
-            store.located(Some(*address));
+            store.set_address(Some(*address));
         }
     }
 
     /// A store answered. One that the document doesn't name any more is not believed.
-    pub fn told(&mut self, address: SocketAddr, page: &PrefixEvents, now: Duration) {
+    pub fn apply(&mut self, address: SocketAddr, page: &PrefixEvents, now: Duration) {
         if let Some(store) = self.0.get_mut(&address) {
-            store.told(page, now);
+            store.apply(page, now);
         }
     }
 
@@ -112,7 +112,9 @@
 
     /// The stores, each with its life and the number of the first event that is not known.
     pub fn positions(&self) -> impl Iterator<Item = (SocketAddr, u64, u64)> {
-        self.0.iter().map(|(address, store)| (*address, store.life, store.next))
+        self.0
+            .iter()
+            .map(|(address, store)| (*address, store.incarnation, store.next))
     }
 
     /// What to tell the engine that gets a prompt of these shared parts, made under a scope. Each innermost part has its own place;
@@ -145,7 +147,7 @@
     address: Option<SocketAddr>,
     /// Its address in hashes, kept since every request ranks all stores by it.
     key: EndpointKey,
-    life: u64,
+    incarnation: u64,
     next: u64,
     answered: Option<Duration>,
     parts: HashMap<PartKey, Held>,
@@ -153,7 +155,7 @@
 
 impl PrefixStore {
     /// Where the store is, if there is one; another one is believed empty.
-    pub fn located(&mut self, address: Option<SocketAddr>) {
+    pub fn set_address(&mut self, address: Option<SocketAddr>) {
         if address != self.address {
             let text = address.map(|address| address.to_string()).unwrap_or_default();
             *self = Self {
@@ -169,12 +171,12 @@
     }
 
     /// The store answered.
-    pub fn told(&mut self, page: &PrefixEvents, now: Duration) {
+    pub fn apply(&mut self, page: &PrefixEvents, now: Duration) {
         self.answered = Some(now);
         self.next = page.next;
-        if page.life != self.life || self.parts.len() > MOST_PARTS {
+        if page.incarnation != self.incarnation || self.parts.len() > MOST_PARTS {
             self.parts.clear();
-            self.life = page.life;
+            self.incarnation = page.incarnation;
         }
         for event in &page.events {
             if event.held {
--- a/crates/dispatch/tests/prefixes.rs
+++ b/crates/dispatch/tests/prefixes.rs
@@ -18,14 +18,14 @@
     Duration::from_millis(ms)
 }
 
-fn page(life: u64, gap: bool, held: &[(bool, u64)]) -> PrefixEvents {
+fn page(incarnation: u64, gap: bool, held: &[(bool, u64)]) -> PrefixEvents {
     let event = |(held, part): &(bool, u64)| PrefixEvent {
         number: 1,
         held: *held,
         part: PartKey::new("3", *part),
     };
     PrefixEvents {
-        life,
+        incarnation,
         next: 9,
         gap,
         events: held.iter().map(event).collect(),
@@ -34,9 +34,9 @@
 
 fn store(pages: &[PrefixEvents]) -> PrefixStore {
     let mut store = PrefixStore::default();
-    store.located(Some(address()));
+    store.set_address(Some(address()));
     for page in pages {
-        store.told(page, at(0));
+        store.apply(page, at(0));
     }
     store
 }
@@ -63,11 +63,11 @@
     check(&mut store, "3", 0, true, true);
     check(&mut store, "3", 100, true, false);
     // No event came: it was not sent after all.
-    store.told(&page(1, false, &[]), at(1_400));
+    store.apply(&page(1, false, &[]), at(1_400));
     check(&mut store, "3", 1_600, true, true);
-    store.told(&page(1, false, &[(true, 1), (true, 2)]), at(1_700));
+    store.apply(&page(1, false, &[(true, 1), (true, 2)]), at(1_700));
     check(&mut store, "3", 1_800, true, false);
-    store.told(&page(1, false, &[(false, 2)]), at(1_900));
+    store.apply(&page(1, false, &[(false, 2)]), at(1_900));
     check(&mut store, "3", 2_000, true, true);
 }
 
@@ -94,7 +94,7 @@
     let mut store = store(&[page(1, false, &[(true, 1), (true, 2)]), page(1, true, &[])]);
     check(&mut store, "3", 1_000, true, false);
     for at_ms in (2_000..=16_000).step_by(1_000) {
-        store.told(&page(1, true, &[]), at(at_ms));
+        store.apply(&page(1, true, &[]), at(at_ms));
     }
     check(&mut store, "3", 15_900, true, false);
     check(&mut store, "3", 16_000, true, true);
@@ -148,7 +148,7 @@
     let mut store = store(&[page(1, false, &[(true, 1), (true, 2)])]);
     check(&mut store, "3", 1_499, true, false);
     check(&mut store, "3", 1_500, false, false);
-    store.located(None);
+    store.set_address(None);
     check(&mut store, "3", 100, false, false);
 }
 
@@ -173,9 +173,9 @@
     let mut first = PrefixStores::default();
     let mut second = PrefixStores::default();
     for stores in [&mut first, &mut second] {
-        stores.located(&addresses);
+        stores.set_addresses(&addresses);
         for address in &addresses {
-            stores.told(*address, &page(1, false, &[]), at(0));
+            stores.apply(*address, &page(1, false, &[]), at(0));
         }
     }
     let kept = places(&mut first, 10);
@@ -192,21 +192,21 @@
 fn a_dead_stores_prefixes_go_to_the_others() {
     let addresses = stores(3);
     let mut stores = PrefixStores::default();
-    stores.located(&addresses);
+    stores.set_addresses(&addresses);
     for address in &addresses {
-        stores.told(*address, &page(1, false, &[]), at(0));
+        stores.apply(*address, &page(1, false, &[]), at(0));
     }
     let before = places(&mut stores, 10);
     let dead = addresses[0];
     for address in &addresses[1..] {
-        stores.told(*address, &page(1, false, &[]), at(1_500));
+        stores.apply(*address, &page(1, false, &[]), at(1_500));
     }
     let after = places(&mut stores, 1_600);
     for (before, after) in before.into_iter().zip(after) {
         assert_ne!(after, Some(dead));
         assert!(after.is_some() && (before == Some(dead) || before == after));
     }
-    stores.located(&addresses[1..2]);
+    stores.set_addresses(&addresses[1..2]);
     assert!(
         places(&mut stores, 1_700)
             .iter()
@@ -220,9 +220,9 @@
 fn an_isolated_workspaces_sessions_stay_together() {
     let addresses = stores(3);
     let mut stores = PrefixStores::default();
-    stores.located(&addresses);
+    stores.set_addresses(&addresses);
     for address in &addresses {
-        stores.told(*address, &page(1, false, &[]), at(0));
+        stores.apply(*address, &page(1, false, &[]), at(0));
     }
     let mut used = std::collections::BTreeSet::new();
     for workspace in ["paper", "wheat", "bags", "rice", "ink", "glue"].map(WorkspaceId::from) {
--- a/crates/gateway/src/follow/prefixes.rs
+++ b/crates/gateway/src/follow/prefixes.rs
@@ -56,7 +56,7 @@
         task::sleep(pace).await;
         let stores = shared.site.load().as_ref().map(|site| site.prefix_stores());
         let stores = stores.unwrap_or_default();
-        shared.prefixes().located(&stores);
+        shared.prefixes().set_addresses(&stores);
         shared.relay.keep_prefixes(&stores);
         if !shared.watches.load(Ordering::SeqCst) {
             follow_leader(&shared, &mut leader).await;
@@ -89,7 +89,7 @@
                 failing = false;
                 pace = if page.events.len() >= MANY { BUSY_PACE } else { PACE };
                 shared.relay.prefixes(store, &page);
-                shared.prefixes().told(store, &page, shared.clock.now());
+                shared.prefixes().apply(store, &page, shared.clock.now());
             }
             Ok(None) => {}
             Err(why) => {
@@ -136,7 +136,7 @@
                 for page in pages {
                     let told = relay::events(&page);
                     shared.relay.prefixes(page.store, &told);
-                    shared.prefixes().told(page.store, &told, now);
+                    shared.prefixes().apply(page.store, &told, now);
                 }
                 return;
             }
--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -67,10 +67,10 @@
     pub fn prefixes(&self, store: SocketAddr, page: &PrefixEvents) {
         let mut known = self.lock();
         let kept = known.prefixes.entry(store).or_default();
-        if kept.life != page.life {
+        if kept.incarnation != page.incarnation {
             *kept = PrefixEvents::default();
         }
-        kept.life = page.life;
+        kept.incarnation = page.incarnation;
         kept.next = page.next;
         kept.events.extend(page.events.iter().cloned());
         let old = kept.events.len().saturating_sub(PREFIX_EVENTS);
@@ -118,7 +118,7 @@
     fn prefixes_since(&self, follow: &PrefixFollow) -> Option<PrefixPage> {
         let kept = self.prefixes.get(&follow.store)?;
         let first = kept.events.first().map_or(kept.next, |event| event.number);
-        let gap = follow.life != kept.life || follow.next < first;
+        let gap = follow.life != kept.incarnation || follow.next < first;
         let newer = kept.events.iter().filter(|event| gap || event.number >= follow.next);
         // What became of a part last is what counts.
         let states: BTreeMap<PartKey, bool> = newer.map(|event| (event.part, event.held)).collect();
@@ -128,7 +128,7 @@
         };
         Some(PrefixPage {
             store: follow.store,
-            life: kept.life,
+            life: kept.incarnation,
             next: kept.next,
             held: parts(true),
             gone: parts(false),
@@ -272,7 +272,7 @@
     };
     let gone = page.gone.iter().map(event(false));
     PrefixEvents {
-        life: page.life,
+        incarnation: page.life,
         next: page.next,
         gap: false,
         events: gone.chain(page.held.iter().map(event(true))).collect(),
