--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -425,13 +425,16 @@
     /// A request's first attempt at a service.
     pub fn first_attempt(&mut self, service: &ServiceId, now: Duration) {
         let window = self.settings.retries.window;
-        self.meters.entry(service.clone()).or_default().first(window, now);
+        self.meters
+            .entry(service.clone())
+            .or_default()
+            .record_request(window, now);
     }
 
     /// Whether one more attempt may be made at a service; it is counted if so.
     pub fn another_attempt(&mut self, service: &ServiceId, now: Duration) -> bool {
         let limits = self.settings.retries;
-        self.meters.entry(service.clone()).or_default().again(&limits, now)
+        self.meters.entry(service.clone()).or_default().try_retry(&limits, now)
     }
 
     /// How far weights of a model are behind the newest, for logs.
--- a/crates/dispatch/src/freshness.rs
+++ b/crates/dispatch/src/freshness.rs
@@ -20,7 +20,7 @@
     }
 
     /// Whether everything that was acknowledged more than `bound` ago is known.
-    pub fn holds(&self, bound: Duration, now: Duration) -> bool {
+    pub fn is_fresh(&self, bound: Duration, now: Duration) -> bool {
         self.confirmed
             .is_some_and(|confirmed| now.saturating_sub(confirmed) < bound)
     }
--- a/crates/dispatch/src/retries.rs
+++ b/crates/dispatch/src/retries.rs
@@ -58,12 +58,12 @@
 
 impl RetryMeter {
     /// A request's first attempt.
-    pub fn first(&mut self, window: Duration, now: Duration) {
+    pub fn record_request(&mut self, window: Duration, now: Duration) {
         self.bucket(window, now).requests += 1;
     }
 
     /// Counts one more attempt if the budget allows it.
-    pub fn again(&mut self, limits: &RetryLimits, now: Duration) -> bool {
+    pub fn try_retry(&mut self, limits: &RetryLimits, now: Duration) -> bool {
         self.bucket(limits.window, now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         let again: u32 = self.buckets.iter().map(|bucket| bucket.again).sum();
--- a/crates/dispatch/tests/freshness.rs
+++ b/crates/dispatch/tests/freshness.rs
@@ -57,7 +57,7 @@
             freshness.confirm(at(*sent));
         }
         assert_eq!(
-            freshness.holds(BOUND, at(case.now)),
+            freshness.is_fresh(BOUND, at(case.now)),
             case.holds,
             "{:?} at {}",
             case.sent,
--- a/crates/dispatch/tests/freshness_model.rs
+++ b/crates/dispatch/tests/freshness_model.rs
@@ -150,7 +150,7 @@
     fn check(&self) -> Result<(), String> {
         let now = self.now;
         for (at, router) in self.routers.iter().enumerate() {
-            let holds = router.freshness.holds(ms(BOUND), ms(now));
+            let holds = router.freshness.is_fresh(ms(BOUND), ms(now));
             let missing = self
                 .acknowledged
                 .iter()
--- a/crates/dispatch/tests/retries.rs
+++ b/crates/dispatch/tests/retries.rs
@@ -22,8 +22,8 @@
     let mut again = 0;
     for request in 0..1_000_u64 {
         let now = Duration::from_millis(request * 10);
-        meter.first(WINDOW, now);
-        again += u32::from(meter.again(&LIMITS, now));
+        meter.record_request(WINDOW, now);
+        again += u32::from(meter.try_retry(&LIMITS, now));
     }
     assert!((150..=200).contains(&again), "{again} of 1000 were repeated");
 }
@@ -40,14 +40,14 @@
             let mut total = 0;
             for _ in 0..routers {
                 let mut meter = RetryMeter::default();
-                total += (0..200).filter(|_| meter.again(&limits, Duration::ZERO)).count();
+                total += (0..200).filter(|_| meter.try_retry(&limits, Duration::ZERO)).count();
             }
             assert!(total <= 113, "{total} attempts of {routers} routers without a request");
         }
     }
     let mut meter = RetryMeter::default();
     assert!(
-        meter.again(&LIMITS, Duration::ZERO),
+        meter.try_retry(&LIMITS, Duration::ZERO),
         "a router without requests may repeat none"
     );
 }
@@ -61,9 +61,9 @@
         for (again, pause) in steps {
             now += Duration::from_millis(u64::from(pause % 700));
             if !again {
-                meter.first(WINDOW, now);
+                meter.record_request(WINDOW, now);
                 firsts.push(now);
-            } else if meter.again(&LIMITS, now) {
+            } else if meter.try_retry(&LIMITS, now) {
                 agains.push(now);
             }
         }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -154,7 +154,7 @@
             return true;
         };
         let now = self.clock.now();
-        self.freshness().holds(bound, now)
+        self.freshness().is_fresh(bound, now)
     }
 
     /// Resolves once no new request is taken any more.
