--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RosterChange {
     /// In service, newly or with other properties.
-    Serves(Arc<EndpointEntry>),
+    InService(Arc<EndpointEntry>),
     /// Its entry is missing and may have lapsed in an outage: it stays in service until then.
     Missing {
         /// Which.
@@ -52,7 +52,7 @@
         until: Duration,
     },
     /// Gone.
-    Gone(EndpointId),
+    Removed(EndpointId),
 }
 
 /// Endpoints in service.
@@ -72,7 +72,7 @@
 
 impl Roster {
     /// Endpoints of a service.
-    pub fn of<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a Arc<EndpointEntry>> {
+    pub fn for_service<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a Arc<EndpointEntry>> {
         self.entries.values().filter(move |entry| entry.service == *service)
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// The store answered another router. Returns what is gone by that: its entry went while the store answered.
-    pub fn store_witnessed(&mut self, answers: Span, now: Duration) -> Vec<RosterChange> {
+    pub fn store_answered_other(&mut self, answers: Span, now: Duration) -> Vec<RosterChange> {
         // Whoever has not noticed that the store came back from a copy would take lost entries for removed ones.
         if !self.restored_within(REGISTER_AGAIN, now) {
             self.uptime.witness(answers);
@@ -130,7 +130,7 @@
     }
 
     /// One change of the list.
-    pub fn change(&mut self, change: ListChange, now: Duration) -> Option<RosterChange> {
+    pub fn apply(&mut self, change: ListChange, now: Duration) -> Option<RosterChange> {
         match change {
             ListChange::Listed(entry) => {
                 self.missing.remove(&entry.id);
@@ -158,7 +158,7 @@
             .filter(|id| !present.contains(id))
             .cloned()
             .collect();
-        let mut changes: Vec<_> = list.into_iter().filter_map(|change| self.change(change, now)).collect();
+        let mut changes: Vec<_> = list.into_iter().filter_map(|change| self.apply(change, now)).collect();
         changes.extend(lost.into_iter().filter_map(|id| self.remove(id, now)));
         changes
     }
@@ -179,7 +179,7 @@
         if let Some(entry) = self.entries.remove(&id) {
             self.gone.insert(id.clone(), (entry.incarnation, now));
         }
-        RosterChange::Gone(id)
+        RosterChange::Removed(id)
     }
 
     fn restored_within(&self, time: Duration, now: Duration) -> bool {
@@ -212,7 +212,7 @@
         }
         let entry = Arc::new(entry);
         self.entries.insert(entry.id.clone(), entry.clone());
-        Some(RosterChange::Serves(entry))
+        Some(RosterChange::InService(entry))
     }
 
     fn remove(&mut self, id: EndpointId, now: Duration) -> Option<RosterChange> {
--- a/crates/dispatch/tests/drain_model.rs
+++ b/crates/dispatch/tests/drain_model.rs
@@ -150,7 +150,7 @@
 
     fn tell(&mut self, change: ListChange) {
         self.answered();
-        self.roster.change(change, ms(self.now));
+        self.roster.apply(change, ms(self.now));
     }
 
     /// Another router, which reaches the store, tells since when.
@@ -159,7 +159,7 @@
             from: ms(self.up),
             until: ms(self.now),
         };
-        self.roster.store_witnessed(answers, ms(self.now));
+        self.roster.store_answered_other(answers, ms(self.now));
     }
 
     /// The store has a new entry, and the router hears of it.
--- a/crates/dispatch/tests/roster.rs
+++ b/crates/dispatch/tests/roster.rs
@@ -67,7 +67,7 @@
     let mut roster = after_outage();
     roster.replace(Vec::new(), at(6_000));
     assert_eq!(serving(&roster), ["a", "b"]);
-    roster.change(ListChange::Listed(entry("a", false)), at(7_000));
+    roster.apply(ListChange::Listed(entry("a", false)), at(7_000));
     roster.tick(at(8_400));
     assert_eq!(serving(&roster), ["a", "b"]);
     roster.tick(at(8_500));
@@ -81,19 +81,19 @@
     calm.store_answered(answer(0));
     calm.replace(vec![ListChange::Listed(entry("a", false))], at(0));
     calm.store_answered(answer(100));
-    calm.change(removed("a"), at(100));
+    calm.apply(removed("a"), at(100));
     assert!(serving(&calm).is_empty());
 
     let mut left = after_outage();
-    left.change(ListChange::Listed(entry("a", true)), at(6_100));
-    left.change(removed("a"), at(6_200));
+    left.apply(ListChange::Listed(entry("a", true)), at(6_100));
+    left.apply(removed("a"), at(6_200));
     assert_eq!(serving(&left), ["b"]);
 
     let mut later = after_outage();
     for ms in [7_000, 8_000, 9_000] {
         later.store_answered(answer(ms));
     }
-    later.change(removed("b"), at(9_000));
+    later.apply(removed("b"), at(9_000));
     assert_eq!(serving(&later), ["a"]);
 }
 
@@ -105,7 +105,7 @@
     roster.replace(vec![ListChange::Listed(entry("a", false))], at(0));
     roster.store_failed(at(1_000));
     roster.store_answered(answer(1_300));
-    roster.change(removed("a"), at(1_400));
+    roster.apply(removed("a"), at(1_400));
     assert!(serving(&roster).is_empty());
 }
 
@@ -119,7 +119,7 @@
         roster.store_failed(at(failed));
     }
     roster.store_answered(answer(answered));
-    roster.change(removed("a"), at(answered));
+    roster.apply(removed("a"), at(answered));
     roster
 }
 
@@ -209,7 +209,7 @@
     for case in cases {
         let mut roster = after_break(1_000, Some(9_600), 10_000);
         for (from, until) in case.told {
-            roster.store_witnessed(span(*from, *until), at(10_020));
+            roster.store_answered_other(span(*from, *until), at(10_020));
         }
         let all: &[&str] = if case.serves { &["a", "b"] } else { &["b"] };
         assert_eq!(serving(&roster), all, "{}", case.why);
@@ -231,7 +231,7 @@
 fn a_followed_routers_answers_count() {
     let mut roster = after_break(1_000, None, 1_100);
     roster.store_answered(span(0, 3_900));
-    roster.change(removed("b"), at(4_000));
+    roster.apply(removed("b"), at(4_000));
     assert!(serving(&roster).is_empty());
 }
 
@@ -258,7 +258,7 @@
     roster.store_failed(at(1_000));
     roster.store_answered(answer(6_000));
     roster.store_answered(answer(7_000));
-    roster.change(removed("a"), at(8_600));
+    roster.apply(removed("a"), at(8_600));
     assert!(serving(&roster).is_empty());
 }
 
@@ -276,7 +276,7 @@
     roster.replace(Vec::new(), at(12_000));
     roster.tick(at(12_200));
     assert_eq!(serving(&roster), ["a", "b"]);
-    roster.change(ListChange::Listed(entry("a", false)), at(14_000));
+    roster.apply(ListChange::Listed(entry("a", false)), at(14_000));
     roster.tick(at(14_500));
     assert_eq!(serving(&roster), ["a"]);
 }
@@ -323,9 +323,9 @@
     for second in 2..=13 {
         roster.store_answered(answer(second * 1_000));
     }
-    roster.change(leaving, at(13_000));
-    roster.change(removed("goes"), at(13_000));
-    roster.change(ListChange::Listed(entry("young", false)), at(13_000));
+    roster.apply(leaving, at(13_000));
+    roster.apply(removed("goes"), at(13_000));
+    roster.apply(ListChange::Listed(entry("young", false)), at(13_000));
     let open = |roster: &Roster| {
         let open = roster.all().filter(|entry| !entry.leaving);
         open.map(|entry| entry.id.to_string()).collect::<Vec<_>>()
@@ -335,14 +335,14 @@
     roster.replace(list(&["stays", "leaves", "goes"]), at(14_000));
     assert_eq!(open(&roster), ["stays", "young"]);
     // Another router that has not noticed.
-    assert!(roster.store_witnessed(span(1_000, 14_100), at(14_200)).is_empty());
+    assert!(roster.store_answered_other(span(1_000, 14_100), at(14_200)).is_empty());
     assert_eq!(open(&roster), ["stays", "young"]);
     // What lives writes its entry again.
-    roster.change(ListChange::Listed(entry("goes", false)), at(15_000));
+    roster.apply(ListChange::Listed(entry("goes", false)), at(15_000));
     assert_eq!(open(&roster), ["goes", "stays", "young"]);
     let gone = roster.tick(at(17_000));
-    assert_eq!(gone, [RosterChange::Gone(EndpointId::from("young"))]);
+    assert_eq!(gone, [RosterChange::Removed(EndpointId::from("young"))]);
     // An endpoint that changes its mind says so by itself.
-    roster.change(ListChange::Listed(entry("leaves", false)), at(18_000));
+    roster.apply(ListChange::Listed(entry("leaves", false)), at(18_000));
     assert_eq!(open(&roster), ["goes", "leaves", "stays"]);
 }
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -174,7 +174,7 @@
                 self.in_touch = false;
             }
             Event::StoreWitnessed(answers) => {
-                let gone = self.roster.store_witnessed(answers, now);
+                let gone = self.roster.store_answered_other(answers, now);
                 *self.shared.uptime() = *self.roster.uptime();
                 if !gone.is_empty() {
                     log::info!(
@@ -298,7 +298,7 @@
             Change::Removed { key, .. } => endpoint_id(key, prefix).map(ListChange::Removed),
         };
         if let Some(listed) = listed {
-            let changed = self.roster.change(listed, now);
+            let changed = self.roster.apply(listed, now);
             self.apply(changed.into_iter().collect(), now);
             return;
         }
@@ -323,7 +323,7 @@
     fn apply(&mut self, changes: Vec<RosterChange>, now: Duration) {
         for change in changes {
             match change {
-                RosterChange::Serves(entry) => {
+                RosterChange::InService(entry) => {
                     self.shared.links.forget(&entry.id, Some(entry.incarnation));
                     self.shared.fleet().serves(&entry, now);
                     log::info!(
@@ -345,7 +345,7 @@
                         "endpoint: missing, kept as lapsed in an outage"
                     );
                 }
-                RosterChange::Gone(id) => {
+                RosterChange::Removed(id) => {
                     self.shared.links.forget(&id, None);
                     self.shared.fleet().gone(&id, now);
                     log::info!(endpoint = id.as_str(); "endpoint: gone");
