--- a/crates/dispatch/src/site.rs
+++ b/crates/dispatch/src/site.rs
@@ -101,7 +101,7 @@
 
 /// What callers may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallerLimits {
+pub struct ClientLimits {
     /// Longest head, bytes.
     pub head_bytes: usize,
     /// Longest body, bytes.
@@ -112,7 +112,7 @@
     pub idle_time: Duration,
 }
 
-impl Default for CallerLimits {
+impl Default for ClientLimits {
     /// Common limits of HTTP servers, in force until a document names others.
     fn default() -> Self {
         Self {
@@ -136,7 +136,7 @@
     /// Workspaces; absent if callers need no keys.
     pub workspaces: Option<Vec<(WorkspaceSpec, Vec<String>)>>,
     /// Limits.
-    pub limits: CallerLimits,
+    pub limits: ClientLimits,
 }
 
 /// A document, indexed.
@@ -147,14 +147,14 @@
     services: HashMap<ServiceId, ServiceSpec>,
     workspaces: Vec<WorkspaceSpec>,
     keys: Option<HashMap<String, usize>>,
-    limits: CallerLimits,
+    limits: ClientLimits,
 }
 
 /// Whose a request is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Owner<'a> {
     /// The route or the document asks for no key.
-    Nobody,
+    Anonymous,
     /// The key's workspace.
     Workspace(&'a WorkspaceSpec),
     /// The key is missing or unknown.
@@ -189,7 +189,7 @@
     }
 
     /// Limits towards callers.
-    pub fn limits(&self) -> CallerLimits {
+    pub fn limits(&self) -> ClientLimits {
         self.limits
     }
 
@@ -208,10 +208,10 @@
     /// Whose a request with this key is.
     pub fn owner(&self, route: &Route, key: Option<&str>) -> Owner<'_> {
         let Some(keys) = &self.keys else {
-            return Owner::Nobody;
+            return Owner::Anonymous;
         };
         if route.public {
-            return Owner::Nobody;
+            return Owner::Anonymous;
         }
         let place = key.and_then(|key| keys.get(key));
         place.map_or(Owner::Unknown, |place| Owner::Workspace(&self.workspaces[*place]))
--- a/crates/dispatch/tests/site.rs
+++ b/crates/dispatch/tests/site.rs
@@ -142,7 +142,7 @@
         asked.public = case.public;
         let site = site(vec![asked.clone()], Some(&keys));
         let owner = match site.owner(&asked, case.key) {
-            Owner::Nobody => Some(None),
+            Owner::Anonymous => Some(None),
             Owner::Workspace(spec) => Some(Some(spec.id.as_str())),
             Owner::Unknown => None,
         };
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -14,7 +14,7 @@
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
 use dispatch::attempt::Cause;
-use dispatch::site::CallerLimits;
+use dispatch::site::ClientLimits;
 use futures::future::{Either, select};
 use http::Conn;
 use http::raw::{BodyReader, Framing, HeadError, RawBodyError, RequestHead, Source, request_framing, watch_peer};
@@ -154,7 +154,7 @@
     }
 }
 
-async fn request(shared: &Arc<Shared>, conn: &Conn, source: &mut Source, limits: CallerLimits) -> Ending {
+async fn request(shared: &Arc<Shared>, conn: &Conn, source: &mut Source, limits: ClientLimits) -> Ending {
     let arrived = shared.clock.now();
     let head = match timeout(limits.head_time, source.request_head(limits.head_bytes)).await {
         Ok(Ok(head)) => head,
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -127,7 +127,7 @@
     let route = route.ok_or(if fresh { Cause::NoRoute } else { Cause::Stale })?;
     record.route.clone_from(&route.name);
     let owner = match site.owner(route, wish.key.as_deref()) {
-        Owner::Nobody => None,
+        Owner::Anonymous => None,
         _ if !fresh => return Err(Cause::Stale),
         Owner::Unknown => return Err(Cause::Unauthorized),
         Owner::Workspace(spec) => Some(spec),
