--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -1,8 +1,8 @@
-//! What follows a failed attempt, and what the caller is told in the end.
+//! Retry decisions after failed attempts, attempt timeouts, and the responses for requests that no endpoint answered.
 //!
-//! What goes wrong without these rules: a call that may have run is sent again, or refused as "not run"; a caller
-//! notices a doubled order. Only three things prove that a call has not run: no byte of it was sent, the endpoint says
-//! so, or it is another endpoint than the one that was meant and says that.
+//! A request that may have run must not be sent again unless it is repeatable, and must not be refused as "not run":
+//! either would execute a client's order twice. Only three things prove that a request has not run: none of its bytes
+//! were sent, the endpoint says so, or the endpoint says that it is not the one that was addressed.
 
 use crate::site::RouteKind;
 use lifecycle::request::RequestState;
@@ -11,31 +11,32 @@
 /// How an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// No byte was sent: no connection.
+    /// No connection, so no bytes were sent.
     NotSent,
-    /// The endpoint is full, and has not run it.
+    /// The endpoint is at capacity and has not run the request.
     Full,
-    /// The endpoint has not run it for another reason: it leaves, loads weights, or is not the one that was meant.
+    /// The endpoint has not run the request for another reason: it is draining, is loading weights, or is not the one
+    /// that was addressed.
     Declined,
-    /// The endpoint serves other weights than the request names, and has not run it.
+    /// The endpoint serves other weights than the request names and has not run it.
     OtherWeights,
-    /// Sent, and the answer is broken, cut, spoilt or another request's: it may have run.
+    /// The response is malformed, truncated, corrupted or belongs to another request: the request may have run.
     Broken,
-    /// Sent, and no answer in the time for this attempt: it may run still.
+    /// No response within the attempt timeout: the request may still be running.
     Timeout,
-    /// Sent, and taken back since its weights became too old to begin on: it may run still.
+    /// Cancelled after sending because its weights became too old to begin on: the request may still be running.
     Outdated,
-    /// The endpoint ran it and answered with an error of its own.
+    /// The endpoint ran the request and returned an error.
     Error,
 }
 
 impl Failure {
-    /// Whether the endpoint has certainly not run the request.
+    /// Whether it is certain that the endpoint has not run the request.
     pub fn not_run(self) -> bool {
         matches!(self, Self::NotSent | Self::Full | Self::Declined | Self::OtherWeights)
     }
 
-    /// Name in logs and counters.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
@@ -50,114 +51,119 @@
     }
 }
 
-/// What is known of a request after an attempt failed.
+/// A request's attempts so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptHistory {
-    /// Endpoints that bytes of it were sent to.
+    /// Endpoints to which bytes of the request were sent.
     pub sent: u32,
-    /// Endpoints that could not be connected to.
+    /// Endpoints to which no connection could be opened.
     pub connect_failures: u32,
-    /// Times that an endpoint served other weights than it was believed to.
+    /// Times that an endpoint served other weights than this router expected.
     pub weight_mismatches: u32,
-    /// Endpoints that one request may be sent to.
+    /// Maximum number of endpoints that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Time that is left until its deadline.
+    /// Time until the request's deadline.
     pub remaining: Duration,
 }
 
-/// What follows.
+/// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try another endpoint, if the retry budget allows it.
+    /// Try another endpoint if the retry budget allows it.
     Retry,
-    /// Try another endpoint; nothing was sent, so it costs no budget.
+    /// Try another endpoint. Nothing was sent, so this uses no retry budget.
     RetryFree,
-    /// Give up.
+    /// Send no further attempt.
     GiveUp,
 }
 
-/// Endpoints that a request tries in vain to connect to: a third failure in a row is the network's, not an endpoint's.
-const MAX_UNREACHED: u32 = 3;
-/// Beliefs about weights that one request corrects: the first shows that new ones were loaded, the second that they were
-/// loaded in between.
-const MAX_CORRECTED: u32 = 2;
-/// With less time than this left, another attempt only makes work for nobody: it is about the time of one network
-/// round trip and the shortest answers of the sites' services.
-const LEAST_LEFT: Duration = Duration::from_millis(20);
+/// Maximum number of failed connects per request. A third failure in a row points to the network, not to an endpoint.
+const MAX_CONNECT_FAILURES: u32 = 3;
+/// Maximum number of weight mismatches per request. The first shows that new weights were loaded, the second that they
+/// were loaded between the attempts.
+const MAX_WEIGHT_MISMATCHES: u32 = 2;
+/// Minimum remaining time for another attempt: one network round trip plus the shortest responses of the services in
+/// use. With less, the response would come after the deadline.
+const MIN_REMAINING: Duration = Duration::from_millis(20);
 
-/// What follows a failed attempt.
-pub fn retry_decision(tried: &AttemptHistory, failure: Failure) -> RetryDecision {
-    if tried.remaining < LEAST_LEFT {
+/// Decides whether a failed attempt is retried.
+pub fn retry_decision(history: &AttemptHistory, failure: Failure) -> RetryDecision {
+    if history.remaining < MIN_REMAINING {
         return RetryDecision::GiveUp;
     }
     if failure == Failure::NotSent {
-        return if tried.connect_failures < MAX_UNREACHED {
+        return if history.connect_failures < MAX_CONNECT_FAILURES {
             RetryDecision::RetryFree
         } else {
             RetryDecision::GiveUp
         };
     }
-    if failure == Failure::OtherWeights && tried.weight_mismatches > MAX_CORRECTED {
+    if failure == Failure::OtherWeights && history.weight_mismatches > MAX_WEIGHT_MISMATCHES {
         return RetryDecision::GiveUp;
     }
-    if tried.sent >= tried.max_attempts || !(tried.repeatable || failure.not_run()) {
+    if history.sent >= history.max_attempts || !(history.repeatable || failure.not_run()) {
         return RetryDecision::GiveUp;
     }
     RetryDecision::Retry
 }
 
-/// Share of the time that is left after which a request that may run twice is tried elsewhere: enough for an answer that is
-/// merely slow, and the second endpoint still has more than half of the time.
-const PATIENCE: f64 = 0.45;
-/// The same for streams: an engine that is full answers late, and what it has read of the prompt by then would be read
-/// again elsewhere.
-const STREAM_PATIENCE: f64 = 0.65;
-/// Silence within a stream after which another endpoint goes on with it. Callers of the sites wait two seconds; an engine
-/// that preempts a request needs some hundred milliseconds to read it in again.
-const SILENCE: Duration = Duration::from_millis(1_200);
+/// Share of the remaining time after which a repeatable request is tried on another endpoint. It leaves a slow endpoint
+/// time to respond, and the second endpoint still gets more than half of the time.
+const TIMEOUT_SHARE: f64 = 0.45;
+/// [`TIMEOUT_SHARE`] for streams. It is longer because an engine at capacity responds late, and another one would have
+/// to repeat the prefill that it has done by then.
+const STREAM_TIMEOUT_SHARE: f64 = 0.65;
+/// Time without an event after which a stream is resumed on another endpoint. Clients accept two seconds. An engine
+/// that preempts a request needs some hundred milliseconds to repeat its prefill.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// How long an attempt that was just sent may take until its answer begins. One that can't be followed by another has all
-/// the time that is left: silence is no reason to end it sooner.
-pub fn attempt_timeout(kind: RouteKind, tried: &AttemptHistory) -> Duration {
-    if !tried.repeatable || tried.sent >= tried.max_attempts {
-        return tried.remaining;
+/// Maximum time from sending an attempt to the start of its response. An attempt that can't be retried gets all of the
+/// remaining time, since ending it sooner gains nothing.
+pub fn attempt_timeout(kind: RouteKind, history: &AttemptHistory) -> Duration {
+    if !history.repeatable || history.sent >= history.max_attempts {
+        return history.remaining;
     }
-    let share = if kind.streams() { STREAM_PATIENCE } else { PATIENCE };
-    tried.remaining.mul_f64(share)
+    let share = if kind.streams() {
+        STREAM_TIMEOUT_SHARE
+    } else {
+        TIMEOUT_SHARE
+    };
+    history.remaining.mul_f64(share)
 }
 
-/// Pause after which a wait for a first event looks again whether its weights are too old by now. Newer ones may be named, or a router may hear
-/// how old they are, at any moment of it. It is a fifth of the time between the end of the wait and the bound itself, in which the endpoint
-/// has to notice that it was left.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which a wait for a first event checks the age of its weights. Newer weights may be published, or their
+/// age may become known, at any time during the wait. The interval is a fifth of the time between the end of the wait
+/// and the age limit itself, in which the endpoint has to notice the cancellation.
+const AGE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An attempt whose first event has not come.
+/// An attempt whose first event has not arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingAttempt {
-    /// Whether its first event shows that it begins, which must not be too late: that of a stream from a model's engine. Of an answer
-    /// that isn't streamed nobody can tell when it began.
+    /// Whether the first event shows when execution begins, as in a stream from a model's engine. A response that isn't
+    /// streamed doesn't show it.
     pub begin_visible: bool,
-    /// Whether its weights are new enough to begin on now.
+    /// Whether execution may still begin on the weights that the attempt names.
     pub weights_usable: bool,
-    /// What is left of the time for this attempt.
+    /// Remaining part of the attempt timeout.
     pub remaining: Duration,
 }
 
-/// How the wait for a first event goes on.
+/// Next step of a wait for a first event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Wait {
-    /// This long, then ask again.
+    /// Wait this long, then check again.
     For(Duration),
-    /// The time for this attempt is over.
+    /// The attempt timeout has passed.
     TimedOut,
-    /// Take the request back: what it begins with now is worth nothing to the caller.
+    /// Cancel the attempt: a response on such old weights is of no use to the client.
     Cancel,
 }
 
-/// How the wait for a first event goes on. Without it a request waits in a full engine's queue past the bound on its weights, for up to
-/// five seconds, and its caller waits for an answer that is worth nothing.
+/// Decides how a wait for a first event continues. Without the age check a request could stay in the queue of an engine
+/// at capacity for up to five seconds past the age limit of its weights, and its client would wait for a useless
+/// response.
 pub fn first_event_wait(attempt: &PendingAttempt) -> Wait {
     if attempt.remaining.is_zero() {
         return Wait::TimedOut;
@@ -165,72 +171,81 @@
     if attempt.begin_visible && !attempt.weights_usable {
         return Wait::Cancel;
     }
-    let pause = if attempt.begin_visible { LOOK } else { attempt.remaining };
+    let pause = if attempt.begin_visible {
+        AGE_CHECK_INTERVAL
+    } else {
+        attempt.remaining
+    };
     Wait::For(pause.min(attempt.remaining))
 }
 
-/// How long a stream that has begun may be silent before another endpoint goes on with it, where that may be.
-pub fn stream_idle_timeout(kind: RouteKind, left: Duration) -> Duration {
-    if kind.repeatable() { left.min(SILENCE) } else { left }
+/// Maximum time between two events of a stream. A resumable stream then continues on another endpoint.
+pub fn stream_idle_timeout(kind: RouteKind, remaining: Duration) -> Duration {
+    if kind.repeatable() {
+        remaining.min(STREAM_IDLE_TIMEOUT)
+    } else {
+        remaining
+    }
 }
 
-/// Why a request ends without an endpoint's answer.
+/// Why a request ends without an endpoint's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// No configuration is known yet.
+    /// No configuration has been received yet.
     NotReady,
-    /// The configuration may be too old to say whose key is good.
+    /// The configuration may be too old to check API keys against.
     Stale,
-    /// The head or the framing of the body cannot be read.
+    /// The head or the framing of the body can't be parsed.
     Malformed,
-    /// The head is too long.
+    /// The head exceeds its size limit.
     HeadTooLarge,
-    /// The body is too long.
+    /// The body exceeds its size limit.
     BodyTooLarge,
     /// Head or body did not arrive in time.
     SlowClient,
-    /// No key, or an unknown one.
+    /// The API key is missing or unknown.
     Unauthorized,
-    /// No such route.
+    /// No route matches.
     NoRoute,
-    /// No endpoint is in service or can be reached.
+    /// No endpoint is in service or reachable.
     NoEndpoint,
-    /// The endpoints are full.
+    /// All endpoints are at capacity.
     Full,
-    /// Endpoints take no more for now; when to come back.
+    /// The endpoints limit their rate; holds the time after which to retry.
     Limited(Duration),
-    /// First events are late, and this request is one of those that are too many.
+    /// First events are late, and this request was shed.
     Overloaded,
     /// The deadline has passed.
     Deadline,
-    /// An attempt failed after its bytes had left.
+    /// An attempt failed after bytes were sent.
     EndpointFailed,
 }
 
-/// A refusal or failure as the caller gets it.
+/// An error response to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the error.
     pub cause: Cause,
     /// HTTP status.
     pub status: u16,
-    /// When to come back; present only if the request has not run.
+    /// Time after which to retry; present only if the request has not run.
     pub retry_after: Option<Duration>,
 }
 
-/// When callers come back who met a router without a fresh configuration: about as long as a watch of the store waits,
-/// so that one of their next two attempts meets a router that knows.
-const RETRY_UNREADY: Duration = Duration::from_millis(500);
-/// When callers come back to full endpoints: about the time in which a third of the running streams of either site end.
+/// `Retry-After` of a router without a fresh configuration: about the duration of a watch call to the store, so that
+/// one of the client's next two attempts reaches a router with a fresh one.
+const RETRY_NOT_READY: Duration = Duration::from_millis(500);
+/// `Retry-After` if all endpoints are at capacity: within about this time a third of the running streams end.
 const RETRY_FULL: Duration = Duration::from_millis(300);
-/// When callers come back whose request was one too many: queues of a second are worked off by then, since half as many come in.
+/// `Retry-After` of a shed request: by then a queue of one second is drained, since only half as many requests enter
+/// it.
 const RETRY_OVERLOADED: Duration = Duration::from_millis(1_000);
-/// When callers come back where no endpoint could be reached: a crashed one is replaced or noticed within this time.
+/// `Retry-After` if no endpoint could be reached: a crash is detected or the endpoint replaced within this time.
 const RETRY_UNREACHED: Duration = Duration::from_millis(250);
 
-/// The refusal for a cause; `state` tells whether the request may have run.
+/// The error response for a cause; `state` says whether the request may have run.
 pub fn refusal(cause: Cause, state: RequestState) -> Refusal {
-    let untouched = matches!(
+    let not_run = matches!(
         state,
         RequestState::Queued | RequestState::Claimed | RequestState::Refused
     );
@@ -242,7 +257,7 @@
         Cause::BodyTooLarge => 413,
         Cause::HeadTooLarge => 431,
         Cause::NotReady | Cause::Stale => 503,
-        Cause::NoEndpoint | Cause::Full | Cause::Limited(_) | Cause::Overloaded if untouched => 503,
+        Cause::NoEndpoint | Cause::Full | Cause::Limited(_) | Cause::Overloaded if not_run => 503,
         Cause::NoEndpoint | Cause::Full | Cause::Limited(_) | Cause::Overloaded | Cause::EndpointFailed => 502,
         Cause::Deadline => 504,
     };
@@ -251,7 +266,7 @@
         (503, Cause::Limited(after)) => Some(after.max(RETRY_UNREACHED)),
         (503, Cause::Overloaded) => Some(RETRY_OVERLOADED),
         (503, Cause::NoEndpoint) => Some(RETRY_UNREACHED),
-        (503, _) => Some(RETRY_UNREADY),
+        (503, _) => Some(RETRY_NOT_READY),
         _ => None,
     };
     Refusal {
@@ -262,7 +277,7 @@
 }
 
 impl Cause {
-    /// Name in logs, counters and the body of refusals.
+    /// Name in logs, metrics and the body of error responses.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotReady => "not_ready",
--- a/crates/dispatch/src/holder.rs
+++ b/crates/dispatch/src/holder.rs
@@ -1,112 +1,117 @@
-//! Who gives orders to endpoints: one router of the whole deployment, under a lease of the store.
+//! Leader election for weight-load orders: one router of the deployment holds a lease in the store and sends all
+//! orders.
 //!
-//! What goes wrong without it: two routers order different weights, or one that was paused goes on where it stopped;
-//! endpoints that don't check generation numbers then change back and forth. So the holder counts its lease from before
-//! it asked for it, on a clock that goes on while its VM is suspended, and stops [`HolderTimes::margin`] before the end.
-//! Before an order leaves, its endpoint stands in a list in the store that is written on condition that the holder key is
-//! unchanged. So a successor knows which endpoints its predecessor may have ordered last, and leaves [`ForeignOrders`] to those.
+//! If two routers ordered different weights, or a paused router resumed sending, endpoints that don't check generation
+//! numbers would switch back and forth between weights. The holder therefore counts its lease from before it requested
+//! it, on a clock that advances while its VM is suspended, and stops sending [`HolderTimes::margin`] before the end.
+//!
+//! Before the holder sends an order, it writes the endpoint to the load list in the store, on condition that the holder
+//! key is unchanged. A successor reads there which endpoints its predecessor may have ordered last, and sends them no
+//! order until the handover delay has passed; see [`ForeignOrders`].
 
 use ids::{EndpointId, Fence};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Times of the lease.
+/// Timing of the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HolderTimes {
-    /// Time to live without renewal.
+    /// Time to live of the lease without renewal.
     pub ttl: Duration,
     /// Time between renewals.
     pub renew_interval: Duration,
-    /// Last part of the lease in which no order leaves.
+    /// Time before the end of the lease from which no orders are sent.
     pub margin: Duration,
-    /// Wait before a failed call is repeated.
+    /// Delay before a failed call is repeated.
     pub retry_delay: Duration,
 }
 
-/// Times for sites that let requests begin on old weights for ten seconds.
+/// Timing for deployments in which requests may begin on replaced weights for ten seconds.
 pub const TIMES: HolderTimes = HolderTimes {
-    // A holder that dies is replaced this long after its last renewal, a seventh of that bound: with two seconds, a pool of nine
-    // whose holder is lost twice in a rollout has old weights past it.
+    // A crashed holder is replaced this long after its last renewal, a seventh of those ten seconds. With two seconds,
+    // a pool of nine that loses its holder twice in one rollout would keep old weights for longer than that.
     ttl: Duration::from_millis(1_500),
-    // Three renewals may fail before the lease ends. One counts as a tenth of a call.
+    // Three renewals may fail before the lease ends. A renewal is priced as a tenth of a call to the store.
     renew_interval: Duration::from_millis(300),
-    // Covers the time from the check to the endpoint, and clocks of unequal speed.
+    // Covers the time from the check to the arrival at the endpoint, and clock drift.
     margin: Duration::from_millis(400),
     retry_delay: Duration::from_millis(500),
 };
 
-/// How much later than candidates the others ask for a free key. A router that has just started knows after 1.2 s whether it is a
-/// candidate, and a candidate's claim reaches the others within a second more; were this shorter, all routers of a deployment
-/// would ask when they start together.
-const SPARE: Duration = Duration::from_millis(2_500);
+/// Additional delay before a router that is no candidate requests a free key. A router learns within 1.2 s of its start
+/// whether it is a candidate, and a candidate's claim reaches the others within another second. With a shorter delay
+/// all routers would request the key if they start together.
+const STANDBY_DELAY: Duration = Duration::from_millis(2_500);
 
-/// Bits of a generation number that hold a revision; the store's era stands above them. Endpoints read numbers of up to 53 bits.
+/// Low bits of a generation number, which hold a revision; the bits above hold the store's era. Endpoints read numbers
+/// of up to 53 bits.
 const REVISION_BITS: u32 = 40;
-/// The last era that a number can hold.
-const LAST_ERA: u64 = (1 << (53 - REVISION_BITS)) - 1;
+/// Largest era that a generation number can hold.
+const MAX_ERA: u64 = (1 << (53 - REVISION_BITS)) - 1;
 
-/// The generation number of a key that was created at a revision of an era. It rises though revisions go back in the next era.
+/// The generation number of a key that was created at a revision of an era. It increases even when a new era starts
+/// with lower revisions.
 pub fn fence(era: u64, created: u64) -> Fence {
-    Fence((era.min(LAST_ERA) << REVISION_BITS) | created)
+    Fence((era.min(MAX_ERA) << REVISION_BITS) | created)
 }
 
-/// The revision at which the key of a generation number was created.
+/// The revision at which the key with this generation number was created.
 pub fn created(fence: Fence) -> u64 {
     fence.0 & ((1 << REVISION_BITS) - 1)
 }
 
-/// The holder key's contents as last seen.
+/// The contents of the holder key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HolderRecord {
-    /// The process that holds it: its VM, a slash and a part of its own, another one after each start.
+    /// The process that holds the key: its VM, a slash and a part that is unique to the process.
     pub name: String,
-    /// The generation number, by when the key was created: it only grows.
+    /// The generation number, from the key's creation revision. It only increases.
     pub created: Fence,
-    /// The lease it hangs on.
+    /// The lease that the key is attached to.
     pub lease: u64,
 }
 
-/// What happened.
+/// An input of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// Whether this router is one of the few that try to hold the key first: each try costs calls to the store.
+    /// Whether this router is one of the few that request the key first. Each request costs calls to the store.
     Candidate(bool),
-    /// The holder key as the store has it now.
+    /// The current holder key in the store; `None` if it is absent.
     KeyObserved(Option<HolderRecord>),
-    /// The store granted a lease, asked for at the given time; the key is being written.
+    /// The store granted a lease, and the key is being written.
     Granted {
-        /// Its id.
+        /// Its ID.
         lease: u64,
         /// Its time to live.
         ttl: Duration,
-        /// When it was asked for.
+        /// When it was requested.
         requested: Duration,
     },
     /// No lease was granted, or the key could not be written.
     Failed,
-    /// The lease was renewed by a call that left at the given time.
+    /// The lease was renewed.
     Renewed {
-        /// Time to live from then.
+        /// Time to live, counted from `requested`.
         ttl: Duration,
-        /// When the call left.
+        /// When the call was sent.
         requested: Duration,
     },
-    /// The store doesn't have this lease any more.
+    /// The store no longer has this lease.
     Lapsed(u64),
-    /// This router is going.
+    /// This router shuts down.
     Stop,
 }
 
-/// What is to be done.
+/// An action for the caller of [`Holder::on`] to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Ask for a lease, and write the key if it is absent.
+    /// Request a lease with this time to live, and write the key if it is absent.
     Acquire(Duration),
     /// Renew the lease.
     Renew(u64),
-    /// Give it back.
+    /// Revoke the lease.
     Release(u64),
 }
 
@@ -119,33 +124,33 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// Another holds the key, or nothing is known of it.
+    /// Another router holds the key, or the key has not been read yet.
     Idle,
-    /// The key is absent; asked for from this time on.
+    /// The key is absent. Candidates request it from this time on.
     Free { next: Duration },
-    /// The call is under way.
-    Asking { until: Duration },
-    /// The key is held.
+    /// This router has requested the key.
+    Requesting { until: Duration },
+    /// This router holds the key.
     Holding { fence: Fence },
 }
 
-/// The part of one router in holding the key.
+/// State of one router in the election.
 #[derive(Debug, Clone)]
 pub struct Holder {
     name: String,
     times: HolderTimes,
     phase: Phase,
     lease: Option<Lease>,
-    /// Wait before the key is asked for, other for each router, so that they don't all ask at once.
+    /// Delay before the key is requested, different for each router, so that they don't all request it at once.
     stagger: Duration,
     candidate: bool,
-    /// Whether the key was seen since this process started.
-    seen: bool,
+    /// Whether the key has been read since this process started.
+    key_read: bool,
     stopped: bool,
 }
 
 impl Holder {
-    /// A router that holds nothing; `name` is unique to this process.
+    /// A router that doesn't hold the key; `name` is unique to this process.
     pub fn new(name: String, times: HolderTimes, stagger: Duration) -> Self {
         Self {
             name,
@@ -154,20 +159,20 @@
             lease: None,
             stagger,
             candidate: false,
-            seen: false,
+            key_read: false,
             stopped: false,
         }
     }
 
-    /// Takes an event.
+    /// Handles an event.
     pub fn on(&mut self, event: Event, now: Duration) -> Option<Step> {
-        self.check(now);
+        self.expire_lease(now);
         match event {
             Event::Tick => return self.tick(now),
             Event::Candidate(candidate) => self.candidate = candidate,
-            Event::KeyObserved(occupant) => return self.seen(occupant, now),
-            // The failure of an earlier claim was heard late, so that one too many was made. The key hangs on the lease it was seen
-            // under; were this one renewed in its place, orders would go on after the key's has lapsed.
+            Event::KeyObserved(record) => return self.observe_key(record, now),
+            // The failure of an earlier request arrived late, so one request too many was made. The key stays attached
+            // to its own lease. Renewing this one instead would let orders continue after the key's lease has expired.
             Event::Granted { lease, .. } if self.lease().is_some() => return Some(Step::Release(lease)),
             Event::Granted { lease, ttl, requested } => {
                 self.lease = Some(Lease {
@@ -182,33 +187,34 @@
                 }
             }
             Event::Failed => {
-                if matches!(self.phase, Phase::Asking { .. }) {
+                if matches!(self.phase, Phase::Requesting { .. }) {
                     self.phase = Phase::Free {
                         next: now + self.times.retry_delay,
                     };
                 }
             }
-            // The watch may have told it before, and the key may be free or another lease asked for by now.
-            Event::Lapsed(lease) if self.lease() == Some(lease) => self.let_go(),
+            // The watch may have reported it first, so the key may already be free or another lease requested.
+            Event::Lapsed(lease) if self.lease() == Some(lease) => self.reset(),
             Event::Lapsed(_) => {}
             Event::Stop => {
                 self.stopped = true;
                 let held = self.lease.map(|lease| Step::Release(lease.id));
-                self.let_go();
+                self.reset();
                 return held;
             }
         }
         None
     }
 
-    /// The generation number, while orders may leave. Belongs right before each send: a process can be paused anywhere.
+    /// The generation number, while orders may be sent. To be checked right before each send, since the process can be
+    /// paused anywhere.
     pub fn may_order(&self, now: Duration) -> Option<Fence> {
         let fence = self.fence()?;
         let lasts = self.lease.is_some_and(|lease| now + self.times.margin < lease.end);
         lasts.then_some(fence)
     }
 
-    /// The generation number, while the key is held; orders may leave for a shorter time.
+    /// The generation number, while the key is held. Orders may be sent for a shorter time; see [`Self::may_order`].
     pub fn fence(&self) -> Option<Fence> {
         let Phase::Holding { fence } = self.phase else {
             return None;
@@ -216,35 +222,36 @@
         Some(fence)
     }
 
-    /// The lease that the key hangs on, while it is held.
+    /// The lease that the key is attached to, while this router holds it.
     pub fn lease(&self) -> Option<u64> {
         let holds = matches!(self.phase, Phase::Holding { .. });
         self.lease.filter(|_| holds).map(|lease| lease.id)
     }
 
-    fn check(&mut self, now: Duration) {
-        let over = self.lease.is_some_and(|lease| now >= lease.end);
-        if !over {
+    fn expire_lease(&mut self, now: Duration) {
+        let expired = self.lease.is_some_and(|lease| now >= lease.end);
+        if !expired {
             return;
         }
         self.lease = None;
         self.phase = match self.phase {
             Phase::Idle | Phase::Holding { .. } => Phase::Idle,
             Phase::Free { next } => Phase::Free { next },
-            // The claim's answer was lost, or the claim: then the key is still free, and no word of it will come.
-            Phase::Asking { .. } => Phase::Free { next: now },
+            // The request or its response was lost. If it was the request, the key is still free and the watch won't
+            // report a change.
+            Phase::Requesting { .. } => Phase::Free { next: now },
         };
     }
 
     fn tick(&mut self, now: Duration) -> Option<Step> {
         match self.phase {
-            Phase::Free { next } if now >= self.turn(next) && !self.stopped => {
-                self.phase = Phase::Asking {
+            Phase::Free { next } if now >= self.request_time(next) && !self.stopped => {
+                self.phase = Phase::Requesting {
                     until: now + self.times.ttl,
                 };
                 Some(Step::Acquire(self.times.ttl))
             }
-            Phase::Asking { until } if now >= until => {
+            Phase::Requesting { until } if now >= until => {
                 self.phase = Phase::Free { next: now };
                 None
             }
@@ -253,9 +260,9 @@
         }
     }
 
-    /// When a free key is asked for that candidates ask for at the given time.
-    fn turn(&self, next: Duration) -> Duration {
-        if self.candidate { next } else { next + SPARE }
+    /// When this router requests a free key that candidates request at the given time.
+    fn request_time(&self, next: Duration) -> Duration {
+        if self.candidate { next } else { next + STANDBY_DELAY }
     }
 
     fn renew(&mut self, now: Duration) -> Option<Step> {
@@ -264,87 +271,88 @@
         Some(Step::Renew(lease.id))
     }
 
-    fn seen(&mut self, occupant: Option<HolderRecord>, now: Duration) -> Option<Step> {
-        let first = !std::mem::replace(&mut self.seen, true);
-        let Some(occupant) = occupant else {
-            if !matches!(self.phase, Phase::Asking { .. } | Phase::Free { .. }) {
-                self.let_go();
+    fn observe_key(&mut self, record: Option<HolderRecord>, now: Duration) -> Option<Step> {
+        let first = !std::mem::replace(&mut self.key_read, true);
+        let Some(record) = record else {
+            if !matches!(self.phase, Phase::Requesting { .. } | Phase::Free { .. }) {
+                self.reset();
                 self.phase = Phase::Free {
                     next: now + self.stagger,
                 };
             }
             return None;
         };
-        let own = occupant.name == self.name && self.lease.is_some_and(|lease| lease.id == occupant.lease);
+        let own = record.name == self.name && self.lease.is_some_and(|lease| lease.id == record.lease);
         if !own {
             let held = self.lease.map(|lease| Step::Release(lease.id));
-            self.let_go();
-            // An earlier life of this VM that was killed can't give its lease back, and nobody would order until it lapses. That
-            // life is over: it listened where this process does. Only the first look tells of it: two routers that were given one
-            // name by mistake would take the key from each other for ever.
-            let earlier = first && vm(&occupant.name) == vm(&self.name);
+            self.reset();
+            // A killed earlier process of this VM can't revoke its lease, and no router could order until the lease
+            // expires. That process has ended, since this one listens on its address. This is checked only for the
+            // first key that is read: otherwise two routers with the same name by mistake would revoke each other's
+            // lease forever.
+            let earlier = first && vm(&record.name) == vm(&self.name);
             return if earlier {
-                Some(Step::Release(occupant.lease))
+                Some(Step::Release(record.lease))
             } else {
                 held
             };
         }
         if !matches!(self.phase, Phase::Holding { .. }) {
-            self.phase = Phase::Holding {
-                fence: occupant.created,
-            };
+            self.phase = Phase::Holding { fence: record.created };
         }
         None
     }
 
-    fn let_go(&mut self) {
+    fn reset(&mut self) {
         self.phase = Phase::Idle;
         self.lease = None;
     }
 }
 
-/// The VM of a process's name, which ends in a part of its own.
+/// The VM part of a process name, without the part that is unique to the process.
 fn vm(name: &str) -> &str {
     name.rsplit_once('/').map_or(name, |(vm, _)| vm)
 }
 
-/// How long after its list was sent to the store the holder may order what stands there. Without a bound, an order that is repeated
-/// seconds later would reach an endpoint that a successor takes for free: it counts its turn from when it heard of the list.
+/// How long after sending the load list to the store the holder may send orders to the endpoints on it. Without a
+/// limit, a retry seconds later could reach an endpoint after a successor's handover delay, which starts when the
+/// successor receives the list.
 pub const LIST_VALIDITY: Duration = Duration::from_millis(400);
-/// Added to a turn: the age of the list when an order leaves, and a packet that is sent once more.
+/// Added to the handover delay: covers the age of the load list when an order is sent, and one packet retransmission.
 pub const HANDOVER_SLACK: Duration = Duration::from_millis(600);
 
-/// Whether an endpoint may be ordered that stands in the list which was sent to the store at the given time.
+/// Whether orders may be sent to the endpoints of a load list that was sent to the store at the given time.
 pub fn list_is_current(sent: Option<Duration>, now: Duration) -> bool {
     sent.is_some_and(|sent| now.saturating_sub(sent) < LIST_VALIDITY)
 }
 
-/// When endpoints were last known to get orders of another holder.
+/// When other holders last may have sent orders to each endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct ForeignOrders {
     ordered: BTreeMap<EndpointId, Duration>,
 }
 
 impl ForeignOrders {
-    /// Another holder may have given orders to this endpoint until then.
+    /// Records that another holder may have sent orders to this endpoint until the given time.
     pub fn record(&mut self, endpoint: &EndpointId, until: Duration) {
         let last = self.ordered.entry(endpoint.clone()).or_default();
         *last = until.max(*last);
     }
 
-    /// Endpoints that other holders may have ordered within the last turn, and how long ago. A holder tells them with its own: two
-    /// that are lost within a turn would otherwise be followed by one that started in between and knows the second one's list only.
-    pub fn recent(&self, turn: Duration, now: Duration) -> impl Iterator<Item = (&EndpointId, Duration)> {
+    /// Endpoints that other holders may have ordered within the handover delay, and how long ago. A holder publishes
+    /// them with its own load list. Otherwise, if two holders fail within one delay, a third router that started in
+    /// between would know only the list of the second.
+    pub fn recent(&self, delay: Duration, now: Duration) -> impl Iterator<Item = (&EndpointId, Duration)> {
         let ages = self
             .ordered
             .iter()
             .map(move |(id, last)| (id, now.saturating_sub(*last)));
-        ages.filter(move |(_, age)| *age < turn)
+        ages.filter(move |(_, age)| *age < delay)
     }
 
-    /// Whether the last order of another holder is at least `turn` ago.
-    pub fn may_order(&self, endpoint: &EndpointId, turn: Duration, now: Duration) -> bool {
+    /// Whether the last order of another holder is at least `delay` ago.
+    pub fn may_order(&self, endpoint: &EndpointId, delay: Duration, now: Duration) -> bool {
         let last = self.ordered.get(endpoint);
-        last.is_none_or(|last| now.saturating_sub(*last) >= turn)
+        last.is_none_or(|last| now.saturating_sub(*last) >= delay)
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,19 +1,19 @@
-//! Decisions of a router in front of routed services. Never does I/O, never reads a clock.
+//! Routing decisions, without I/O: every function gets the current time as an argument.
 //!
-//! | module | what it decides |
+//! | module | decision |
 //! | --- | --- |
-//! | [`site`] | which service a request belongs to, and whose it is |
-//! | [`freshness`] | whether the configuration may still be relied on for keys |
-//! | [`uptime`] | since when the store is known to answer |
+//! | [`site`] | which service a request goes to, and which workspace owns it |
+//! | [`freshness`] | whether the configuration is recent enough to check API keys |
+//! | [`uptime`] | how long the store has been available |
 //! | [`roster`] | which endpoints are in service |
 //! | [`fleet`] | which endpoint a request goes to |
-//! | [`attempt`] | what follows a failed attempt, and what the caller is told |
-//! | [`retries`] | whether the budget that all routers share allows one more attempt |
-//! | [`pressure`] | how many requests are refused at once while first events are late |
-//! | [`prefixes`] | what engines exchange with the store of cached prefixes |
-//! | [`holder`] | who gives orders to the endpoints, and since when |
-//! | [`rollout`] | which endpoint loads new weights next |
-//! | [`loading`] | when one endpoint is ordered to load, once more or no more |
+//! | [`attempt`] | whether a failed attempt is retried, and the error response to the client |
+//! | [`retries`] | whether the retry budget, shared by all routers, allows one more attempt |
+//! | [`pressure`] | how many requests are shed while first events are late |
+//! | [`prefixes`] | what engines fetch from and save to the prefix stores |
+//! | [`holder`] | which router holds the lease to order weight loads |
+//! | [`rollout`] | which endpoints load new weights next |
+//! | [`loading`] | when an endpoint is ordered to load, again or not at all |
 
 pub mod attempt;
 mod fade;
--- a/crates/dispatch/src/retries.rs
+++ b/crates/dispatch/src/retries.rs
@@ -1,49 +1,49 @@
-//! The budget of attempts beyond the first, which all routers share.
+//! The retry budget that all routers share.
 //!
-//! Load pattern: endpoints crash, refuse or answer with errors while callers go on asking. Without a budget each failure
-//! becomes several requests just when capacity is missing. The budget is one for all routers; each keeps to the share
-//! of its own requests, and to a small part of the fixed rest, so that nothing has to be agreed on.
+//! Load pattern: endpoints crash, refuse or return errors while clients keep sending. Without a budget each failure
+//! becomes several requests just when capacity is short. The budget covers all routers together. Each router limits
+//! itself to a ratio of its own requests plus its share of the fixed allowance, so that no coordination is needed.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Width of a bucket of counts: a twentieth of the usual window of ten seconds.
-const BUCKET: Duration = Duration::from_millis(500);
-/// Part of the permitted ratio that is used: requests that callers sent and that never arrived don't count here, and
-/// routers count in other windows than whoever checks.
-const CAUTION: f64 = 0.8;
-/// Routers that the fixed rest is split for while their number isn't known, which a router learns within two seconds of its
-/// start: more than the larger fleet has.
-const UNKNOWN: u32 = 200;
-/// The rest is split for this many times the known routers: others may have just started.
-const HEADROOM: f64 = 1.25;
+/// Width of a bucket of counts: a twentieth of the default window of ten seconds.
+const BUCKET_WIDTH: Duration = Duration::from_millis(500);
+/// Share of the permitted ratio that is used. Requests that never arrived are not counted here, and the windows of
+/// whoever checks the ratio are not aligned with this router's.
+const RATIO_MARGIN: f64 = 0.8;
+/// Number of routers that share the fixed allowance while the real number isn't known. A router learns it within two
+/// seconds of its start. The value exceeds the size of the largest deployment.
+const DEFAULT_ROUTERS: u32 = 200;
+/// Factor on the known number of routers, since others may have just started.
+const ROUTER_HEADROOM: f64 = 1.25;
 
-/// Limits of the budget.
+/// Limits of the retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimits {
-    /// Attempts beyond the first, as a share of requests.
+    /// Retries as a share of requests.
     pub ratio: f64,
-    /// Attempts beyond that, for all routers together, in one window.
+    /// Fixed allowance of retries on top of the ratio, for all routers together, per window.
     pub extra: u32,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
-    /// Routers of the deployment; 0 while their number isn't known.
+    /// Number of routers of the deployment; 0 while it isn't known.
     pub routers: u32,
 }
 
 impl RetryLimits {
-    /// This router's part of the fixed rest.
+    /// This router's share of the fixed allowance.
     fn own_extra(&self) -> f64 {
         let routers = if self.routers == 0 {
-            f64::from(UNKNOWN)
+            f64::from(DEFAULT_ROUTERS)
         } else {
-            f64::from(self.routers) * HEADROOM
+            f64::from(self.routers) * ROUTER_HEADROOM
         };
         f64::from(self.extra) / routers
     }
 }
 
-/// What one router has sent to one service lately.
+/// Requests and retries that one router has sent to one service within the window.
 #[derive(Debug, Clone, Default)]
 pub struct RetryMeter {
     buckets: VecDeque<Bucket>,
@@ -53,37 +53,37 @@
 struct Bucket {
     start: Duration,
     requests: u32,
-    again: u32,
+    retries: u32,
 }
 
 impl RetryMeter {
-    /// A request's first attempt.
+    /// Records the first attempt of a request.
     pub fn record_request(&mut self, window: Duration, now: Duration) {
         self.bucket(window, now).requests += 1;
     }
 
-    /// Counts one more attempt if the budget allows it.
+    /// Records a retry if the budget allows it.
     pub fn try_retry(&mut self, limits: &RetryLimits, now: Duration) -> bool {
         self.bucket(limits.window, now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
-        let again: u32 = self.buckets.iter().map(|bucket| bucket.again).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let own = limits.own_extra();
-        let allowed = limits.ratio * CAUTION * f64::from(requests) + own;
-        if f64::from(again + 1) > allowed {
+        let allowed = limits.ratio * RATIO_MARGIN * f64::from(requests) + own;
+        if f64::from(retries + 1) > allowed {
             return false;
         }
-        self.bucket(limits.window, now).again += 1;
+        self.bucket(limits.window, now).retries += 1;
         true
     }
 
-    /// The bucket of `now`, after those that have left the window were dropped.
+    /// Drops the buckets outside the window and returns the bucket of `now`.
     fn bucket(&mut self, window: Duration, now: Duration) -> &mut Bucket {
-        let old = |bucket: &Bucket| now.saturating_sub(bucket.start) > window;
-        while self.buckets.front().is_some_and(old) {
+        let is_expired = |bucket: &Bucket| now.saturating_sub(bucket.start) > window;
+        while self.buckets.front().is_some_and(is_expired) {
             self.buckets.pop_front();
         }
-        let fits = |bucket: &Bucket| now.saturating_sub(bucket.start) < BUCKET;
-        if !self.buckets.back().is_some_and(fits) {
+        let is_current = |bucket: &Bucket| now.saturating_sub(bucket.start) < BUCKET_WIDTH;
+        if !self.buckets.back().is_some_and(is_current) {
             self.buckets.push_back(Bucket {
                 start: now,
                 ..Bucket::default()
--- a/crates/dispatch/src/rollout.rs
+++ b/crates/dispatch/src/rollout.rs
@@ -1,10 +1,10 @@
-//! Which endpoint loads new weights next.
+//! Which endpoints load new weights next.
 //!
-//! Load pattern: new weights are named every few seconds, before the last ones are in place everywhere. An endpoint that
-//! loads serves nothing, and first finishes what it runs, which takes longer than the load itself; loads get slow when
-//! more than a few run at once. So a few endpoints take part at a time, always with the newest weights; those that come next already
-//! get no long answers, so that they run empty within a second when their turn comes; the others go on serving the old
-//! weights.
+//! Load pattern: new weights are published every few seconds, before the previous ones are loaded everywhere. An
+//! endpoint that loads serves nothing. It first finishes its running requests, which takes longer than the load itself.
+//! Loads get slow when more than a few run at once. So only a few endpoints load at a time, always the newest weights.
+//! The next ones get no long generations any more, so that they drain within a second when they are ordered to load.
+//! The others continue to serve the old weights.
 
 use crate::fleet::lanes::rank;
 use ids::EndpointId;
@@ -12,40 +12,41 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long a report may lag behind its endpoint, and so how long after an order an unchanged report proves nothing.
+/// Maximum age of a report. For this long after an order an unchanged report doesn't show that the order was ignored.
 const REPORT_LAG: Duration = Duration::from_millis(700);
 
 /// An endpoint that serves the model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadCandidate {
-    /// Which.
+    /// ID of the endpoint.
     pub endpoint: EndpointId,
-    /// Number of its weights.
+    /// Version of its weights.
     pub weights: u64,
-    /// Whether it takes no new work.
+    /// Whether it is draining.
     pub leaving: bool,
 }
 
-/// One in this many of a model's endpoints takes part in a rollout at once: with more, the store of weights serves each more
-/// slowly, and those that run empty are missed: with twice as many, 0.72 of the requests of a day with five new weights were in
-/// time in a pool of 90, with these 0.74.
-const PART_SHARE: usize = 5;
-/// This many take part in a small pool, or the last ones would get their weights too late, and at most one in three of it, since
-/// callers miss more than that: of nine engines with three, 0.57 of a calm day's worth remained, 0.54 with four.
-const LEAST_PART: usize = 4;
-/// See [`LEAST_PART`].
-const MOST_SHARE: usize = 3;
-
-/// How many of a model's endpoints take part in a rollout at once. All of them are ordered as soon as they take part, though the
-/// store of weights serves only two at full speed in a small pool: an endpoint finishes what it runs first, for up to two seconds,
-/// so that few of them load at the same moment. Were they to run empty and wait for one of two places, these would stand empty
-/// while an endpoint with a long answer holds one, and who waits longest wouldn't get the next.
+/// One in this many endpoints of a model loads at a time. With more, the weight store serves each more slowly, and the
+/// draining endpoints are missing from the pool. In a pool of 90 on a day with five new weights, 0.74 of the requests
+/// were in time; with twice as many endpoints loading, 0.72.
+const LOADING_DIVISOR: usize = 5;
+/// Number of endpoints that load at a time in a small pool. With fewer, the last ones would get their weights too late.
+const MIN_LOADING: usize = 4;
+/// At most one in this many endpoints loads at a time, since clients notice the loss of more. Of nine engines with
+/// three loading, 0.57 of the goodput of a calm day remained; with four, 0.54.
+const MAX_LOADING_DIVISOR: usize = 3;
+
+/// How many endpoints of a model may be ordered to load at a time. The weight store of a small pool serves only two of
+/// them at full speed, but few actually load at the same moment: each first finishes its running requests, for up to
+/// two seconds. Limiting the actual loads to two instead would leave drained endpoints idle while one with a long
+/// generation occupies a slot, and slots wouldn't be granted in the order of waiting.
 fn concurrent_loads(endpoints: usize) -> usize {
-    let part = LEAST_PART.min(endpoints / MOST_SHARE);
-    part.max(endpoints / PART_SHARE).max(1)
+    let minimum = MIN_LOADING.min(endpoints / MAX_LOADING_DIVISOR);
+    minimum.max(endpoints / LOADING_DIVISOR).max(1)
 }
 
-/// How many get no long answers any more, since their turn is near. A third of a pool takes all its long answers.
+/// How many of the next endpoints get no long generations any more. A third of the pool always accepts long
+/// generations.
 fn upcoming_loads(endpoints: usize) -> usize {
     let third = endpoints / 3;
     (endpoints - third)
@@ -53,82 +54,83 @@
         .min(third)
 }
 
-/// Who takes part in a rollout.
+/// The endpoints of the current rollout step.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LoadPlan {
-    /// Endpoints that are to take part from now on, in order.
+    /// Endpoints to order now, in this order.
     pub begin: Vec<EndpointId>,
-    /// Endpoints whose turn is near, in order.
+    /// Endpoints to order next, in this order.
     pub upcoming: Vec<EndpointId>,
 }
 
-/// Brings endpoints into the order in which those of the same weights load: those that generate long answers come last. They take longest
-/// to run empty, and their answers move away while the others load.
-pub fn sort_by_load_order(runners: &mut [LoadCandidate]) {
-    runners.sort_by_cached_key(|runner| rank(EndpointKey::from(&runner.endpoint)));
+/// Sorts endpoints by the order in which those with the same weights load. Endpoints with long generations come last:
+/// they take longest to drain, and those generations are placed on other endpoints while the rest load.
+pub fn sort_by_load_order(candidates: &mut [LoadCandidate]) {
+    candidates.sort_by_cached_key(|candidate| rank(EndpointKey::from(&candidate.endpoint)));
 }
 
-/// Whose turn it is, in the order of `runners` among those of the same weights. At least two thirds of all go on serving, unless
-/// there are fewer than three.
-pub fn plan_loads(runners: &[LoadCandidate], wanted: u64, loading: &BTreeSet<EndpointId>) -> LoadPlan {
-    let room = concurrent_loads(runners.len()).saturating_sub(loading.len());
-    let mut behind: Vec<&LoadCandidate> = runners
+/// Selects the endpoints to load now and next; those with the same weights keep the order of `candidates`. At least two
+/// thirds of all endpoints continue to serve, unless there are fewer than three.
+pub fn plan_loads(candidates: &[LoadCandidate], wanted: u64, loading: &BTreeSet<EndpointId>) -> LoadPlan {
+    let free = concurrent_loads(candidates.len()).saturating_sub(loading.len());
+    let mut outdated: Vec<&LoadCandidate> = candidates
         .iter()
-        .filter(|runner| !runner.leaving && runner.weights < wanted && !loading.contains(&runner.endpoint))
+        .filter(|candidate| !candidate.leaving && candidate.weights < wanted && !loading.contains(&candidate.endpoint))
         .collect();
-    // The oldest first: they are the first that may not serve any more.
-    behind.sort_by_key(|runner| runner.weights);
-    let mut order = behind.into_iter().map(|runner| runner.endpoint.clone());
-    let begin = order.by_ref().take(room).collect();
-    let upcoming = order.take(upcoming_loads(runners.len())).collect();
+    // The oldest weights first, since they are the first to exceed the age limit.
+    outdated.sort_by_key(|candidate| candidate.weights);
+    let mut order = outdated.into_iter().map(|candidate| candidate.endpoint.clone());
+    let begin = order.by_ref().take(free).collect();
+    let upcoming = order.take(upcoming_loads(candidates.len())).collect();
     LoadPlan { begin, upcoming }
 }
 
-/// What an endpoint says of itself.
+/// An endpoint's report of its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Report {
-    /// Number of the model's weights, if it serves the model.
+    /// Version of the model's weights, if the endpoint serves the model.
     pub weights: Option<u64>,
-    /// Whether an order is being carried out.
+    /// Whether the endpoint is executing an order.
     pub busy: bool,
-    /// Orders it has accepted in this life.
+    /// Number of orders accepted in this incarnation.
     pub orders: u64,
 }
 
-/// An order that was sent and not refused.
+/// An order that was sent and not rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SentOrder {
-    /// Count of orders it expected.
+    /// Number of accepted orders that the order expected the endpoint to report.
     pub expected: u64,
-    /// Number of the weights.
+    /// Version of the weights.
     pub weights: u64,
     /// When it was sent.
     pub at: Duration,
 }
 
-/// What follows a report.
+/// Next step after a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadStep {
-    /// Send an order that expects this count of orders.
+    /// Send an order.
     Order {
-        /// The count.
+        /// Number of accepted orders that the order expects the endpoint to have.
         expected: u64,
     },
-    /// Ask for a report again.
+    /// Request another report.
     Wait,
-    /// The weights are in place.
+    /// The weights are loaded.
     Done,
 }
 
-/// What follows a report of an endpoint that is to load `wanted`. An order that got no answer may be carried out seconds
-/// later; the count that each order expects lets only one of two take effect. Weights that were named after the order are
-/// another load: endpoints with older ones come first.
+/// Decides the next step after a report of an endpoint that is to load `wanted`. An order without a response may take
+/// effect seconds later. Each order names the expected number of accepted orders, so that only one of two can take
+/// effect. Weights that were published after the order are left to another load, since endpoints with older ones come
+/// first.
 pub fn load_step(report: &Report, wanted: u64, ordered: Option<SentOrder>, now: Duration) -> LoadStep {
     if report.busy {
         return LoadStep::Wait;
     }
-    let goal = ordered.map_or(wanted, |order| order.weights);
-    if report.weights.is_some_and(|weights| weights >= goal) {
+    let target = ordered.map_or(wanted, |order| order.weights);
+    if report.weights.is_some_and(|weights| weights >= target) {
         return LoadStep::Done;
     }
     let recent = |order: SentOrder| now.saturating_sub(order.at) < REPORT_LAG;
@@ -140,34 +142,35 @@
     }
 }
 
-/// Reports in a row that may fail before a load is given up: one may be lost, and each takes up to a second.
-const MOST_MISSES: u32 = 2;
-/// How long an endpoint whose load failed is not ordered again. A crashed one's entry goes within this time, or it is back.
-const POSTPONED: Duration = Duration::from_secs(3);
+/// Consecutive missing reports after which a load is abandoned. One may be lost, and each takes up to a second.
+const MAX_MISSED_REPORTS: u32 = 2;
+/// How long an endpoint whose load failed is not ordered again. Within this time a crashed endpoint restarts or its
+/// entry expires.
+const LOAD_BACKOFF: Duration = Duration::from_secs(3);
 
-/// Whether a load is given up after this many reports in a row that could not be had.
+/// Whether to abandon a load after this many consecutive missing reports.
 pub fn should_give_up(misses: u32) -> bool {
-    misses >= MOST_MISSES
+    misses >= MAX_MISSED_REPORTS
 }
 
-/// Endpoints whose loads failed lately.
+/// Endpoints whose loads failed recently.
 ///
-/// Load pattern: a quarter of the engines crash or fall silent while weights are loaded. They stay listed for seconds, have the
-/// oldest weights, and so come first. Without a pause they take up all the room for loads, the others keep old weights, and are
-/// left out in the end for those.
+/// Load pattern: a quarter of the engines crash or stop responding during a rollout. They stay listed for seconds and
+/// have the oldest weights, so they come first. Without a backoff they would occupy all load slots, and the healthy
+/// endpoints would keep old weights until those exceed the age limit.
 #[derive(Debug, Clone, Default)]
 pub struct LoadBackoff(BTreeMap<EndpointId, Duration>);
 
 impl LoadBackoff {
-    /// A load failed.
+    /// Records a failed load.
     pub fn record_failure(&mut self, endpoint: EndpointId, now: Duration) {
-        self.0.retain(|_, at| now.saturating_sub(*at) < POSTPONED);
+        self.0.retain(|_, at| now.saturating_sub(*at) < LOAD_BACKOFF);
         self.0.insert(endpoint, now);
     }
 
     /// Whether an endpoint may be ordered to load.
     pub fn may_load(&self, endpoint: &EndpointId, now: Duration) -> bool {
         let failed = self.0.get(endpoint);
-        failed.is_none_or(|at| now.saturating_sub(*at) >= POSTPONED)
+        failed.is_none_or(|at| now.saturating_sub(*at) >= LOAD_BACKOFF)
     }
 }
--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -1,9 +1,10 @@
-//! Which endpoints are in service, from the store's entries.
+//! The endpoints in service, from their entries in the store.
 //!
-//! Load pattern: entries live under leases that the endpoints renew. When the store is away, leases of healthy
-//! endpoints lapse; were their entries believed gone at once, all endpoints would vanish in the moment the store comes
-//! back and every caller would be refused. So what is missing after a break in the store's answers stays in service for as long as
-//! a living endpoint needs to register again, unless another router shows that the store was not away.
+//! Load pattern: entries are attached to leases that the endpoints renew. During an outage of the store the leases of
+//! healthy endpoints expire. If missing entries were dropped at once, all endpoints would disappear when the store
+//! recovers, and every client would be refused. So an endpoint whose entry is missing after a break in the store's
+//! responses stays in service for as long as a healthy endpoint needs to register again, unless another router shows
+//! that the store was available.
 
 use crate::site::EndpointEntry;
 use crate::uptime::{Span, Uptime};
@@ -12,66 +13,67 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after the store's return in which a living endpoint has registered again: the users state about two seconds,
-/// to which a quarter is added for the watch's way here.
-const REGISTER_AGAIN: Duration = Duration::from_millis(2_500);
-/// Time after a call went unanswered in which this router must have the list right again: the store may have been back, or the
-/// router's path to it, right after that call.
-const RESTORED: Duration = Duration::from_millis(3_000);
+/// Time after the store's recovery within which a healthy endpoint registers again: two seconds by specification, plus
+/// a quarter for the delay of the watch.
+const REREGISTER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time after an overdue response within which this router's list must be correct again. The store, or the network path
+/// to it, may have recovered right after that call.
+const RECOVERY_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Time after the store came back from a copy in which it may list endpoints that had gone: their entries lapse after three heartbeats.
-const STALE: Duration = Duration::from_secs(10);
-/// How long it is remembered that an endpoint is gone.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Time after the store was restored from a backup during which it may list removed endpoints. Their entries expire
+/// after three heartbeats.
+const STALE_LIST_PERIOD: Duration = Duration::from_secs(10);
+/// How long removed endpoints are remembered.
+const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Failing calls for longer than this, while living endpoints register, are a further outage: those that had not registered yet could not
-/// do so since.
-const OUTAGE: Duration = Duration::from_millis(700);
+/// If calls fail for longer than this while healthy endpoints register again, it counts as another outage: the
+/// remaining endpoints could not register in that time.
+const MIN_OUTAGE: Duration = Duration::from_millis(700);
 
-/// What changed in the list.
+/// A change of the endpoint list in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ListChange {
-    /// An entry as it is now.
+    /// An entry was added or changed; its current contents.
     Listed(EndpointEntry),
-    /// An entry that cannot be read: it names no endpoint to use.
+    /// An entry can't be parsed. It is treated as removed.
     Unreadable(EndpointId),
-    /// The entry has gone.
+    /// An entry was removed.
     Removed(EndpointId),
 }
 
-/// What became of an endpoint.
+/// A change of the endpoints in service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RosterChange {
-    /// In service, newly or with other properties.
+    /// The endpoint is new or its properties changed.
     InService(Arc<EndpointEntry>),
-    /// Its entry is missing and may have lapsed in an outage: it stays in service until then.
+    /// The endpoint's entry is missing and may have expired in an outage. It stays in service for now.
     Missing {
-        /// Which.
+        /// ID of the endpoint.
         id: EndpointId,
-        /// Until when at most.
+        /// When it is removed unless it registers again.
         until: Duration,
     },
-    /// Gone.
+    /// The endpoint is out of service.
     Removed(EndpointId),
 }
 
-/// Endpoints in service.
+/// The endpoints in service.
 #[derive(Debug, Clone, Default)]
 pub struct Roster {
     entries: BTreeMap<EndpointId, Arc<EndpointEntry>>,
-    /// Those whose entries went and may have lapsed.
+    /// Endpoints in service whose entries are missing and may have expired.
     missing: BTreeSet<EndpointId>,
     uptime: Uptime,
-    /// When the first answer was due of the calls that have failed since the last answer.
+    /// When the first of the calls that failed since the last response was due.
     failing: Option<Duration>,
-    /// When the store came back from a copy last.
+    /// When the store was last restored from a backup.
     restored: Option<Duration>,
-    /// Lives of endpoints that are gone, and since when.
-    gone: BTreeMap<EndpointId, (Incarnation, Duration)>,
+    /// Incarnations of removed endpoints, and when they were removed.
+    removed: BTreeMap<EndpointId, (Incarnation, Duration)>,
 }
 
 impl Roster {
-    /// Endpoints of a service.
+    /// The endpoints of a service.
     pub fn for_service<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a Arc<EndpointEntry>> {
         self.entries.values().filter(move |entry| entry.service == *service)
     }
@@ -81,103 +83,107 @@
         self.entries.values()
     }
 
-    /// How many are in service though their entries are missing.
+    /// Number of endpoints in service whose entries are missing.
     pub fn missing(&self) -> usize {
         self.missing.len()
     }
 
-    /// Since when the store is known to answer.
+    /// Availability of the store.
     pub fn uptime(&self) -> &Uptime {
         &self.uptime
     }
 
-    /// An endpoint.
+    /// The endpoint with this ID.
     pub fn get(&self, id: &EndpointId) -> Option<&Arc<EndpointEntry>> {
         self.entries.get(id)
     }
 
-    /// A call to the store failed, whose answer was due then.
+    /// Records a failed call to the store whose response was due at `due`.
     pub fn store_failed(&mut self, due: Duration) {
         self.failing.get_or_insert(due);
         self.uptime.failed(due);
     }
 
-    /// The store answered this router, or one that it follows. Comes before the changes that the last answer brought.
+    /// Records that the store responded to this router, or to one that it follows. To be called before the changes from
+    /// the last response are applied.
     pub fn store_answered(&mut self, answers: Span) {
         let failing = self.failing.take();
-        let further = |due: Duration| due + OUTAGE <= answers.until && self.kept_until(due).is_some();
-        if failing.is_some_and(further) {
-            self.uptime.resumed(answers);
+        let is_outage = |due: Duration| due + MIN_OUTAGE <= answers.until && self.retained_until(due).is_some();
+        if failing.is_some_and(is_outage) {
+            self.uptime.answered_after_break(answers);
         } else {
             self.uptime.answered(answers);
         }
     }
 
-    /// The store came back from a copy, and has answered. Entries of living endpoints may be lost, as after an outage.
+    /// Records that the store was restored from a backup and has responded. Entries of healthy endpoints may be lost,
+    /// as after an outage.
     pub fn store_restored(&mut self, answers: Span) {
         self.failing = None;
-        self.uptime.resumed(answers);
+        self.uptime.answered_after_break(answers);
         self.restored = Some(answers.until);
     }
 
-    /// The store answered another router. Returns what is gone by that: its entry went while the store answered.
+    /// Records that the store responded to another router. Returns the endpoints that this removes: their entries
+    /// disappeared while the store was available.
     pub fn store_answered_other(&mut self, answers: Span, now: Duration) -> Vec<RosterChange> {
-        // Whoever has not noticed that the store came back from a copy would take lost entries for removed ones.
-        if !self.restored_within(REGISTER_AGAIN, now) {
-            self.uptime.witness(answers);
+        // Another router that hasn't noticed the restore would make lost entries look like removed ones.
+        if !self.restored_within(REREGISTER_TIMEOUT, now) {
+            self.uptime.answered_other(answers);
         }
         self.tick(now)
     }
 
-    /// One change of the list.
+    /// Applies one change of the list.
     pub fn apply(&mut self, change: ListChange, now: Duration) -> Option<RosterChange> {
         match change {
             ListChange::Listed(entry) => {
                 self.missing.remove(&entry.id);
-                self.gone.remove(&entry.id);
+                self.removed.remove(&entry.id);
                 self.list(entry)
             }
             ListChange::Unreadable(id) | ListChange::Removed(id) => self.remove(id, now),
         }
     }
 
-    /// The whole list as it is now.
+    /// Replaces the whole list.
     pub fn replace(&mut self, mut list: Vec<ListChange>, now: Duration) -> Vec<RosterChange> {
-        if self.restored_within(STALE, now) {
+        if self.restored_within(STALE_LIST_PERIOD, now) {
             list.retain(|change| !self.is_stale(change));
-            list.iter_mut().for_each(|change| self.keep_leaving(change));
+            list.iter_mut().for_each(|change| self.keep_draining(change));
         }
-        let named = |change: &ListChange| match change {
+        let id = |change: &ListChange| match change {
             ListChange::Listed(entry) => entry.id.clone(),
             ListChange::Unreadable(id) | ListChange::Removed(id) => id.clone(),
         };
-        let present: Vec<EndpointId> = list.iter().map(named).collect();
-        let lost: Vec<EndpointId> = self
+        let present: Vec<EndpointId> = list.iter().map(id).collect();
+        let absent: Vec<EndpointId> = self
             .entries
             .keys()
             .filter(|id| !present.contains(id))
             .cloned()
             .collect();
         let mut changes: Vec<_> = list.into_iter().filter_map(|change| self.apply(change, now)).collect();
-        changes.extend(lost.into_iter().filter_map(|id| self.remove(id, now)));
+        changes.extend(absent.into_iter().filter_map(|id| self.remove(id, now)));
         changes
     }
 
-    /// Drops what is still missing. While calls to the store fail, endpoints that live can't register: nothing is dropped.
+    /// Removes endpoints whose entries are still missing after their time to register. While calls to the store fail,
+    /// healthy endpoints can't register, so none are removed.
     pub fn tick(&mut self, now: Duration) -> Vec<RosterChange> {
-        if self.failing.is_some() || self.kept_until(now).is_some() {
+        if self.failing.is_some() || self.retained_until(now).is_some() {
             return Vec::new();
         }
-        let gone = std::mem::take(&mut self.missing);
-        gone.into_iter().map(|id| self.drop_entry(id, now)).collect()
+        let expired = std::mem::take(&mut self.missing);
+        expired.into_iter().map(|id| self.remove_now(id, now)).collect()
     }
 
-    fn drop_entry(&mut self, id: EndpointId, now: Duration) -> RosterChange {
+    fn remove_now(&mut self, id: EndpointId, now: Duration) -> RosterChange {
         self.missing.remove(&id);
-        self.gone
-            .retain(|_, (_, since)| now.saturating_sub(*since) < REMEMBERED);
+        self.removed
+            .retain(|_, (_, since)| now.saturating_sub(*since) < REMOVED_RETENTION);
         if let Some(entry) = self.entries.remove(&id) {
-            self.gone.insert(id.clone(), (entry.incarnation, now));
+            self.removed.insert(id.clone(), (entry.incarnation, now));
         }
         RosterChange::Removed(id)
     }
@@ -187,27 +193,27 @@
             .is_some_and(|restored| now.saturating_sub(restored) < time)
     }
 
-    /// Whether a store that came back from a copy lists a life that is gone. One that isn't writes its entry again.
+    /// Whether a restored store lists an incarnation that was removed. A healthy endpoint writes its entry again.
     fn is_stale(&self, change: &ListChange) -> bool {
         let ListChange::Listed(entry) = change else {
             return false;
         };
-        let gone = self.gone.get(&entry.id);
-        gone.is_some_and(|(life, _)| *life == entry.incarnation)
+        let removed = self.removed.get(&entry.id);
+        removed.is_some_and(|(incarnation, _)| *incarnation == entry.incarnation)
     }
 
-    /// A life that leaves goes on leaving, whatever an older copy of the store says.
-    fn keep_leaving(&self, change: &mut ListChange) {
+    /// Keeps an incarnation draining, even if the restored store has an entry from before it began to drain.
+    fn keep_draining(&self, change: &mut ListChange) {
         if let ListChange::Listed(entry) = change
-            && let Some(known) = self.entries.get(&entry.id)
+            && let Some(current) = self.entries.get(&entry.id)
         {
-            entry.leaving |= known.leaving && known.incarnation == entry.incarnation;
+            entry.leaving |= current.leaving && current.incarnation == entry.incarnation;
         }
     }
 
     fn list(&mut self, entry: EndpointEntry) -> Option<RosterChange> {
-        let known = self.entries.get(&entry.id);
-        if known.is_some_and(|known| **known == entry) {
+        let current = self.entries.get(&entry.id);
+        if current.is_some_and(|current| **current == entry) {
             return None;
         }
         let entry = Arc::new(entry);
@@ -217,23 +223,23 @@
 
     fn remove(&mut self, id: EndpointId, now: Duration) -> Option<RosterChange> {
         let entry = self.entries.get(&id)?;
-        // One that said it leaves has not lapsed in an outage.
+        // The entry of a draining endpoint was removed and did not expire in an outage.
         if entry.leaving {
-            return Some(self.drop_entry(id, now));
+            return Some(self.remove_now(id, now));
         }
-        let Some(until) = self.kept_until(now) else {
-            return Some(self.drop_entry(id, now));
+        let Some(until) = self.retained_until(now) else {
+            return Some(self.remove_now(id, now));
         };
         let new = self.missing.insert(id.clone());
         new.then_some(RosterChange::Missing { id, until })
     }
 
-    /// Until when an endpoint stays in service whose entry is missing, if it may have lapsed. What is missing after the store
-    /// has answered for long enough was removed, or did not live to register again.
-    fn kept_until(&self, now: Duration) -> Option<Duration> {
-        let registered = self.uptime.last_break()?.until + REGISTER_AGAIN;
+    /// Until when an endpoint with a missing entry stays in service, if the entry may have expired. `None` once the
+    /// store has been available for long enough: by then the endpoint was removed, or failed to register again.
+    fn retained_until(&self, now: Duration) -> Option<Duration> {
+        let registered = self.uptime.last_break()?.until + REREGISTER_TIMEOUT;
         let overdue = self.uptime.overdue_at();
-        let until = overdue.map_or(registered, |overdue| registered.min(overdue + RESTORED));
+        let until = overdue.map_or(registered, |overdue| registered.min(overdue + RECOVERY_TIMEOUT));
         (now < until).then_some(until)
     }
 }
--- a/crates/dispatch/src/uptime.rs
+++ b/crates/dispatch/src/uptime.rs
@@ -1,29 +1,31 @@
-//! Since when the store is known to answer, without a break in which an endpoint's lease can have ended.
+//! How long the store has been available without a break in which an endpoint's lease may have expired.
 //!
-//! A router that gets no answers can't tell an outage of the store from a cut of its own path, or of the path of a router that it follows.
-//! In an outage the entries of living endpoints lapse; behind a cut an entry that goes was removed. So a break in a router's own answers
-//! is no outage yet: what the store answered others in that time counts as well.
+//! A router without responses can't distinguish an outage of the store from a partition of its own, or of a router that
+//! it follows. In an outage the entries of healthy endpoints expire. During a partition an entry that disappears was
+//! removed. So a break in a router's own responses doesn't count as an outage if the store responded to other routers
+//! meanwhile.
 
 use std::time::Duration;
 
-/// Shortest break in which a lease can end: it lasts for three heartbeats, 3.6 s at the sites, and is renewed at each of them.
-const BREAK: Duration = Duration::from_millis(2_000);
+/// Shortest break in which a lease may expire. A lease lasts for three heartbeats, 3.6 s, and is renewed at each of
+/// them.
+const MIN_BREAK: Duration = Duration::from_millis(2_000);
 
-/// A time in which the store answered without a break.
+/// A period in which the store responded without a break.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Span {
-    /// First answer.
+    /// First response.
     pub from: Duration,
-    /// Last answer.
+    /// Last response.
     pub until: Duration,
 }
 
 impl Span {
-    fn meets(&self, other: &Self) -> bool {
-        self.from < other.until + BREAK && other.from < self.until + BREAK
+    fn touches(&self, other: &Self) -> bool {
+        self.from < other.until + MIN_BREAK && other.from < self.until + MIN_BREAK
     }
 
-    fn join(&self, other: &Self) -> Self {
+    fn merge(&self, other: &Self) -> Self {
         Self {
             from: self.from.min(other.from),
             until: self.until.max(other.until),
@@ -31,28 +33,28 @@
     }
 }
 
-/// What a router knows of the store's uptime.
+/// Availability of the store as far as a router knows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Uptime {
     span: Option<Span>,
-    /// Last answer before the break that the span follows.
+    /// Last response before the break that precedes the span.
     before: Option<Duration>,
-    /// When an answer to this router was overdue last.
-    failed: Option<Duration>,
+    /// When a response to this router was last overdue.
+    overdue: Option<Duration>,
 }
 
 impl Uptime {
-    /// The span of the last answer; absent before the first.
+    /// The span of the last response; `None` before the first.
     pub fn span(&self) -> Option<Span> {
         self.span
     }
 
-    /// Time since the last answer.
+    /// Time since the last response.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.span.map(|span| now.saturating_sub(span.until))
     }
 
-    /// The break before the span; absent if there was none since the start.
+    /// The break before the span; `None` if there was none since the start.
     pub fn last_break(&self) -> Option<Span> {
         let (before, span) = self.before.zip(self.span)?;
         Some(Span {
@@ -61,28 +63,29 @@
         })
     }
 
-    /// When an answer to this router was overdue last, in the break before the span.
+    /// When a response to this router was last overdue during the break before the span.
     pub fn overdue_at(&self) -> Option<Duration> {
         let gap = self.last_break()?;
-        self.failed.filter(|failed| gap.from < *failed && *failed < gap.until)
+        self.overdue.filter(|due| gap.from < *due && *due < gap.until)
     }
 
-    /// A call failed whose answer was due then.
+    /// Records a failed call whose response was due at `due`.
     pub fn failed(&mut self, due: Duration) {
-        self.failed = self.failed.max(Some(due));
+        self.overdue = self.overdue.max(Some(due));
     }
 
-    /// The store answered this router, or one that it follows.
+    /// Records that the store responded to this router, or to one that it follows.
     pub fn answered(&mut self, answers: Span) {
         match self.span {
             None => self.span = Some(answers),
-            Some(span) if span.meets(&answers) => self.span = Some(span.join(&answers)),
-            Some(_) => self.resumed(answers),
+            Some(span) if span.touches(&answers) => self.span = Some(span.merge(&answers)),
+            Some(_) => self.answered_after_break(answers),
         }
     }
 
-    /// The same, after a break however short it was. Answers from before it change nothing.
-    pub fn resumed(&mut self, answers: Span) {
+    /// Like [`Self::answered`], but always after a break, however short. Responses from before the break change
+    /// nothing.
+    pub fn answered_after_break(&mut self, answers: Span) {
         let last = self.span.map(|span| span.until);
         if last < Some(answers.until) {
             self.span = Some(answers);
@@ -90,9 +93,10 @@
         }
     }
 
-    /// The store answered another router. That may fill the break before the span, and tells nothing of how current the list is.
-    pub fn witness(&mut self, answers: Span) {
-        if let Some(span) = self.span.filter(|span| span.meets(&answers)) {
+    /// Records that the store responded to another router. That may close the break before the span. It doesn't show
+    /// that the endpoint list is current.
+    pub fn answered_other(&mut self, answers: Span) {
+        if let Some(span) = self.span.filter(|span| span.touches(&answers)) {
             self.span = Some(Span {
                 from: span.from.min(answers.from),
                 until: span.until,
