--- a/crates/dispatch/src/holder.rs
+++ b/crates/dispatch/src/holder.rs
@@ -99,7 +99,7 @@
         requested: Duration,
     },
     /// The store no longer has this lease.
-    Lapsed(u64),
+    LeaseExpired(u64),
     /// This router shuts down.
     Stop,
 }
@@ -194,8 +194,8 @@
                 }
             }
             // The watch may have reported it first, so the key may already be free or another lease requested.
-            Event::Lapsed(lease) if self.lease() == Some(lease) => self.reset(),
-            Event::Lapsed(_) => {}
+            Event::LeaseExpired(lease) if self.lease() == Some(lease) => self.reset(),
+            Event::LeaseExpired(_) => {}
             Event::Stop => {
                 self.stopped = true;
                 let held = self.lease.map(|lease| Step::Release(lease.id));
--- a/crates/dispatch/tests/holder.rs
+++ b/crates/dispatch/tests/holder.rs
@@ -248,7 +248,7 @@
     holder.on(Event::KeyObserved(Some(own)), at(30));
     assert!(matches!(holder.on(Event::Tick, at(600)), Some(Step::Renew(7))));
     holder.on(Event::KeyObserved(None), at(700));
-    holder.on(Event::Lapsed(7), at(701));
+    holder.on(Event::LeaseExpired(7), at(701));
     assert!(asks_again(&mut holder, 800));
 }
 
--- a/crates/dispatch/tests/lease_model.rs
+++ b/crates/dispatch/tests/lease_model.rs
@@ -321,7 +321,7 @@
                     ttl: TIMES.ttl,
                     requested: ms(requested),
                 };
-                let event = if lives { renewed } else { Event::Lapsed(lease) };
+                let event = if lives { renewed } else { Event::LeaseExpired(lease) };
                 if alive {
                     self.answer(router, requested, Under::Hear(event), nothing);
                 }
--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -296,7 +296,7 @@
     count(shared, "renew", renewed.is_ok());
     let event = match renewed {
         Ok(Some(ttl)) => holder::Event::Renewed { ttl, requested },
-        Ok(None) => holder::Event::Lapsed(lease),
+        Ok(None) => holder::Event::LeaseExpired(lease),
         // The lease goes on until it ends by the own clock.
         Err(_) => return,
     };
