--- a/crates/dispatch/src/prefixes.rs
+++ b/crates/dispatch/src/prefixes.rs
@@ -1,14 +1,16 @@
-//! What the stores of cached prefixes hold, as far as their events tell, and which one keeps a prefix.
+//! Contents of the prefix stores (shared KV caches) according to their events, and the assignment of prefixes to
+//! stores.
 //!
-//! Load pattern: engines' memory holds the prefixes of a few seconds; what yields is read again by the next request, at the
-//! price of a prompt's whole length. The store holds many times more. It is filled by engines that are told to, so each
-//! shared part should be sent there once, and nothing that nobody else will ask for: it drops the least recently used.
+//! Load pattern: an engine's memory holds the prefixes of a few seconds. An evicted prefix costs the next request a
+//! prefill of the whole prompt. A prefix store holds many times more. It is filled by engines on request of a router,
+//! and evicts the least recently used parts. So each shared part should be saved once, and unshared parts never.
 //!
-//! A site may have several stores. Each prefix has its place in one of them, by the same hash at every router, so that together
-//! they hold as much as they have room for; were one used alone, it would drop within seconds what the others have room for.
+//! A deployment may have several stores. Every router assigns a prefix to the same store by hash, so that their
+//! capacities add up. If all routers used one store, it would evict within seconds what the others have room for.
 //!
-//! Events come late and with gaps, and latest to routers that hear of them by others. An engine is always told to ask the place
-//! of its prefix: a vain question costs it a millisecond, reading 6,000 tokens again 75. Events only say what need not be sent.
+//! Events arrive late and with gaps, especially at routers that receive them from other routers. An engine is always
+//! asked to fetch from the store of its prefix: a miss costs it 1 ms, repeating the prefill of 6,000 tokens 75 ms. The
+//! events only decide what need not be saved.
 
 use crate::fleet::Part;
 use ids::WorkspaceId;
@@ -19,24 +21,25 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A store that has not answered for this long is left alone: an engine that asks a dead one waits for some hundred
-/// milliseconds.
-const SILENT: Duration = Duration::from_millis(1_500);
-/// Parts that are remembered at most, about 100 bytes each: some ten times what the sites' stores hold.
-const MOST_PARTS: usize = 20_000;
-/// How long an event is trusted: the one that says that the part has gone may be among those that were lost. Sending it
-/// again also shows the store that it is in use.
-const TRUSTED: Duration = Duration::from_secs(16);
-/// How long a part counts as sent before an event confirms it: the events' lag and the time until a prompt is read.
-const UNDER_WAY: Duration = Duration::from_millis(1_500);
-
-/// Stands for a part within a scope, in 32 bits: routers tell each other hundreds of them a second over links of 10 Mbit/s. Two of
-/// the sites' 20,000 parts share a key with a chance of one in twenty; one of them is then sent too seldom.
+/// A store that hasn't responded for this long is not used, since an engine that asks a failed store waits for some
+/// hundred milliseconds.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum number of tracked parts per store, at about 100 bytes each: about ten times the number that the stores hold.
+const MAX_PARTS: usize = 20_000;
+/// How long a part counts as stored after an event, since the event of its eviction may be lost. Saving it again also
+/// marks it as recently used in the store.
+const CONFIRMED_TTL: Duration = Duration::from_secs(16);
+/// How long a part counts as saved before an event confirms it: the time of the prefill plus the delay of the events.
+const REQUESTED_TTL: Duration = Duration::from_millis(1_500);
+
+/// Hash of a part and its cache scope. It has only 32 bits because routers exchange hundreds of keys per second over
+/// links of 10 Mbit/s. Among 20,000 parts, two collide with a probability of 1 in 20; one of them is then saved too
+/// rarely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PartKey(pub u32);
 
 impl PartKey {
-    /// The key of a part that was made under a scope.
+    /// The key of a part in a cache scope.
     pub fn new(salt: &str, part: u64) -> Self {
         let hash = xxh3_64_with_seed(salt.as_bytes(), part);
         Self((hash >> u32::BITS) as u32)
@@ -46,50 +49,50 @@
 /// One event of a store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PrefixEvent {
-    /// Its number.
+    /// Sequence number.
     pub number: u64,
-    /// Whether the part is held now.
+    /// Whether the store now holds the part.
     pub held: bool,
-    /// The part, and the scope that it was made under.
+    /// Key of the part.
     pub part: PartKey,
 }
 
 /// A page of events.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PrefixEvents {
-    /// The store's life; another one begins empty. 0 if none is known.
+    /// Incarnation of the store; a new one starts empty. 0 if unknown.
     pub incarnation: u64,
-    /// Number to ask on from.
+    /// Sequence number to continue from.
     pub next: u64,
-    /// Whether events are missing before these.
+    /// Whether events before these were lost.
     pub gap: bool,
-    /// In order.
+    /// The events, in order.
     pub events: Vec<PrefixEvent>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Held {
-    /// An engine was told to send it, at this time.
-    Sent(Duration),
-    /// An event said that it is there, at this time.
+enum PartState {
+    /// An engine was asked to save it at this time.
+    Requested(Duration),
+    /// An event reported it as stored at this time.
     Confirmed(Duration),
 }
 
-/// What to tell an engine about the store.
+/// Transfers with a prefix store that an engine is asked to make.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Transfers {
-    /// Fetch from there what it lacks.
+    /// Store to fetch missing prefix parts from.
     pub fetch: Option<SocketAddr>,
-    /// Send there what it has read.
+    /// Store to save computed prefix parts to.
     pub save: Option<SocketAddr>,
 }
 
-/// Beliefs about all stores of a site.
+/// Estimated contents of all prefix stores.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixStores(BTreeMap<SocketAddr, PrefixStore>);
 
 impl PrefixStores {
-    /// Where the stores are; new ones are believed empty.
+    /// Sets the addresses of the stores. New ones are assumed to be empty.
     pub fn set_addresses(&mut self, addresses: &[SocketAddr]) {
         self.0.retain(|address, _| addresses.contains(address));
         for address in addresses {
@@ -98,28 +101,28 @@
         }
     }
 
-    /// A store answered. One that the document doesn't name any more is not believed.
+    /// Applies a page of events. A store that the configuration no longer contains is ignored.
     pub fn apply(&mut self, address: SocketAddr, page: &PrefixEvents, now: Duration) {
         if let Some(store) = self.0.get_mut(&address) {
             store.apply(page, now);
         }
     }
 
-    /// Whether a store has answered lately.
+    /// Whether a store has responded recently.
     pub fn alive(&self, address: SocketAddr, now: Duration) -> bool {
         self.0.get(&address).is_some_and(|store| store.alive(now))
     }
 
-    /// The stores, each with its life and the number of the first event that is not known.
+    /// The stores, each with its incarnation and the sequence number to continue from.
     pub fn positions(&self) -> impl Iterator<Item = (SocketAddr, u64, u64)> {
         self.0
             .iter()
             .map(|(address, store)| (*address, store.incarnation, store.next))
     }
 
-    /// What to tell the engine that gets a prompt of these shared parts, made under a scope. Each innermost part has its own place;
-    /// but those of an isolated workspace stay with the outermost one, which that workspace's few requests would otherwise make
-    /// engines read once for each store.
+    /// The transfers of an engine that gets a prompt with these shared parts, in the cache scope `salt`. The store is
+    /// chosen by the innermost part. For an isolated workspace it is chosen by workspace and outermost part: otherwise
+    /// its few requests would need a prefill of the outermost part for each store.
     pub fn transfers(
         &mut self,
         salt: &str,
@@ -132,29 +135,29 @@
             return Transfers::default();
         };
         let innermost = shared.last().unwrap_or(first).id;
-        let kept_by = isolated.map_or(innermost, |own| xxh3_64_with_seed(own.as_str().as_bytes(), first.id));
+        let placement_hash = isolated.map_or(innermost, |id| xxh3_64_with_seed(id.as_str().as_bytes(), first.id));
         let alive = self.0.values_mut().filter(|store| store.alive(now));
-        let Some(store) = alive.max_by_key(|store| score(kept_by, store.key)) else {
+        let Some(store) = alive.max_by_key(|store| score(placement_hash, store.key)) else {
             return Transfers::default();
         };
         store.transfers(salt, shared, own, now)
     }
 }
 
-/// Beliefs about one store.
+/// Estimated contents of one prefix store.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixStore {
     address: Option<SocketAddr>,
-    /// Its address in hashes, kept since every request ranks all stores by it.
+    /// Hash of the address, cached because every request ranks all stores by it.
     key: EndpointKey,
     incarnation: u64,
     next: u64,
-    answered: Option<Duration>,
-    parts: HashMap<PartKey, Held>,
+    responded: Option<Duration>,
+    parts: HashMap<PartKey, PartState>,
 }
 
 impl PrefixStore {
-    /// Where the store is, if there is one; another one is believed empty.
+    /// Sets the address of the store, if there is one. A new one is assumed to be empty.
     pub fn set_address(&mut self, address: Option<SocketAddr>) {
         if address != self.address {
             let text = address.map(|address| address.to_string()).unwrap_or_default();
@@ -167,44 +170,49 @@
     }
 
     fn alive(&self, now: Duration) -> bool {
-        self.answered.is_some_and(|at| now.saturating_sub(at) < SILENT)
+        self.responded.is_some_and(|at| now.saturating_sub(at) < STORE_TIMEOUT)
     }
 
-    /// The store answered.
+    /// Applies a page of events.
     pub fn apply(&mut self, page: &PrefixEvents, now: Duration) {
-        self.answered = Some(now);
+        self.responded = Some(now);
         self.next = page.next;
-        if page.incarnation != self.incarnation || self.parts.len() > MOST_PARTS {
+        if page.incarnation != self.incarnation || self.parts.len() > MAX_PARTS {
             self.parts.clear();
             self.incarnation = page.incarnation;
         }
         for event in &page.events {
             if event.held {
-                self.parts.insert(event.part, Held::Confirmed(now));
+                self.parts.insert(event.part, PartState::Confirmed(now));
             } else {
                 self.parts.remove(&event.part);
             }
         }
     }
 
-    /// What to tell the engine that gets a prompt of these shared parts.
+    /// The transfers of an engine that gets a prompt with these shared parts. It saves them if at least as many shared
+    /// tokens as `own` tokens are missing in the store.
     pub fn transfers(&mut self, salt: &str, shared: &[Part], own: u64, now: Duration) -> Transfers {
         if !self.alive(now) || shared.is_empty() {
             return Transfers::default();
         }
-        let sent = |part: &PartKey| match self.parts.get(part) {
-            Some(Held::Confirmed(at)) => now.saturating_sub(*at) < TRUSTED,
-            Some(Held::Sent(at)) => now.saturating_sub(*at) < UNDER_WAY,
+        let is_saved = |part: &PartKey| match self.parts.get(part) {
+            Some(PartState::Confirmed(at)) => now.saturating_sub(*at) < CONFIRMED_TTL,
+            Some(PartState::Requested(at)) => now.saturating_sub(*at) < REQUESTED_TTL,
             None => false,
         };
         let keys = shared.iter().map(|part| (PartKey::new(salt, part.id), part.tokens));
-        let missing: Vec<(PartKey, u64)> = keys.filter(|(key, _)| !sent(key)).collect();
+        let missing: Vec<(PartKey, u64)> = keys.filter(|(key, _)| !is_saved(key)).collect();
         let tokens: u64 = missing.iter().map(|(_, tokens)| tokens).sum();
         let save = tokens > 0 && tokens >= own;
         for (part, _) in missing.into_iter().filter(|_| save) {
-            let there = matches!(self.parts.get(&part), Some(Held::Confirmed(_)));
-            let held = if there { Held::Confirmed(now) } else { Held::Sent(now) };
-            self.parts.insert(part, held);
+            let confirmed = matches!(self.parts.get(&part), Some(PartState::Confirmed(_)));
+            let state = if confirmed {
+                PartState::Confirmed(now)
+            } else {
+                PartState::Requested(now)
+            };
+            self.parts.insert(part, state);
         }
         Transfers {
             fetch: self.address,
--- a/crates/dispatch/src/rollout.rs
+++ b/crates/dispatch/src/rollout.rs
@@ -1,6 +1,6 @@
 //! Which endpoints load new weights next.
 //!
-//! Load pattern: new weights are published every few seconds, before the previous ones are loaded everywhere. An
+//! Load pattern: a model gets new target weights every few seconds, before the previous ones are loaded everywhere. An
 //! endpoint that loads serves nothing. It first finishes its running requests, which takes longer than the load itself.
 //! Loads get slow when more than a few run at once. So only a few endpoints load at a time, always the newest weights.
 //! The next ones get no long generations any more, so that they drain within a second when they are ordered to load.
@@ -71,11 +71,11 @@
 
 /// Selects the endpoints to load now and next; those with the same weights keep the order of `candidates`. At least two
 /// thirds of all endpoints continue to serve, unless there are fewer than three.
-pub fn plan_loads(candidates: &[LoadCandidate], wanted: u64, loading: &BTreeSet<EndpointId>) -> LoadPlan {
+pub fn plan_loads(candidates: &[LoadCandidate], target: u64, loading: &BTreeSet<EndpointId>) -> LoadPlan {
     let free = concurrent_loads(candidates.len()).saturating_sub(loading.len());
     let mut outdated: Vec<&LoadCandidate> = candidates
         .iter()
-        .filter(|candidate| !candidate.leaving && candidate.weights < wanted && !loading.contains(&candidate.endpoint))
+        .filter(|candidate| !candidate.leaving && candidate.weights < target && !loading.contains(&candidate.endpoint))
         .collect();
     // The oldest weights first, since they are the first to exceed the age limit.
     outdated.sort_by_key(|candidate| candidate.weights);
@@ -121,16 +121,16 @@
     Done,
 }
 
-/// Decides the next step after a report of an endpoint that is to load `wanted`. An order without a response may take
+/// Decides the next step after a report of an endpoint that is to load `target`. An order without a response may take
 /// effect seconds later. Each order names the expected number of accepted orders, so that only one of two can take
-/// effect. Weights that were published after the order are left to another load, since endpoints with older ones come
-/// first.
-pub fn load_step(report: &Report, wanted: u64, ordered: Option<SentOrder>, now: Duration) -> LoadStep {
+/// effect. A target that was set after the order is left to another load, since endpoints with older weights
+/// come first.
+pub fn load_step(report: &Report, target: u64, ordered: Option<SentOrder>, now: Duration) -> LoadStep {
     if report.busy {
         return LoadStep::Wait;
     }
-    let target = ordered.map_or(wanted, |order| order.weights);
-    if report.weights.is_some_and(|weights| weights >= target) {
+    let required = ordered.map_or(target, |order| order.weights);
+    if report.weights.is_some_and(|weights| weights >= required) {
         return LoadStep::Done;
     }
     let recent = |order: SentOrder| now.saturating_sub(order.at) < REPORT_LAG;
@@ -153,7 +153,7 @@
     misses >= MAX_MISSED_REPORTS
 }
 
-/// Endpoints whose loads failed recently.
+/// Endpoints whose loads failed recently, which are not ordered for a while.
 ///
 /// Load pattern: a quarter of the engines crash or stop responding during a rollout. They stay listed for seconds and
 /// have the oldest weights, so they come first. Without a backoff they would occupy all load slots, and the healthy
--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after the store's recovery within which a healthy endpoint registers again: two seconds by specification, plus
-/// a quarter for the delay of the watch.
+/// Time after the store's recovery within which a healthy endpoint registers again: about two seconds according to
+/// the operators, plus a quarter for the delay of the watch.
 const REREGISTER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time after an overdue response within which this router's list must be correct again. The store, or the network path
 /// to it, may have recovered right after that call.
--- a/crates/dispatch/src/site.rs
+++ b/crates/dispatch/src/site.rs
@@ -1,20 +1,20 @@
-//! The operators' document, as traffic reads it: routes, services, workspaces and limits.
+//! The parts of the configuration that request handling needs: routes, services, workspaces and limits.
 
 use ids::{EndpointId, ModelId, Revision, ServiceId, WorkspaceId};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What may be done with a request more than once.
+/// Whether a request may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It may run once.
+    /// The request may run at most once.
     Once,
-    /// Its answer is a stream of numbered events.
+    /// The response is a stream of numbered events.
     Stream {
-        /// Another endpoint may go on from any event; otherwise it may run once.
+        /// Whether another endpoint may resume from any event. Otherwise the request may run at most once.
         resumable: bool,
     },
 }
@@ -25,7 +25,7 @@
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Whether answers are streams.
+    /// Whether responses are streams.
     pub fn streams(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
@@ -34,86 +34,86 @@
 /// A service that gets a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Which.
+    /// ID of the service.
     pub service: ServiceId,
-    /// Its share, relative to the route's other targets.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go, and within which limits.
+/// Destination and limits of requests with one host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name, for logs.
     pub name: String,
-    /// Host in lower case.
+    /// Host, in lower case.
     pub host: String,
-    /// Beginning of the path.
+    /// Path prefix.
     pub prefix: String,
-    /// Services that serve it.
+    /// Services that the requests are split over.
     pub targets: Vec<Target>,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: RouteKind,
-    /// Whether no key is needed.
+    /// Whether requests need no API key.
     pub public: bool,
-    /// Longest time until the whole answer.
+    /// Maximum time until the response is complete.
     pub timeout: Duration,
-    /// Time within which the answer, or a stream's first event, is of full use.
+    /// Latency objective for the response, or for the first event of a stream.
     pub objective: Duration,
-    /// Most endpoints that one request may be sent to.
+    /// Maximum number of endpoints that one request may be sent to.
     pub attempts: u32,
-    /// Urgency, 0 the most urgent.
+    /// Priority; 0 is the highest.
     pub rank: u8,
 }
 
 impl Route {
-    /// The service for a request; `draw` is uniform over all numbers.
-    pub fn target(&self, draw: u64) -> Option<&ServiceId> {
+    /// The service for a request. `random` is uniformly distributed over all `u64` values.
+    pub fn target(&self, random: u64) -> Option<&ServiceId> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut offset = random.checked_rem(total)?;
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if left < weight {
+            if offset < weight {
                 return Some(&target.service);
             }
-            left -= weight;
+            offset -= weight;
         }
         None
     }
 }
 
-/// A service of the document.
+/// A service of the configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServiceSpec {
-    /// Present if it is a store of cached prefixes, which is reached there.
+    /// Address, if the service is a prefix store.
     pub prefixes: Option<SocketAddr>,
 }
 
-/// A customer.
+/// A workspace of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkspaceSpec {
-    /// Its name.
+    /// ID of the workspace.
     pub id: WorkspaceId,
-    /// Overrides the route's urgency.
+    /// Overrides the route's priority.
     pub rank: Option<u8>,
-    /// Shares no cached prefix with another workspace.
+    /// Whether it shares no cached prefixes with other workspaces.
     pub isolated: bool,
 }
 
-/// What callers may send.
+/// Limits on client requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Longest head, bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Longest body, bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Longest time for a head.
+    /// Maximum time to receive a request head.
     pub head_time: Duration,
-    /// Longest time without a request on a kept connection.
+    /// Maximum idle time of a keep-alive connection.
     pub idle_time: Duration,
 }
 
 impl Default for ClientLimits {
-    /// Common limits of HTTP servers, in force until a document names others.
+    /// Common limits of HTTP servers, for configurations that don't set their own.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -124,22 +124,22 @@
     }
 }
 
-/// The parts of a document.
+/// The parts of a configuration, before indexing.
 #[derive(Debug, Clone, Default)]
 pub struct SiteParts {
-    /// Its number; it only grows.
+    /// Revision of the configuration. It only increases.
     pub revision: Revision,
-    /// Routes in any order.
+    /// Routes, in any order.
     pub routes: Vec<Route>,
-    /// Services by name.
+    /// Services by ID.
     pub services: HashMap<ServiceId, ServiceSpec>,
-    /// Workspaces; absent if callers need no keys.
+    /// Workspaces with their API keys; `None` if requests need no keys.
     pub workspaces: Option<Vec<(WorkspaceSpec, Vec<String>)>>,
-    /// Limits.
+    /// Limits on clients.
     pub limits: ClientLimits,
 }
 
-/// A document, indexed.
+/// A configuration, indexed for lookups per request.
 #[derive(Debug, Clone, Default)]
 pub struct Site {
     revision: Revision,
@@ -150,29 +150,29 @@
     limits: ClientLimits,
 }
 
-/// Whose a request is.
+/// The owner of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Owner<'a> {
-    /// The route or the document asks for no key.
+    /// The route or the configuration requires no API key.
     Anonymous,
-    /// The key's workspace.
+    /// The workspace of the API key.
     Workspace(&'a WorkspaceSpec),
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     Unknown,
 }
 
 impl Site {
-    /// Indexes a document.
+    /// Indexes a configuration.
     pub fn new(parts: SiteParts) -> Self {
         let mut hosts: HashMap<String, Vec<Route>> = HashMap::new();
         for route in parts.routes {
             hosts.entry(route.host.clone()).or_default().push(route);
         }
         for routes in hosts.values_mut() {
-            // The longest prefix wins, so it is looked at first.
+            // Longest prefix first, since `route` returns the first match.
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
-        let (workspaces, keys) = index(parts.workspaces);
+        let (workspaces, keys) = index_workspaces(parts.workspaces);
         Self {
             revision: parts.revision,
             hosts,
@@ -183,29 +183,29 @@
         }
     }
 
-    /// The document's number.
+    /// Revision of the configuration.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Limits towards callers.
+    /// Limits on clients.
     pub fn limits(&self) -> ClientLimits {
         self.limits
     }
 
-    /// The stores of cached prefixes.
+    /// Addresses of the prefix stores.
     pub fn prefix_stores(&self) -> Vec<SocketAddr> {
         self.services.values().filter_map(|service| service.prefixes).collect()
     }
 
-    /// The route of a request. A port in `host` doesn't count, nor does its case.
+    /// The route of a request. The port and the case of `host` are ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.hosts.get(&name.to_ascii_lowercase())?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Whose a request with this key is.
+    /// The owner of a request with this API key.
     pub fn owner(&self, route: &Route, key: Option<&str>) -> Owner<'_> {
         let Some(keys) = &self.keys else {
             return Owner::Anonymous;
@@ -213,21 +213,21 @@
         if route.public {
             return Owner::Anonymous;
         }
-        let place = key.and_then(|key| keys.get(key));
-        place.map_or(Owner::Unknown, |place| Owner::Workspace(&self.workspaces[*place]))
+        let index = key.and_then(|key| keys.get(key));
+        index.map_or(Owner::Unknown, |index| Owner::Workspace(&self.workspaces[*index]))
     }
 }
 
-type Workspaces = (Vec<WorkspaceSpec>, Option<HashMap<String, usize>>);
+type IndexedWorkspaces = (Vec<WorkspaceSpec>, Option<HashMap<String, usize>>);
 
-fn index(workspaces: Option<Vec<(WorkspaceSpec, Vec<String>)>>) -> Workspaces {
+fn index_workspaces(workspaces: Option<Vec<(WorkspaceSpec, Vec<String>)>>) -> IndexedWorkspaces {
     let Some(list) = workspaces else {
         return (Vec::new(), None);
     };
     let mut specs = Vec::with_capacity(list.len());
     let mut keys = HashMap::new();
-    for (spec, owned) in list {
-        for key in owned {
+    for (spec, spec_keys) in list {
+        for key in spec_keys {
             keys.insert(key, specs.len());
         }
         specs.push(spec);
@@ -235,23 +235,23 @@
     (specs, Some(keys))
 }
 
-/// An endpoint in service, as its entry in the store tells.
+/// An endpoint's entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointEntry {
-    /// Its name; a runner that starts again may bear it again.
+    /// ID; a restarted endpoint may reuse it.
     pub id: EndpointId,
-    /// When this life began; another one has an empty cache and knows nothing of before.
+    /// Start time of this incarnation. A new incarnation has an empty cache and no state of the previous one.
     pub incarnation: ids::Incarnation,
-    /// The service it belongs to.
+    /// Service that the endpoint belongs to.
     pub service: ServiceId,
-    /// Where it listens. Addresses are used again by others once it has gone.
+    /// Address that it listens on. Another endpoint may reuse it later.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: ids::DomainId,
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Takes no new work.
+    /// Whether the endpoint is draining: it accepts no new requests.
     pub leaving: bool,
-    /// Models it serves, with the number of their weights.
+    /// Models that it serves, with the version of their weights.
     pub weights: Vec<(ModelId, u64)>,
 }
