--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -7,8 +7,8 @@
 use crate::shared::Shared;
 use async_channel::Receiver;
 use dispatch::fleet::NameAge;
-use dispatch::holder::{Holder, Occupant, TIMES, Turns, fence};
-use dispatch::rollout::Postponed;
+use dispatch::holder::{ForeignOrders, Holder, HolderRecord, TIMES, fence};
+use dispatch::rollout::LoadBackoff;
 use dispatch::roster::{ListChange, Roster, RosterChange};
 use dispatch::site::Site;
 use dispatch::uptime::Span;
@@ -118,8 +118,8 @@
     telling: Telling,
     /// When the list was sent that the store has.
     listed: Arc<Listed>,
-    turns: Turns,
-    postponed: Postponed,
+    turns: ForeignOrders,
+    postponed: LoadBackoff,
     /// Generation number of whoever holds the right to give orders.
     occupant: Option<Fence>,
     /// What a holder said last; of a dead one only who was ordered counts.
@@ -149,8 +149,8 @@
             holding: Holding::default(),
             telling: Telling::default(),
             listed: Arc::default(),
-            turns: Turns::default(),
-            postponed: Postponed::default(),
+            turns: ForeignOrders::default(),
+            postponed: LoadBackoff::default(),
             occupant: None,
             told: Holding::default(),
             shown: None,
@@ -174,7 +174,7 @@
                 self.in_touch = false;
             }
             Event::StoreWitnessed(answers) => {
-                let gone = self.roster.store_witnessed(answers, now);
+                let gone = self.roster.store_answered_other(answers, now);
                 *self.shared.uptime() = *self.roster.uptime();
                 if !gone.is_empty() {
                     log::info!(
@@ -298,7 +298,7 @@
             Change::Removed { key, .. } => endpoint_id(key, prefix).map(ListChange::Removed),
         };
         if let Some(listed) = listed {
-            let changed = self.roster.change(listed, now);
+            let changed = self.roster.apply(listed, now);
             self.apply(changed.into_iter().collect(), now);
             return;
         }
@@ -323,7 +323,7 @@
     fn apply(&mut self, changes: Vec<RosterChange>, now: Duration) {
         for change in changes {
             match change {
-                RosterChange::Serves(entry) => {
+                RosterChange::InService(entry) => {
                     self.shared.links.forget(&entry.id, Some(entry.incarnation));
                     self.shared.fleet().serves(&entry, now);
                     log::info!(
@@ -345,7 +345,7 @@
                         "endpoint: missing, kept as lapsed in an outage"
                     );
                 }
-                RosterChange::Gone(id) => {
+                RosterChange::Removed(id) => {
                     self.shared.links.forget(&id, None);
                     self.shared.fleet().gone(&id, now);
                     log::info!(endpoint = id.as_str(); "endpoint: gone");
@@ -374,7 +374,7 @@
         if key == HOLDER_KEY {
             self.occupant = None;
             self.believe_loads();
-            self.holder_event(dispatch::holder::Event::Seen(None));
+            self.holder_event(dispatch::holder::Event::KeyObserved(None));
         }
     }
 
@@ -431,14 +431,14 @@
     fn occupied(&mut self, item: &Item) {
         let position = self.shared.relay.lock().log.position();
         let era = position.map_or(0, |position| position.era);
-        let occupant = Occupant {
+        let occupant = HolderRecord {
             name: String::from_utf8_lossy(&item.value).into_owned(),
             created: fence(era, item.created),
             lease: item.lease,
         };
         self.occupant = Some(occupant.created);
         self.believe_loads();
-        self.holder_event(dispatch::holder::Event::Seen(Some(occupant)));
+        self.holder_event(dispatch::holder::Event::KeyObserved(Some(occupant)));
     }
 
     /// What the holder says of endpoints.
@@ -454,11 +454,11 @@
             return;
         }
         for endpoint in holding.loading.iter().chain(&holding.recent) {
-            self.turns.other(endpoint, now);
+            self.turns.record(endpoint, now);
         }
         for (endpoint, age) in &holding.before {
             self.turns
-                .other(endpoint, now.saturating_sub(Duration::from_millis(*age)));
+                .record(endpoint, now.saturating_sub(Duration::from_millis(*age)));
         }
         self.believe(holding);
     }
--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -5,8 +5,8 @@
 use crate::orders;
 use crate::shared::Shared;
 use async_std::task;
-use dispatch::holder::{self, Step, TURN_SLACK, created};
-use dispatch::rollout::{Runner, in_load_order, next_loads};
+use dispatch::holder::{self, HANDOVER_SLACK, Step, created};
+use dispatch::rollout::{LoadCandidate, plan_loads, sort_by_load_order};
 use dispatch::site::EndpointEntry;
 use ids::{EndpointId, Fence, ModelId};
 use std::sync::Arc;
@@ -84,14 +84,14 @@
         self.telling.coming.clear();
         for (model, weights) in wanted {
             let runners = self.runners(&model);
-            let turn = self.shared.settings.load().bounds.turn() + TURN_SLACK;
-            let free: Vec<Runner> = runners
+            let turn = self.shared.settings.load().bounds.turn() + HANDOVER_SLACK;
+            let free: Vec<LoadCandidate> = runners
                 .into_iter()
                 .filter(|runner| self.turns.may_order(&runner.endpoint, turn, now))
                 .filter(|runner| self.postponed.may_load(&runner.endpoint, now))
                 .collect();
-            let turn = next_loads(&free, weights, &self.loading);
-            self.telling.coming.extend(turn.coming);
+            let turn = plan_loads(&free, weights, &self.loading);
+            self.telling.coming.extend(turn.upcoming);
             for endpoint in turn.begin {
                 self.loading.insert(endpoint.clone());
                 self.telling.begin.push((endpoint, model.clone()));
@@ -102,18 +102,18 @@
         }
     }
 
-    fn runners(&self, model: &ModelId) -> Vec<Runner> {
+    fn runners(&self, model: &ModelId) -> Vec<LoadCandidate> {
         let fleet = self.shared.fleet();
         let runner = |entry: &Arc<EndpointEntry>| {
             let weights = fleet.weights(&entry.id, model)?;
-            Some(Runner {
+            Some(LoadCandidate {
                 endpoint: entry.id.clone(),
                 weights,
                 leaving: entry.leaving,
             })
         };
-        let mut runners: Vec<Runner> = self.roster.all().filter_map(runner).collect();
-        in_load_order(&mut runners);
+        let mut runners: Vec<LoadCandidate> = self.roster.all().filter_map(runner).collect();
+        sort_by_load_order(&mut runners);
         runners
     }
 
@@ -146,7 +146,7 @@
             }
             // Without the right to order, the failure is this router's.
             None if self.lock_holder().may_order(now).is_none() => {}
-            None => self.postponed.failed(endpoint, now),
+            None => self.postponed.record_failure(endpoint, now),
         }
         self.give_orders(now);
         self.tell();
@@ -194,14 +194,14 @@
             }
             return;
         };
-        let turn = self.shared.settings.load().bounds.turn() + TURN_SLACK;
+        let turn = self.shared.settings.load().bounds.turn() + HANDOVER_SLACK;
         self.leave_alone(turn, now);
         self.ended.retain(|_, at| now.saturating_sub(*at) < turn);
         self.holding.fence = fence;
         self.holding.loading = self.loading.iter().cloned().collect();
         self.holding.coming.clone_from(&self.telling.coming);
         self.holding.recent = self.ended.keys().cloned().collect();
-        let before = self.turns.lately(turn, now);
+        let before = self.turns.recent(turn, now);
         self.holding.before = before.map(|(id, age)| (id.clone(), age.as_millis() as u64)).collect();
         let mut loaded = std::mem::take(&mut self.holding.loaded);
         loaded.retain(|loaded| self.lives(loaded));
@@ -262,7 +262,7 @@
 }
 
 async fn acquire(shared: &Shared, client: &Client, name: String, ttl: Duration) {
-    let asked = shared.clock.now();
+    let requested = shared.clock.now();
     let granted = client.grant(ttl, CALL).await;
     count(shared, "grant", granted.is_ok());
     let Ok(granted) = granted else {
@@ -271,7 +271,7 @@
     };
     let lease = granted.lease;
     let ttl = granted.ttl;
-    send(shared, Event::Holder(holder::Event::Granted { lease, ttl, asked })).await;
+    send(shared, Event::Holder(holder::Event::Granted { lease, ttl, requested })).await;
     let transaction = Transaction {
         expected: vec![(HOLDER_KEY.to_owned(), 0)],
         writes: vec![Write {
@@ -291,12 +291,12 @@
 }
 
 async fn renew(shared: &Shared, client: &Client, lease: u64) {
-    let asked = shared.clock.now();
+    let requested = shared.clock.now();
     let renewed = client.renew(lease, CALL).await;
     count(shared, "renew", renewed.is_ok());
     let event = match renewed {
-        Ok(Some(ttl)) => holder::Event::Renewed { ttl, asked },
-        Ok(None) => holder::Event::Lapsed(lease),
+        Ok(Some(ttl)) => holder::Event::Renewed { ttl, requested },
+        Ok(None) => holder::Event::LeaseExpired(lease),
         // The lease goes on until it ends by the own clock.
         Err(_) => return,
     };
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -14,7 +14,7 @@
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
 use dispatch::attempt::Cause;
-use dispatch::site::CallerLimits;
+use dispatch::site::ClientLimits;
 use futures::future::{Either, select};
 use http::Conn;
 use http::raw::{BodyReader, Framing, HeadError, RawBodyError, RequestHead, Source, request_framing, watch_peer};
@@ -154,14 +154,14 @@
     }
 }
 
-async fn request(shared: &Arc<Shared>, conn: &Conn, source: &mut Source, limits: CallerLimits) -> Ending {
+async fn request(shared: &Arc<Shared>, conn: &Conn, source: &mut Source, limits: ClientLimits) -> Ending {
     let arrived = shared.clock.now();
     let head = match timeout(limits.head_time, source.request_head(limits.head_bytes)).await {
         Ok(Ok(head)) => head,
         Ok(Err(HeadError::TooLarge)) => return refuse(shared, conn, Cause::HeadTooLarge).await,
         Ok(Err(HeadError::Malformed(_))) => return refuse(shared, conn, Cause::Malformed).await,
         Ok(Err(_)) => return Ending::Abort,
-        Err(_) => return refuse(shared, conn, Cause::SlowCaller).await,
+        Err(_) => return refuse(shared, conn, Cause::SlowClient).await,
     };
     let framing = match request_framing(&head) {
         Ok(framing) => framing,
@@ -189,7 +189,7 @@
         Ok(Err(RawBodyError::TooLarge)) => return refuse(shared, conn, Cause::BodyTooLarge).await,
         Ok(Err(RawBodyError::Chunk)) => return refuse(shared, conn, Cause::Malformed).await,
         Ok(Err(_)) => return Ending::Abort,
-        Err(_) => return refuse(shared, conn, Cause::SlowCaller).await,
+        Err(_) => return refuse(shared, conn, Cause::SlowClient).await,
     };
     let caller = Caller {
         conn: conn.clone(),
