--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -1,6 +1,6 @@
 //! Time of one choice of an engine, by the size of the pool: `cargo run --release -p dispatch --example choice_cost`.
 
-use dispatch::fleet::{Backlog, Choice, Fleet, FleetSettings, NameAge, Part, Prompt, ShortKey, Wish};
+use dispatch::fleet::{Backlog, Choice, Fleet, FleetSettings, NameAge, Part, PickContext, Prompt, ShortKey};
 use dispatch::retries::RetryLimits;
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, ModelId, ServiceId, VmId};
@@ -91,7 +91,7 @@
         output: 50,
     };
     let service = ServiceId::from("pool");
-    let wish = Wish {
+    let wish = PickContext {
         service: &service,
         avoid: &[],
         prompt: Some(&prompt),
--- a/crates/dispatch/src/fleet/candidates.rs
+++ b/crates/dispatch/src/fleet/candidates.rs
@@ -2,7 +2,7 @@
 
 use super::known::Known;
 use super::names::Named;
-use super::{Fleet, Prompt, ShortKey, Wish};
+use super::{Fleet, PickContext, Prompt, ShortKey};
 use control::health::Belief;
 use ids::ModelId;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 }
 
 impl Fleet {
-    pub(super) fn candidates(&self, wish: &Wish<'_>, now: Duration) -> Standing<'_> {
+    pub(super) fn candidates(&self, wish: &PickContext<'_>, now: Duration) -> Standing<'_> {
         let mut open: Vec<&Known> = self.serving(wish).collect();
         if open.is_empty() {
             return Standing::None;
@@ -49,9 +49,9 @@
     }
 
     /// Endpoints that a prompt had better stay away from: those for long answers if it is long, and the others if its answer is.
-    pub(super) fn apart(&self, wish: &Wish<'_>, prompt: &Prompt, now: Duration) -> impl Fn(&Known) -> bool {
+    pub(super) fn apart(&self, wish: &PickContext<'_>, prompt: &Prompt, now: Duration) -> impl Fn(&Known) -> bool {
         let sound = |known: &&Known| !self.loading.contains(&known.entry.id) && self.is_sound(known, now);
-        let everywhere = Wish { avoid: &[], ..*wish };
+        let everywhere = PickContext { avoid: &[], ..*wish };
         let all = self.serving(&everywhere).filter(sound).collect();
         let own = self.lanes.get(wish.service);
         let mut reads = own.map(|own| own.reads(now)).unwrap_or_default();
@@ -61,7 +61,7 @@
         move |known| !lane.is_empty() && lane.contains(&known.key) != generates
     }
 
-    fn serving(&self, wish: &Wish<'_>) -> impl Iterator<Item = &Known> {
+    fn serving(&self, wish: &PickContext<'_>) -> impl Iterator<Item = &Known> {
         self.known
             .values()
             .filter(|known| known.entry.service == *wish.service && !known.entry.leaving)
--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -4,7 +4,7 @@
 //! hashes of the nested levels and weighs what would have to be read again against what waits there.
 
 use super::known::Known;
-use super::{Choice, Fleet, Picked, ShortKey, Wish};
+use super::{Choice, Fleet, PickContext, Picked, ShortKey};
 use ids::{Incarnation, ModelId};
 use placement::{Candidate, Placer, PrefixChain};
 use std::time::Duration;
@@ -101,7 +101,7 @@
     pub(super) fn choose_engine(
         &self,
         placer: &mut Placer,
-        wish: &Wish<'_>,
+        wish: &PickContext<'_>,
         mut open: Vec<&Known>,
         draw: u64,
         now: Duration,
@@ -162,7 +162,7 @@
 }
 
 /// Prefixes of an isolated workspace have homes of their own.
-fn seed(wish: &Wish<'_>) -> u64 {
+fn seed(wish: &PickContext<'_>) -> u64 {
     wish.isolated
         .map_or(0, |workspace| xxh3_64_with_seed(workspace.as_str().as_bytes(), 1))
 }
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -53,7 +53,7 @@
 
 /// What a request asks of its endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Wish<'a> {
+pub struct PickContext<'a> {
     /// The service.
     pub service: &'a ServiceId,
     /// Endpoints that were tried before.
@@ -239,7 +239,7 @@
     }
 
     /// Chooses an endpoint; `draw` is uniform over all numbers.
-    pub fn choose(&mut self, wish: &Wish<'_>, draw: u64, now: Duration) -> Choice {
+    pub fn choose(&mut self, wish: &PickContext<'_>, draw: u64, now: Duration) -> Choice {
         self.others.add_up(now);
         let choice = self.choose_any(wish, draw, now);
         if let Choice::At(picked) = &choice
@@ -250,7 +250,7 @@
         choice
     }
 
-    fn choose_any(&mut self, wish: &Wish<'_>, draw: u64, now: Duration) -> Choice {
+    fn choose_any(&mut self, wish: &PickContext<'_>, draw: u64, now: Duration) -> Choice {
         if wish.prompt.is_none() {
             return self.choose_from(wish, now, |open| self.choose_plain(&open, draw, now));
         }
@@ -267,7 +267,7 @@
 
     fn choose_from<'a>(
         &'a self,
-        wish: &Wish<'_>,
+        wish: &PickContext<'_>,
         now: Duration,
         choose: impl FnOnce(Vec<&'a Known>) -> Choice,
     ) -> Choice {
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -1,6 +1,6 @@
 //! How long ago weights were named, as far as routers can tell that start, freeze and ask each other.
 
-use dispatch::fleet::{Choice, Fleet, FleetSettings, NameAge, Part, Prompt, Wish};
+use dispatch::fleet::{Choice, Fleet, FleetSettings, NameAge, Part, PickContext, Prompt};
 use dispatch::retries::RetryLimits;
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, ModelId, ServiceId};
@@ -57,7 +57,7 @@
         tokens: 100,
         output: 10,
     };
-    let wish = Wish {
+    let wish = PickContext {
         service: &ServiceId::from("s"),
         avoid: &[],
         prompt: Some(&prompt),
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dispatch::fleet::{Choice, Fleet, RateNews, Wish};
+use dispatch::fleet::{Choice, Fleet, PickContext, RateNews};
 use ids::{EndpointId, VmId};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -100,7 +100,7 @@
     }
 
     fn send(&mut self, router: usize, now: Duration) {
-        let wish = Wish {
+        let wish = PickContext {
             service: &service(),
             avoid: &[],
             prompt: None,
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -1,7 +1,7 @@
 //! Routers that send long and short prompts to engines, simulated without I/O in steps of a millisecond.
 
 use super::fleet::{at, fleet, model, service};
-use dispatch::fleet::{Choice, Fleet, LoadReport, Outcome, Part, Picked, Prompt, Wish};
+use dispatch::fleet::{Choice, Fleet, LoadReport, Outcome, Part, PickContext, Picked, Prompt};
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, VmId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -182,7 +182,7 @@
         let router = self.random.below(self.load.routers as u64) as usize;
         let draw = self.random.next();
         let service = service();
-        let wish = Wish {
+        let wish = PickContext {
             service: &service,
             avoid: &[],
             prompt: Some(&prompt),
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of endpoints, and where its requests go.
 
-use dispatch::fleet::{Choice, Fleet, FleetSettings, NameAge, Part, Prompt, Wish};
+use dispatch::fleet::{Choice, Fleet, FleetSettings, NameAge, Part, PickContext, Prompt};
 use dispatch::retries::RetryLimits;
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, ModelId, ServiceId};
@@ -94,7 +94,7 @@
     now: Duration,
 ) -> Option<String> {
     let service = service();
-    let wish = Wish {
+    let wish = PickContext {
         service: &service,
         avoid,
         prompt,
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -9,7 +9,7 @@
 use crate::link::Link;
 use crate::shared::Shared;
 use dispatch::attempt::{self, Cause, Failure, Next, Tried, Unbegun, Wait};
-use dispatch::fleet::{Behind, Choice, Outcome, Picked, Wish};
+use dispatch::fleet::{Behind, Choice, Outcome, PickContext, Picked};
 use http::raw::{Answer, ExchangeError, Headers, Source, exchange};
 use ids::EndpointId;
 use lifecycle::events::EventSplitter;
@@ -186,7 +186,7 @@
     }
 
     fn choose(&self) -> Result<Picked, Cause> {
-        let wish = Wish {
+        let wish = PickContext {
             service: self.call.service,
             avoid: &self.avoid,
             prompt: self.call.wish.prompt.as_ref(),
