--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -4,7 +4,7 @@
 //! hashes of the nested levels and weighs what would have to be read again against what waits there.
 
 use super::known::Known;
-use super::{Choice, Fleet, PickContext, Picked, ShortKey};
+use super::{Choice, Fleet, PickContext, PickedEndpoint, ShortKey};
 use ids::{Incarnation, ModelId};
 use placement::{Candidate, Placer, PrefixChain};
 use std::time::Duration;
@@ -121,7 +121,7 @@
             endpoint, incarnation, ..
         } = candidates[pick.index];
         let known = open[pick.index];
-        let picked = Picked {
+        let picked = PickedEndpoint {
             endpoint: known.entry.clone(),
             weights: known.weights(&prompt.model),
             prefill: prompt.tokens.saturating_sub(pick.cached as u64 * BLOCK),
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Choice {
     /// Send it there.
-    At(Picked),
+    At(PickedEndpoint),
     /// All endpoints that could serve it are full.
     Full,
     /// Endpoints that could serve it take no more for now; the caller had better come back after this time.
@@ -79,7 +79,7 @@
 
 /// A chosen endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Picked {
+pub struct PickedEndpoint {
     /// The endpoint.
     pub endpoint: Arc<EndpointEntry>,
     /// Number of the weights it is believed to serve the request's model with.
--- a/crates/dispatch/src/fleet/plain.rs
+++ b/crates/dispatch/src/fleet/plain.rs
@@ -4,7 +4,7 @@
 //! usual time, longer by what runs and waits there for each slot.
 
 use super::known::Known;
-use super::{Choice, Fleet, Picked};
+use super::{Choice, Fleet, PickedEndpoint};
 use std::time::Duration;
 
 /// Time until an answer that is assumed before the first one came, seconds.
@@ -30,7 +30,7 @@
         let Some(known) = near.get(index) else {
             return Choice::Nowhere;
         };
-        Choice::At(Picked {
+        Choice::At(PickedEndpoint {
             endpoint: known.entry.clone(),
             weights: None,
             prefill: 0,
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -1,7 +1,7 @@
 //! Routers that send long and short prompts to engines, simulated without I/O in steps of a millisecond.
 
 use super::fleet::{at, fleet, model, service};
-use dispatch::fleet::{Choice, Fleet, LoadReport, Outcome, Part, PickContext, Picked, Prompt};
+use dispatch::fleet::{Choice, Fleet, LoadReport, Outcome, Part, PickContext, PickedEndpoint, Prompt};
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, VmId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,7 +47,7 @@
 struct Request {
     router: usize,
     prompt: Prompt,
-    picked: Picked,
+    picked: PickedEndpoint,
     sent: u64,
     left: u64,
     /// When its answer ends, once its prompt is read.
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -9,7 +9,7 @@
 use crate::link::Link;
 use crate::shared::Shared;
 use dispatch::attempt::{self, Cause, Failure, Next, Tried, Unbegun, Wait};
-use dispatch::fleet::{Behind, Choice, Outcome, PickContext, Picked};
+use dispatch::fleet::{Behind, Choice, Outcome, PickContext, PickedEndpoint};
 use http::raw::{Answer, ExchangeError, Headers, Source, exchange};
 use ids::EndpointId;
 use lifecycle::events::EventSplitter;
@@ -161,12 +161,12 @@
         self.shared.fleet().waited(self.call.service, objective, waited, now);
     }
 
-    fn note(&mut self, picked: &Picked, outcome: &str) {
+    fn note(&mut self, picked: &PickedEndpoint, outcome: &str) {
         let now = self.shared.clock.now();
         self.record.tried(&picked.endpoint.id, picked.reason, outcome, now);
     }
 
-    fn note_prompt(&mut self, picked: &Picked) {
+    fn note_prompt(&mut self, picked: &PickedEndpoint) {
         if let Some(prompt) = &self.call.wish.prompt {
             self.record.prompt = PromptNote {
                 tokens: prompt.tokens,
@@ -185,7 +185,7 @@
         self.call.route.kind.repeatable()
     }
 
-    fn choose(&self) -> Result<Picked, Cause> {
+    fn choose(&self) -> Result<PickedEndpoint, Cause> {
         let wish = PickContext {
             service: self.call.service,
             avoid: &self.avoid,
@@ -230,7 +230,7 @@
         Finish::Refused(cause, state)
     }
 
-    async fn attempt(&mut self, picked: &Picked) -> Attempted {
+    async fn attempt(&mut self, picked: &PickedEndpoint) -> Attempted {
         let mut flight = Flight::new(self.shared, picked);
         let link = match self.link(picked).await {
             Waited::Done(Ok(link)) => link,
@@ -284,7 +284,7 @@
     /// drops the request.
     pub(super) async fn unbegun<T>(
         &self,
-        picked: &Picked,
+        picked: &PickedEndpoint,
         within: Duration,
         future: impl Future<Output = T>,
     ) -> Result<Waited<T>, Outdated> {
@@ -315,7 +315,7 @@
     }
 
     /// Whether the weights that an attempt names are too old to begin on by now.
-    fn outdated(&self, picked: &Picked) -> bool {
+    fn outdated(&self, picked: &PickedEndpoint) -> bool {
         let now = self.shared.clock.now();
         let prompt = self.call.wish.prompt.as_ref();
         prompt.is_some_and(|prompt| !self.shared.fleet().may_begin(&prompt.model, picked.weights, now))
@@ -328,7 +328,7 @@
     }
 
     /// Weights that an attempt names, and how far they are behind.
-    fn behind(&self, picked: &Picked) -> Option<(u64, Behind)> {
+    fn behind(&self, picked: &PickedEndpoint) -> Option<(u64, Behind)> {
         let prompt = self.call.wish.prompt.as_ref()?;
         let weights = picked.weights?;
         let now = self.shared.clock.now();
@@ -355,7 +355,7 @@
         }
     }
 
-    async fn link(&self, picked: &Picked) -> Waited<Result<Link, ExchangeError>> {
+    async fn link(&self, picked: &PickedEndpoint) -> Waited<Result<Link, ExchangeError>> {
         if self.repeatable()
             && let Some(link) = self.shared.links.kept(&picked.endpoint)
         {
@@ -366,7 +366,7 @@
         wait(&self.call.caller.conn, left, open).await
     }
 
-    async fn exchange(&self, picked: &Picked, link: Link) -> Result<(Answer, Source), ExchangeError> {
+    async fn exchange(&self, picked: &PickedEndpoint, link: Link) -> Result<(Answer, Source), ExchangeError> {
         let request = self.bytes(picked);
         let method = &self.call.caller.head.method;
         let facts = self.shared.dialect.facts;
@@ -410,7 +410,7 @@
         self.whole(flight, answer, source, &facts).await
     }
 
-    fn learn(&self, picked: &Picked, facts: &AnswerFacts) {
+    fn learn(&self, picked: &PickedEndpoint, facts: &AnswerFacts) {
         let id = &picked.endpoint.id;
         let now = self.shared.clock.now();
         let mut fleet = self.shared.fleet();
--- a/crates/gateway/src/serve/flight.rs
+++ b/crates/gateway/src/serve/flight.rs
@@ -1,19 +1,19 @@
 //! One request in flight at one endpoint.
 
 use crate::shared::Shared;
-use dispatch::fleet::{Outcome, Picked};
+use dispatch::fleet::{Outcome, PickedEndpoint};
 use std::time::Duration;
 
 /// A request in flight at an endpoint; counted there until dropped.
 pub(super) struct Flight<'a> {
     shared: &'a Shared,
-    pub(super) picked: &'a Picked,
+    pub(super) picked: &'a PickedEndpoint,
     pub(super) began: Duration,
     read: bool,
 }
 
 impl<'a> Flight<'a> {
-    pub(super) fn new(shared: &'a Shared, picked: &'a Picked) -> Self {
+    pub(super) fn new(shared: &'a Shared, picked: &'a PickedEndpoint) -> Self {
         let entry = &picked.endpoint;
         let began = shared.clock.now();
         shared
--- a/crates/gateway/src/serve/outgoing.rs
+++ b/crates/gateway/src/serve/outgoing.rs
@@ -2,13 +2,13 @@
 
 use super::attempts::Attempts;
 use crate::dialect::Forward;
-use dispatch::fleet::Picked;
+use dispatch::fleet::PickedEndpoint;
 use dispatch::prefixes::Transfers;
 use ids::WorkspaceId;
 
 impl Attempts<'_> {
     /// The request as it goes to the endpoint.
-    pub(super) fn bytes(&self, picked: &Picked) -> Vec<u8> {
+    pub(super) fn bytes(&self, picked: &PickedEndpoint) -> Vec<u8> {
         let caller = self.call.caller;
         let salt = self
             .call
@@ -42,7 +42,7 @@
 
     /// What the engine exchanges with the store of cached prefixes. Without known weights nothing: parts made under others
     /// must not get into the same scope.
-    fn transfers(&self, salt: Option<&str>, picked: &Picked) -> Transfers {
+    fn transfers(&self, salt: Option<&str>, picked: &PickedEndpoint) -> Transfers {
         let (Some(salt), Some(prompt), Some(_)) = (salt, &self.call.wish.prompt, picked.weights) else {
             return Transfers::default();
         };
