--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -101,6 +101,6 @@
     let begun = Instant::now();
     let choice = fleet.choose(&wish, draw, BEGIN + Duration::from_micros(100 * number));
     let took = begun.elapsed();
-    assert!(matches!(choice, Choice::At(_)));
+    assert!(matches!(choice, Choice::Endpoint(_)));
     took
 }
--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -134,7 +134,7 @@
             pick.cached.min(chain.blocks().len()),
             now,
         );
-        Choice::At(picked)
+        Choice::Endpoint(picked)
     }
 
     /// What is ahead of a new request there, as prompt tokens.
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Choice {
     /// Send it there.
-    At(PickedEndpoint),
+    Endpoint(PickedEndpoint),
     /// All endpoints that could serve it are full.
     Full,
     /// Endpoints that could serve it take no more for now; the caller had better come back after this time.
@@ -242,7 +242,7 @@
     pub fn choose(&mut self, wish: &PickContext<'_>, draw: u64, now: Duration) -> Choice {
         self.others.add_up(now);
         let choice = self.choose_any(wish, draw, now);
-        if let Choice::At(picked) = &choice
+        if let Choice::Endpoint(picked) = &choice
             && let Some(known) = self.known.get(&picked.endpoint.id)
         {
             self.rates.take(ShortKey::from(known.key), now);
@@ -258,7 +258,7 @@
         let mut placer = self.placers.remove(wish.service).unwrap_or_else(engines::placer);
         let choice = self.choose_from(wish, now, |open| self.choose_engine(&mut placer, wish, open, draw, now));
         self.placers.insert(wish.service.clone(), placer);
-        if let (Choice::At(picked), Some(prompt)) = (&choice, wish.prompt) {
+        if let (Choice::Endpoint(picked), Some(prompt)) = (&choice, wish.prompt) {
             let lanes = self.lanes.entry(wish.service.clone()).or_default();
             lanes.count(prompt, picked.prefill, now);
         }
--- a/crates/dispatch/src/fleet/plain.rs
+++ b/crates/dispatch/src/fleet/plain.rs
@@ -30,7 +30,7 @@
         let Some(known) = near.get(index) else {
             return Choice::Nowhere;
         };
-        Choice::At(PickedEndpoint {
+        Choice::Endpoint(PickedEndpoint {
             endpoint: known.entry.clone(),
             weights: None,
             prefill: 0,
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -63,7 +63,7 @@
         prompt: Some(&prompt),
         isolated: None,
     };
-    matches!(fleet.choose(&wish, 1, now), Choice::At(_))
+    matches!(fleet.choose(&wish, 1, now), Choice::Endpoint(_))
 }
 
 /// A router of the model: what it knows, and when the store last told it everything.
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -108,7 +108,7 @@
         };
         let draw = self.draw(u64::MAX);
         match self.fleets[router].choose(&wish, draw, now) {
-            Choice::At(picked) => {
+            Choice::Endpoint(picked) => {
                 let endpoint = number(&picked.endpoint.id);
                 self.arrivals[endpoint].push((now, router));
                 let key = (now + ANSWER, self.draw(u64::MAX));
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -188,7 +188,7 @@
             prompt: Some(&prompt),
             isolated: None,
         };
-        let Choice::At(picked) = self.fleets[router].choose(&wish, draw, at(now)) else {
+        let Choice::Endpoint(picked) = self.fleets[router].choose(&wish, draw, at(now)) else {
             panic!("no endpoint at {now}");
         };
         let entry = Arc::clone(&picked.endpoint);
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -101,7 +101,7 @@
         isolated: None,
     };
     match fleet.choose(&wish, draw, now) {
-        Choice::At(picked) => {
+        Choice::Endpoint(picked) => {
             let endpoint = &picked.endpoint;
             fleet.begin(&endpoint.id, endpoint.incarnation, picked.prefill, now);
             Some(endpoint.id.to_string())
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -194,7 +194,7 @@
         };
         let now = self.shared.clock.now();
         match self.shared.fleet().choose(&wish, rand::random(), now) {
-            Choice::At(picked) => Ok(picked),
+            Choice::Endpoint(picked) => Ok(picked),
             Choice::Full => Err(Cause::Full),
             Choice::Limited(after) => Err(Cause::Limited(after)),
             Choice::Nowhere => Err(Cause::NoEndpoint),
