--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -107,7 +107,7 @@
         now: Duration,
     ) -> Choice {
         let Some(prompt) = wish.prompt else {
-            return Choice::Nowhere;
+            return Choice::Unavailable;
         };
         let chain = prompt.chain(seed(wish));
         open.sort_by_key(|known| known.key);
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -74,7 +74,7 @@
     /// Endpoints that could serve it take no more for now; the caller had better come back after this time.
     Limited(Duration),
     /// No endpoint that could serve it is in service.
-    Nowhere,
+    Unavailable,
 }
 
 /// A chosen endpoint.
@@ -275,7 +275,7 @@
             Standing::Some(open) => choose(open),
             Standing::Full => Choice::Full,
             Standing::Limited(after) => Choice::Limited(after),
-            Standing::None => Choice::Nowhere,
+            Standing::None => Choice::Unavailable,
         }
     }
 
--- a/crates/dispatch/src/fleet/plain.rs
+++ b/crates/dispatch/src/fleet/plain.rs
@@ -28,7 +28,7 @@
             .collect();
         let index = usize::try_from(draw % near.len().max(1) as u64).unwrap_or_default();
         let Some(known) = near.get(index) else {
-            return Choice::Nowhere;
+            return Choice::Unavailable;
         };
         Choice::Endpoint(PickedEndpoint {
             endpoint: known.entry.clone(),
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -118,7 +118,7 @@
                 assert!(after <= Duration::from_secs(2), "{after:?}");
                 self.refused += 1;
             }
-            Choice::Full | Choice::Nowhere => panic!("no endpoint is full"),
+            Choice::Full | Choice::Unavailable => panic!("no endpoint is full"),
         }
     }
 
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -197,7 +197,7 @@
             Choice::Endpoint(picked) => Ok(picked),
             Choice::Full => Err(Cause::Full),
             Choice::Limited(after) => Err(Cause::Limited(after)),
-            Choice::Nowhere => Err(Cause::NoEndpoint),
+            Choice::Unavailable => Err(Cause::NoEndpoint),
         }
     }
 
