--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -72,7 +72,7 @@
     /// All endpoints that could serve it are full.
     Full,
     /// Endpoints that could serve it take no more for now; the caller had better come back after this time.
-    Limited(Duration),
+    RateLimited(Duration),
     /// No endpoint that could serve it is in service.
     Unavailable,
 }
@@ -274,7 +274,7 @@
         match self.candidates(wish, now) {
             Standing::Some(open) => choose(open),
             Standing::Full => Choice::Full,
-            Standing::Limited(after) => Choice::Limited(after),
+            Standing::Limited(after) => Choice::RateLimited(after),
             Standing::None => Choice::Unavailable,
         }
     }
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -114,7 +114,7 @@
                 let key = (now + ANSWER, self.draw(u64::MAX));
                 self.answers.insert(key, (router, endpoint));
             }
-            Choice::Limited(after) => {
+            Choice::RateLimited(after) => {
                 assert!(after <= Duration::from_secs(2), "{after:?}");
                 self.refused += 1;
             }
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -106,6 +106,6 @@
             fleet.begin(&endpoint.id, endpoint.incarnation, picked.prefill, now);
             Some(endpoint.id.to_string())
         }
-        Choice::Full | Choice::Limited(_) | Choice::Unavailable => None,
+        Choice::Full | Choice::RateLimited(_) | Choice::Unavailable => None,
     }
 }
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -196,7 +196,7 @@
         match self.shared.fleet().choose(&wish, rand::random(), now) {
             Choice::Endpoint(picked) => Ok(picked),
             Choice::Full => Err(Cause::Full),
-            Choice::Limited(after) => Err(Cause::Limited(after)),
+            Choice::RateLimited(after) => Err(Cause::Limited(after)),
             Choice::Unavailable => Err(Cause::NoEndpoint),
         }
     }
