--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -38,7 +38,7 @@
             window: Duration::from_secs(10),
             routers: 100,
         },
-        old_weights: Duration::from_secs(9),
+        soft_staleness: Duration::from_secs(9),
         last_weights: Duration::from_secs(11),
     });
     for number in 0..endpoints {
--- a/crates/dispatch/src/fleet/candidates.rs
+++ b/crates/dispatch/src/fleet/candidates.rs
@@ -97,7 +97,7 @@
     /// over the second half of the time that is allowed. Were it at one moment, engines with old weights would have queues of
     /// seconds at that moment, and begin on what waits there long after it.
     fn weighed(&self, open: &mut Vec<&Known>, prompt: &Prompt, now: Duration) {
-        let after = self.settings.old_weights.mul_f64((1.0 + prompt.draw()) / 2.0);
+        let after = self.settings.soft_staleness.mul_f64((1.0 + prompt.draw()) / 2.0);
         let least = self.least_weights(&prompt.model, after, now);
         prefer(open, |known| known.serves(&prompt.model, least));
     }
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -46,7 +46,7 @@
     /// Budget of attempts beyond the first.
     pub retries: RetryLimits,
     /// How long requests may begin on older weights after newer ones were named.
-    pub old_weights: Duration,
+    pub soft_staleness: Duration,
     /// How long any request may: from then on an answer on them is worth nothing.
     pub last_weights: Duration,
 }
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -42,7 +42,7 @@
             window: ms(10_000),
             routers: 1,
         },
-        old_weights: ms(7_500),
+        soft_staleness: ms(7_500),
         last_weights: LAST,
     })
 }
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -43,7 +43,7 @@
             window: Duration::from_secs(10),
             routers: 0,
         },
-        old_weights: OLD,
+        soft_staleness: OLD,
         last_weights: at(9_500),
     });
     for entry in entries {
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -185,7 +185,7 @@
             window: bounds.retry_window(),
             routers: 0,
         },
-        old_weights: bounds.weights().mul_f64(OLD_WEIGHTS),
+        soft_staleness: bounds.weights().mul_f64(OLD_WEIGHTS),
         last_weights: bounds.weights().mul_f64(LAST_WEIGHTS),
     }
 }
