--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -39,7 +39,7 @@
             routers: 100,
         },
         soft_staleness: Duration::from_secs(9),
-        last_weights: Duration::from_secs(11),
+        hard_staleness: Duration::from_secs(11),
     });
     for number in 0..endpoints {
         let entry = EndpointEntry {
--- a/crates/dispatch/src/fleet/begin.rs
+++ b/crates/dispatch/src/fleet/begin.rs
@@ -14,7 +14,7 @@
     /// Whether a request may begin on these weights at the given time. Newer weights of which this router can't tell when they were
     /// named may be past the bound: routers that had restarted served on older ones for ever.
     pub fn may_begin(&self, model: &ModelId, weights: Option<u64>, at: Duration) -> bool {
-        let over = |named: &Named| named.maybe_for_longer(self.settings.last_weights, at);
+        let over = |named: &Named| named.maybe_for_longer(self.settings.hard_staleness, at);
         let least = self.newest_that(model, over);
         least.is_none_or(|least| weights.is_some_and(|weights| weights >= least.weights))
     }
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -48,7 +48,7 @@
     /// How long requests may begin on older weights after newer ones were named.
     pub soft_staleness: Duration,
     /// How long any request may: from then on an answer on them is worth nothing.
-    pub last_weights: Duration,
+    pub hard_staleness: Duration,
 }
 
 /// What a request asks of its endpoint.
@@ -177,7 +177,7 @@
 
     /// Whether an endpoint has old weights, and another router's word could tell much better for how long it may serve.
     pub fn vague_names(&self, now: Duration) -> bool {
-        let bound = self.settings.last_weights;
+        let bound = self.settings.hard_staleness;
         self.wanted.iter().any(|(model, names)| {
             let mut served = self.known.values().filter_map(|known| known.weights(model));
             served.any(|weights| names.vague_after(weights, bound, now))
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -43,7 +43,7 @@
             routers: 1,
         },
         soft_staleness: ms(7_500),
-        last_weights: LAST,
+        hard_staleness: LAST,
     })
 }
 
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -44,7 +44,7 @@
             routers: 0,
         },
         soft_staleness: OLD,
-        last_weights: at(9_500),
+        hard_staleness: at(9_500),
     });
     for entry in entries {
         fleet.serves(&Arc::new(entry.clone()), at(0));
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -186,6 +186,6 @@
             routers: 0,
         },
         soft_staleness: bounds.weights().mul_f64(OLD_WEIGHTS),
-        last_weights: bounds.weights().mul_f64(LAST_WEIGHTS),
+        hard_staleness: bounds.weights().mul_f64(LAST_WEIGHTS),
     }
 }
