--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -52,7 +52,7 @@
             leaving: false,
             weights: vec![(ModelId::from("grain"), 1 + number % 2)],
         };
-        fleet.serves(&Arc::new(entry), Duration::ZERO);
+        fleet.upsert_endpoint(&Arc::new(entry), Duration::ZERO);
     }
     let age = NameAge {
         least: Duration::ZERO,
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -133,7 +133,7 @@
     }
 
     /// An endpoint serves, newly or with other properties.
-    pub fn serves(&mut self, entry: &Arc<EndpointEntry>, now: Duration) {
+    pub fn upsert_endpoint(&mut self, entry: &Arc<EndpointEntry>, now: Duration) {
         let known = self.known.get_mut(&entry.id);
         match known {
             Some(known) if known.entry.incarnation == entry.incarnation => known.update(entry.clone()),
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -161,7 +161,7 @@
     }
     let mut reborn = entry("e0", 1);
     reborn.incarnation = Incarnation(2);
-    fleet.serves(&Arc::new(reborn), at(10));
+    fleet.upsert_endpoint(&Arc::new(reborn), at(10));
     fleet.end(&id, Incarnation(1));
     fleet.begin(&EndpointId::from("e1"), Incarnation(1), 0, at(0));
     assert_eq!(send(&mut fleet, None, &[], 0, at(20)).as_deref(), Some("e0"));
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -50,7 +50,7 @@
 /// Whether a router would let a prompt begin on an engine with these weights, the only one there is.
 fn begins(fleet: &mut Fleet, weights: u64, now: Duration) -> bool {
     fleet.gone(&EndpointId::from("e"), now);
-    fleet.serves(&Arc::new(entry(weights)), now);
+    fleet.upsert_endpoint(&Arc::new(entry(weights)), now);
     let prompt = Prompt {
         model: model(),
         parts: vec![Part { id: 1, tokens: 100 }],
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -47,7 +47,7 @@
         hard_staleness: at(9_500),
     });
     for entry in entries {
-        fleet.serves(&Arc::new(entry.clone()), at(0));
+        fleet.upsert_endpoint(&Arc::new(entry.clone()), at(0));
     }
     fleet
 }
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -325,7 +325,7 @@
             match change {
                 RosterChange::Serves(entry) => {
                     self.shared.links.forget(&entry.id, Some(entry.incarnation));
-                    self.shared.fleet().serves(&entry, now);
+                    self.shared.fleet().upsert_endpoint(&entry, now);
                     log::info!(
                         endpoint = entry.id.as_str(),
                         service = entry.service.as_str(),
