--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -147,7 +147,7 @@
     }
 
     /// An endpoint is gone.
-    pub fn gone(&mut self, id: &EndpointId, now: Duration) {
+    pub fn remove_endpoint(&mut self, id: &EndpointId, now: Duration) {
         if let Some(known) = self.known.remove(id) {
             self.rates.forget(ShortKey::from(known.key), now);
         }
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -49,7 +49,7 @@
 
 /// Whether a router would let a prompt begin on an engine with these weights, the only one there is.
 fn begins(fleet: &mut Fleet, weights: u64, now: Duration) -> bool {
-    fleet.gone(&EndpointId::from("e"), now);
+    fleet.remove_endpoint(&EndpointId::from("e"), now);
     fleet.upsert_endpoint(&Arc::new(entry(weights)), now);
     let prompt = Prompt {
         model: model(),
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -347,7 +347,7 @@
                 }
                 RosterChange::Gone(id) => {
                     self.shared.links.forget(&id, None);
-                    self.shared.fleet().gone(&id, now);
+                    self.shared.fleet().remove_endpoint(&id, now);
                     log::info!(endpoint = id.as_str(); "endpoint: gone");
                 }
             }
