--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -58,7 +58,7 @@
         least: Duration::ZERO,
         most: Some(Duration::ZERO),
     };
-    fleet.want(&ModelId::from("grain"), 2, age, Duration::ZERO);
+    fleet.set_target(&ModelId::from("grain"), 2, age, Duration::ZERO);
     tell(&mut fleet, endpoints);
     fleet
 }
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -155,7 +155,7 @@
     }
 
     /// Weights that a model is to be served with, which were named so long ago.
-    pub fn want(&mut self, model: &ModelId, weights: u64, age: NameAge, now: Duration) {
+    pub fn set_target(&mut self, model: &ModelId, weights: u64, age: NameAge, now: Duration) {
         self.wanted.entry(model.clone()).or_default().name(weights, age, now);
     }
 
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -89,7 +89,7 @@
             least: Duration::ZERO,
             most: self.confirmed.map(|confirmed| now - confirmed),
         };
-        self.fleet.want(&model(), newest, age, now);
+        self.fleet.set_target(&model(), newest, age, now);
         self.confirmed = Some(now);
     }
 
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -66,7 +66,7 @@
         least: Duration::ZERO,
         most: named.map(|_| Duration::ZERO),
     };
-    fleet.want(&model(), weights, age, named.unwrap_or_default());
+    fleet.set_target(&model(), weights, age, named.unwrap_or_default());
 }
 
 pub fn prompt(session: u64, own: u64) -> Prompt {
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -422,7 +422,7 @@
                     least: Duration::ZERO,
                     most: unheard,
                 };
-                self.shared.fleet().want(&wanted.model, wanted.weights, age, now);
+                self.shared.fleet().set_target(&wanted.model, wanted.weights, age, now);
             }
             Err(err) => log::error!(key = item.key.as_str(), why:% = err; "weights: cannot be read"),
         }
