--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -161,7 +161,7 @@
 
     /// Another router tells how long ago weights were named; whether that made clear what was vague. Newer ones than the store
     /// told this router are left out.
-    pub fn told_age(&mut self, model: &ModelId, weights: u64, age: NameAge, now: Duration) -> bool {
+    pub fn merge_target_age(&mut self, model: &ModelId, weights: u64, age: NameAge, now: Duration) -> bool {
         let names = self.wanted.get_mut(model);
         names.is_some_and(|names| names.told(weights, age, now))
     }
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -99,7 +99,7 @@
                 least: age.least,
                 most: age.most.map(|most| most + under_way),
             };
-            self.fleet.told_age(model, *weights, age, now);
+            self.fleet.merge_target_age(model, *weights, age, now);
         }
     }
 }
--- a/crates/gateway/src/follow/names.rs
+++ b/crates/gateway/src/follow/names.rs
@@ -64,7 +64,7 @@
             least: Duration::from_millis(name.least_ms),
             most: name.most_ms.map(|most| Duration::from_millis(most) + under_way),
         };
-        if fleet.told_age(&name.model, name.weights, age, now) {
+        if fleet.merge_target_age(&name.model, name.weights, age, now) {
             log::info!(
                 model = name.model.as_str(),
                 weights = name.weights,
