--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -167,7 +167,7 @@
     }
 
     /// How long ago weights were named.
-    pub fn name_ages(&self, now: Duration) -> Vec<(ModelId, u64, NameAge)> {
+    pub fn target_ages(&self, now: Duration) -> Vec<(ModelId, u64, NameAge)> {
         let names = self.wanted.iter().flat_map(|(model, names)| {
             let ages = names.all().iter().map(move |named| (named.weights, named.age(now)));
             ages.map(|(weights, age)| (model.clone(), weights, age))
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -161,7 +161,7 @@
             Move::Freeze(at, time) => routers[at].frozen = now + ms(time),
             Move::Follow(at) if awake(&routers[at]) => routers[at].hears(newest, now),
             Move::Ask(at, other, under_way) if awake(&routers[at]) && awake(&routers[other]) => {
-                let told = routers[other].fleet.name_ages(now - ms(under_way));
+                let told = routers[other].fleet.target_ages(now - ms(under_way));
                 routers[at].asks(&told, ms(under_way), now);
             }
             Move::Follow(_) | Move::Ask(..) => {}
--- a/crates/gateway/src/follow/names.rs
+++ b/crates/gateway/src/follow/names.rs
@@ -35,7 +35,7 @@
 
 /// What this router tells another.
 pub fn answer(shared: &Shared) -> Vec<NameTold> {
-    let ages = shared.fleet().name_ages(shared.clock.now());
+    let ages = shared.fleet().target_ages(shared.clock.now());
     let told = |(model, weights, age): (ModelId, u64, NameAge)| NameTold {
         model,
         weights,
