--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -176,7 +176,7 @@
     }
 
     /// Whether an endpoint has old weights, and another router's word could tell much better for how long it may serve.
-    pub fn vague_names(&self, now: Duration) -> bool {
+    pub fn has_uncertain_age(&self, now: Duration) -> bool {
         let bound = self.settings.hard_staleness;
         self.wanted.iter().any(|(model, names)| {
             let mut served = self.known.values().filter_map(|known| known.weights(model));
--- a/crates/gateway/src/follow/names.rs
+++ b/crates/gateway/src/follow/names.rs
@@ -24,7 +24,7 @@
     let mut pause = LOOK;
     loop {
         task::sleep(pause).await;
-        if shared.fleet().vague_names(shared.clock.now()) {
+        if shared.fleet().has_uncertain_age(shared.clock.now()) {
             ask(&shared).await;
             pause = (pause * 2).min(LOOK_MOST);
         } else {
