--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -185,7 +185,7 @@
     }
 
     /// Weights wanted of each model.
-    pub fn wanted(&self) -> impl Iterator<Item = (&ModelId, u64)> {
+    pub fn targets(&self) -> impl Iterator<Item = (&ModelId, u64)> {
         self.wanted
             .iter()
             .filter_map(|(model, names)| Some((model, names.newest()?.weights)))
--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -77,7 +77,7 @@
         let wanted: Vec<(ModelId, u64)> = {
             let fleet = self.shared.fleet();
             fleet
-                .wanted()
+                .targets()
                 .map(|(model, weights)| (model.clone(), weights))
                 .collect()
         };
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -134,7 +134,7 @@
 
     fn wanted(&self) -> Option<u64> {
         let fleet = self.shared.fleet();
-        let wanted = fleet.wanted().find(|(model, _)| **model == self.model);
+        let wanted = fleet.targets().find(|(model, _)| **model == self.model);
         wanted.map(|(_, weights)| weights)
     }
 
