--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -193,7 +193,7 @@
 
     /// Endpoints that load weights now or are about to, which get no requests, and those that come next, which get no long
     /// answers.
-    pub fn loads(&mut self, loading: BTreeSet<EndpointId>, coming: BTreeSet<EndpointId>) {
+    pub fn set_loading(&mut self, loading: BTreeSet<EndpointId>, coming: BTreeSet<EndpointId>) {
         self.loading = loading;
         self.coming = coming;
     }
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -125,7 +125,7 @@
     let mut leaving = entry("e2", 1);
     leaving.leaving = true;
     let mut fleet = fleet(&[entry("e0", 1), entry("e1", 1), leaving]);
-    fleet.loads(BTreeSet::from([EndpointId::from("e0")]), BTreeSet::new());
+    fleet.set_loading(BTreeSet::from([EndpointId::from("e0")]), BTreeSet::new());
     let used: BTreeSet<_> = (0..20)
         .filter_map(|own| send(&mut fleet, Some(&prompt(own, 100 + own)), &[], own, at(0)))
         .collect();
--- a/crates/dispatch/tests/fleet_weights.rs
+++ b/crates/dispatch/tests/fleet_weights.rs
@@ -117,7 +117,7 @@
     ];
     for case in cases {
         let mut fleet = pool(&[1, 1, 1]);
-        fleet.loads(BTreeSet::new(), ids(case.coming));
+        fleet.set_loading(BTreeSet::new(), ids(case.coming));
         let used: BTreeSet<EndpointId> = (0..12)
             .filter_map(|session| send(&mut fleet, Some(&(case.prompt)(session)), &[], session, at(0)))
             .map(EndpointId::from)
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -490,9 +490,9 @@
         let mut fleet = self.shared.fleet();
         if known && self.occupant == Some(self.told.fence) {
             let set = |ids: &[EndpointId]| ids.iter().cloned().collect();
-            fleet.loads(set(&self.told.loading), set(&self.told.coming));
+            fleet.set_loading(set(&self.told.loading), set(&self.told.coming));
         } else {
-            fleet.loads(BTreeSet::new(), BTreeSet::new());
+            fleet.set_loading(BTreeSet::new(), BTreeSet::new());
         }
     }
 
