--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -199,7 +199,7 @@
     }
 
     /// An answer or the order holder named the weights an endpoint serves a model with.
-    pub fn serves_weights(&mut self, id: &EndpointId, model: &ModelId, weights: u64) {
+    pub fn record_weights(&mut self, id: &EndpointId, model: &ModelId, weights: u64) {
         if let Some(known) = self.known.get_mut(id) {
             known.learn_weights(model, weights);
         }
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -467,7 +467,7 @@
         {
             let mut fleet = self.shared.fleet();
             for loaded in holding.loaded.iter().filter(|loaded| self.lives(loaded)) {
-                fleet.serves_weights(&loaded.endpoint, &loaded.model, loaded.weights);
+                fleet.record_weights(&loaded.endpoint, &loaded.model, loaded.weights);
             }
         }
         self.told = holding;
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -418,7 +418,7 @@
             fleet.reported(id, load, now);
         }
         if let (Some(prompt), Some(weights)) = (&self.call.wish.prompt, facts.weights) {
-            fleet.serves_weights(id, &prompt.model, weights);
+            fleet.record_weights(id, &prompt.model, weights);
         }
         // A refusal without a rate says nothing of the need.
         let tells = facts.rate.is_some() || !facts.not_run;
