--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -207,7 +207,7 @@
 
     /// An endpoint refused a request since it serves other weights than it was believed to. It has the newest by now, or
     /// what its entry says; if that is wrong too, the next request is refused and says so.
-    pub fn other_weights(&mut self, id: &EndpointId, model: &ModelId) {
+    pub fn correct_weights(&mut self, id: &EndpointId, model: &ModelId) {
         let newest = self.wanted.get(model).and_then(Names::newest);
         let newest = newest.map(|named| named.weights);
         if let Some(known) = self.known.get_mut(id) {
--- a/crates/dispatch/tests/fleet_weights.rs
+++ b/crates/dispatch/tests/fleet_weights.rs
@@ -133,9 +133,9 @@
     let id = EndpointId::from("e0");
     let mut fleet = pool(&[1, 1]);
     name(&mut fleet, 3, Some(at(0)));
-    fleet.other_weights(&id, &model());
+    fleet.correct_weights(&id, &model());
     assert_eq!(fleet.weights(&id, &model()), Some(3));
-    fleet.other_weights(&id, &model());
+    fleet.correct_weights(&id, &model());
     assert_eq!(fleet.weights(&id, &model()), Some(1));
 }
 
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -449,7 +449,7 @@
         if status == 421
             && let Some(prompt) = &self.call.wish.prompt
         {
-            self.shared.fleet().other_weights(meant, &prompt.model);
+            self.shared.fleet().correct_weights(meant, &prompt.model);
             return Attempted::Failed(Failure::OtherWeights);
         }
         flight.outcome(Outcome::Declined);
