--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -221,7 +221,7 @@
     }
 
     /// Routers that share the retry budget; 0 if that isn't known.
-    pub fn routers(&mut self, count: u32) {
+    pub fn set_router_count(&mut self, count: u32) {
         self.settings.retries.routers = count;
     }
 
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -167,7 +167,7 @@
         let members = Members::read(&self.shared);
         {
             let mut fleet = self.shared.fleet();
-            fleet.routers(members.count());
+            fleet.set_router_count(members.count());
             fleet.members(&settings.vm, &members.ids());
         }
         let leaders = members.leaders(&settings.vm, &settings.domain);
