--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -226,7 +226,7 @@
     }
 
     /// The routers that share the rates of endpoints, of which `own` is this one.
-    pub fn members(&mut self, own: &VmId, routers: &[VmId]) {
+    pub fn set_routers(&mut self, own: &VmId, routers: &[VmId]) {
         self.rates.routers(own, routers);
     }
 
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -85,7 +85,7 @@
             let mut fleet = fleet(&entries);
             let knows = |vm: &&VmId| *vm == own || world.draw(100) < case.known;
             let known: Vec<VmId> = vms.iter().filter(knows).cloned().collect();
-            fleet.members(own, &known);
+            fleet.set_routers(own, &known);
             world.fleets.push(fleet);
         }
         world
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -168,7 +168,7 @@
         {
             let mut fleet = self.shared.fleet();
             fleet.set_router_count(members.count());
-            fleet.members(&settings.vm, &members.ids());
+            fleet.set_routers(&settings.vm, &members.ids());
         }
         let leaders = members.leaders(&settings.vm, &settings.domain);
         self.shared.watches.store(leaders.is_empty(), Ordering::SeqCst);
