--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -280,7 +280,7 @@
     }
 
     /// A request was sent to an endpoint, which has this many prompt tokens of it to read.
-    pub fn begin(&mut self, id: &EndpointId, incarnation: Incarnation, prefill: u64, now: Duration) {
+    pub fn request_started(&mut self, id: &EndpointId, incarnation: Incarnation, prefill: u64, now: Duration) {
         if let Some(known) = self.life(id, incarnation) {
             known.begin(prefill, now);
         }
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -157,13 +157,13 @@
     let mut fleet = pool(&[1, 1]);
     let id = EndpointId::from("e0");
     for _ in 0..6 {
-        fleet.begin(&id, Incarnation(1), 0, at(0));
+        fleet.request_started(&id, Incarnation(1), 0, at(0));
     }
     let mut reborn = entry("e0", 1);
     reborn.incarnation = Incarnation(2);
     fleet.upsert_endpoint(&Arc::new(reborn), at(10));
     fleet.end(&id, Incarnation(1));
-    fleet.begin(&EndpointId::from("e1"), Incarnation(1), 0, at(0));
+    fleet.request_started(&EndpointId::from("e1"), Incarnation(1), 0, at(0));
     assert_eq!(send(&mut fleet, None, &[], 0, at(20)).as_deref(), Some("e0"));
 }
 
--- a/crates/dispatch/tests/fleet_weights.rs
+++ b/crates/dispatch/tests/fleet_weights.rs
@@ -307,7 +307,7 @@
         },
         Case {
             what: "prompts of this router aren't read yet",
-            seen: |fleet, id| fleet.begin(id, Incarnation(1), 90_000, at(8_600)),
+            seen: |fleet, id| fleet.request_started(id, Incarnation(1), 90_000, at(8_600)),
             now: 8_700,
             used: &["e1"],
         },
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -192,7 +192,7 @@
             panic!("no endpoint at {now}");
         };
         let entry = Arc::clone(&picked.endpoint);
-        self.fleets[router].begin(&entry.id, entry.incarnation, picked.prefill, at(now));
+        self.fleets[router].request_started(&entry.id, entry.incarnation, picked.prefill, at(now));
         self.news.push((now + NEWS, router));
         let engine = self.engines.get_mut(&entry.id).expect("it was listed");
         let left = engine.lacks(&prompt);
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -103,7 +103,7 @@
     match fleet.choose(&wish, draw, now) {
         Choice::Endpoint(picked) => {
             let endpoint = &picked.endpoint;
-            fleet.begin(&endpoint.id, endpoint.incarnation, picked.prefill, now);
+            fleet.request_started(&endpoint.id, endpoint.incarnation, picked.prefill, now);
             Some(endpoint.id.to_string())
         }
         Choice::Full | Choice::RateLimited(_) | Choice::Unavailable => None,
--- a/crates/gateway/src/serve/flight.rs
+++ b/crates/gateway/src/serve/flight.rs
@@ -18,7 +18,7 @@
         let began = shared.clock.now();
         shared
             .fleet()
-            .begin(&entry.id, entry.incarnation, picked.prefill, began);
+            .request_started(&entry.id, entry.incarnation, picked.prefill, began);
         if picked.prefill > 0 {
             shared.waits_changed();
         }
