--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -287,7 +287,7 @@
     }
 
     /// The endpoint has read the prompt of a request that was sent at `began`, or will never read it.
-    pub fn prefilled(&mut self, id: &EndpointId, incarnation: Incarnation, began: Duration) {
+    pub fn prefill_finished(&mut self, id: &EndpointId, incarnation: Incarnation, began: Duration) {
         if let Some(known) = self.life(id, incarnation) {
             known.prefilled(began);
         }
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -247,7 +247,7 @@
                 now,
             )
             .expect("an endpoint");
-            fleet.prefilled(&EndpointId::from(name.as_str()), Incarnation(1), now);
+            fleet.prefill_finished(&EndpointId::from(name.as_str()), Incarnation(1), now);
             fleet.end(&EndpointId::from(name.as_str()), Incarnation(1));
             used.insert(name);
         }
--- a/crates/dispatch/tests/rollout.rs
+++ b/crates/dispatch/tests/rollout.rs
@@ -264,7 +264,7 @@
             ..prompt(session, 8)
         };
         let name = send(&mut load, Some(&long), &[], session, at(0))?;
-        load.prefilled(&EndpointId::from(name.as_str()), Incarnation(1), at(0));
+        load.prefill_finished(&EndpointId::from(name.as_str()), Incarnation(1), at(0));
         load.end(&EndpointId::from(name.as_str()), Incarnation(1));
         Some(name)
     });
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -223,7 +223,7 @@
                 self.served.late_chats += usize::from(chat && waited > 400);
                 self.served.late_verdicts += usize::from(!chat && waited > 600);
                 let fleet = &mut self.fleets[request.router];
-                fleet.prefilled(id, Incarnation(1), at(request.sent));
+                fleet.prefill_finished(id, Incarnation(1), at(request.sent));
                 fleet.outcome(id, Outcome::Answered(at(waited)), at(now));
                 fleet.reported(id, LoadReport { running, waiting }, at(now));
                 self.news.push((now + NEWS, request.router));
--- a/crates/gateway/src/serve/flight.rs
+++ b/crates/gateway/src/serve/flight.rs
@@ -35,7 +35,9 @@
         if !self.read {
             self.read = true;
             let entry = &self.picked.endpoint;
-            self.shared.fleet().prefilled(&entry.id, entry.incarnation, self.began);
+            self.shared
+                .fleet()
+                .prefill_finished(&entry.id, entry.incarnation, self.began);
             if self.picked.prefill > 0 {
                 self.shared.waits_changed();
             }
