--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -294,7 +294,7 @@
     }
 
     /// A request has left an endpoint.
-    pub fn end(&mut self, id: &EndpointId, incarnation: Incarnation) {
+    pub fn request_finished(&mut self, id: &EndpointId, incarnation: Incarnation) {
         if let Some(known) = self.life(id, incarnation) {
             known.end();
         }
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -162,7 +162,7 @@
     let mut reborn = entry("e0", 1);
     reborn.incarnation = Incarnation(2);
     fleet.upsert_endpoint(&Arc::new(reborn), at(10));
-    fleet.end(&id, Incarnation(1));
+    fleet.request_finished(&id, Incarnation(1));
     fleet.request_started(&EndpointId::from("e1"), Incarnation(1), 0, at(0));
     assert_eq!(send(&mut fleet, None, &[], 0, at(20)).as_deref(), Some("e0"));
 }
@@ -248,7 +248,7 @@
             )
             .expect("an endpoint");
             fleet.prefill_finished(&EndpointId::from(name.as_str()), Incarnation(1), now);
-            fleet.end(&EndpointId::from(name.as_str()), Incarnation(1));
+            fleet.request_finished(&EndpointId::from(name.as_str()), Incarnation(1));
             used.insert(name);
         }
         moved += used.len() - 1;
--- a/crates/dispatch/tests/fleet_weights.rs
+++ b/crates/dispatch/tests/fleet_weights.rs
@@ -166,7 +166,7 @@
         let renewed = (0..1_000).filter(|session| {
             let used = send(&mut fleet, Some(&prompt(*session, 9)), &[], session * 7, at(2_000));
             let used = used.map(EndpointId::from).expect("an endpoint");
-            fleet.end(&used, Incarnation(1));
+            fleet.request_finished(&used, Incarnation(1));
             fleet.prefill_finished(&used, Incarnation(1), at(2_000));
             fleet.weights(&used, &model()) == Some(2)
         });
@@ -211,7 +211,7 @@
         let old = (0..1_000).filter(|session| {
             let used = send(&mut fleet, Some(&prompt(*session, 9)), &[], session * 7, at(case.now));
             let used = used.map(EndpointId::from).expect("an endpoint");
-            fleet.end(&used, Incarnation(1));
+            fleet.request_finished(&used, Incarnation(1));
             fleet.prefill_finished(&used, Incarnation(1), at(case.now));
             fleet.weights(&used, &model()) == Some(1)
         });
--- a/crates/dispatch/tests/rollout.rs
+++ b/crates/dispatch/tests/rollout.rs
@@ -265,7 +265,7 @@
         };
         let name = send(&mut load, Some(&long), &[], session, at(0))?;
         load.prefill_finished(&EndpointId::from(name.as_str()), Incarnation(1), at(0));
-        load.end(&EndpointId::from(name.as_str()), Incarnation(1));
+        load.request_finished(&EndpointId::from(name.as_str()), Incarnation(1));
         Some(name)
     });
     let used: BTreeSet<EndpointId> = answers.map(|name| EndpointId::from(name.as_str())).collect();
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -236,7 +236,7 @@
                 self.served.chats += usize::from(chat);
                 self.served.verdicts += usize::from(!chat);
                 self.served.paused_chats += usize::from(chat && ended.paused);
-                self.fleets[ended.router].end(&ended.picked.endpoint.id, Incarnation(1));
+                self.fleets[ended.router].request_finished(&ended.picked.endpoint.id, Incarnation(1));
             }
         }
     }
--- a/crates/gateway/src/serve/flight.rs
+++ b/crates/gateway/src/serve/flight.rs
@@ -59,6 +59,6 @@
     fn drop(&mut self) {
         self.prompt_read();
         let entry = &self.picked.endpoint;
-        self.shared.fleet().end(&entry.id, entry.incarnation);
+        self.shared.fleet().request_finished(&entry.id, entry.incarnation);
     }
 }
