--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -74,7 +74,7 @@
             tokens: waits.collect(),
             reads: Vec::new(),
         };
-        fleet.hear_backlog(&VmId::from(format!("vm-{router}")), &backlog, BEGIN);
+        fleet.update_backlog(&VmId::from(format!("vm-{router}")), &backlog, BEGIN);
     }
 }
 
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -315,7 +315,7 @@
     }
 
     /// Another router told all of its backlogs.
-    pub fn hear_backlog(&mut self, router: &VmId, told: &Backlog, now: Duration) {
+    pub fn update_backlog(&mut self, router: &VmId, told: &Backlog, now: Duration) {
         self.others.hear(router, told, now);
     }
 
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -255,7 +255,7 @@
             let name = VmId::from(format!("router-{from}").as_str());
             for (to, fleet) in self.fleets.iter_mut().enumerate() {
                 if to != from {
-                    fleet.hear_backlog(&name, &told, at(now));
+                    fleet.update_backlog(&name, &told, at(now));
                 }
             }
         }
--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -114,7 +114,7 @@
     };
     let rates: Vec<RateNews> = told.rates.iter().map(rate).collect();
     let mut fleet = shared.fleet();
-    fleet.hear_backlog(&told.router, &backlog, now);
+    fleet.update_backlog(&told.router, &backlog, now);
     if fleet.hear_rates(&rates, now) {
         let rated = fleet.rated();
         drop(fleet);
