--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -320,7 +320,7 @@
     }
 
     /// An endpoint told its load.
-    pub fn reported(&mut self, id: &EndpointId, report: LoadReport, now: Duration) {
+    pub fn record_load(&mut self, id: &EndpointId, report: LoadReport, now: Duration) {
         if let Some(known) = self.known.get_mut(id) {
             known.reported(Heard {
                 report,
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -27,11 +27,11 @@
 fn a_load_report_counts_for_a_moment() {
     let mut fleet = pool(&[1, 1]);
     let full = LoadReport { running: 6, waiting: 4 };
-    fleet.reported(&EndpointId::from("e0"), full, at(0));
+    fleet.record_load(&EndpointId::from("e0"), full, at(0));
     for draw in 0..4 {
         assert_eq!(send(&mut fleet, None, &[], draw, at(1)).as_deref(), Some("e1"));
     }
-    fleet.reported(&EndpointId::from("e1"), full, at(3_000));
+    fleet.record_load(&EndpointId::from("e1"), full, at(3_000));
     assert_eq!(send(&mut fleet, None, &[], 0, at(3_001)).as_deref(), Some("e0"));
 }
 
@@ -174,7 +174,7 @@
     let id = EndpointId::from("e0");
     let full = LoadReport { running: 6, waiting: 4 };
     let mut neighbour = pool(&[1, 1]);
-    neighbour.reported(&id, full, at(1_000));
+    neighbour.record_load(&id, full, at(1_000));
     let mut news = neighbour.load_news(at(900), true);
     assert_eq!(news.len(), 1);
     assert_eq!(neighbour.load_news(at(1_000), true), []);
@@ -197,13 +197,13 @@
     ];
     for case in cases {
         let mut fleet = pool(&[1, 1]);
-        fleet.reported(
+        fleet.record_load(
             &EndpointId::from("e1"),
             LoadReport { running: 2, waiting: 0 },
             at(5_000),
         );
         if let Some(own) = case.own {
-            fleet.reported(&id, LoadReport::default(), at(own));
+            fleet.record_load(&id, LoadReport::default(), at(own));
         }
         fleet.hear_loads(&news, at(5_050));
         assert_eq!(
--- a/crates/dispatch/tests/fleet_weights.rs
+++ b/crates/dispatch/tests/fleet_weights.rs
@@ -300,7 +300,7 @@
             what: "many wait by its report",
             seen: |fleet, id| {
                 let running = 12;
-                fleet.reported(id, LoadReport { running, waiting: 60 }, at(8_600));
+                fleet.record_load(id, LoadReport { running, waiting: 60 }, at(8_600));
             },
             now: 8_700,
             used: &["e1"],
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -225,7 +225,7 @@
                 let fleet = &mut self.fleets[request.router];
                 fleet.prefill_finished(id, Incarnation(1), at(request.sent));
                 fleet.outcome(id, Outcome::Answered(at(waited)), at(now));
-                fleet.reported(id, LoadReport { running, waiting }, at(now));
+                fleet.record_load(id, LoadReport { running, waiting }, at(now));
                 self.news.push((now + NEWS, request.router));
             }
             for ended in engine
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -415,7 +415,7 @@
         let now = self.shared.clock.now();
         let mut fleet = self.shared.fleet();
         if let Some(load) = facts.load {
-            fleet.reported(id, load, now);
+            fleet.record_load(id, load, now);
         }
         if let (Some(prompt), Some(weights)) = (&self.call.wish.prompt, facts.weights) {
             fleet.record_weights(id, &prompt.model, weights);
