--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -332,7 +332,7 @@
     }
 
     /// An answer of an endpoint named the requests a second that it takes from all routers together, or none; whether that is new.
-    pub fn named_rate(&mut self, id: &EndpointId, rate: Option<f64>, now: Duration) -> bool {
+    pub fn record_rate(&mut self, id: &EndpointId, rate: Option<f64>, now: Duration) -> bool {
         let Some(known) = self.known.get(id) else {
             return false;
         };
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -130,7 +130,7 @@
             if in_need {
                 self.told.entry((router, endpoint)).or_insert(now);
             }
-            if self.fleets[router].named_rate(&EndpointId::from(name(endpoint)), rate, now) {
+            if self.fleets[router].record_rate(&EndpointId::from(name(endpoint)), rate, now) {
                 self.tell(case, router, now);
             }
         }
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -422,7 +422,7 @@
         }
         // A refusal without a rate says nothing of the need.
         let tells = facts.rate.is_some() || !facts.not_run;
-        if tells && fleet.named_rate(id, facts.rate, now) {
+        if tells && fleet.record_rate(id, facts.rate, now) {
             let rated = fleet.rated();
             drop(fleet);
             self.shared.metrics.rated.set(rated as i64);
