--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -345,7 +345,7 @@
     }
 
     /// Other routers were told this by endpoints; whether any of it is new.
-    pub fn hear_rates(&mut self, news: &[RateNews], now: Duration) -> bool {
+    pub fn merge_rates(&mut self, news: &[RateNews], now: Duration) -> bool {
         let mut new = false;
         for news in news {
             new |= self.rates.hear(*news, now);
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -157,7 +157,7 @@
             for news in &mut news {
                 news.told = news.told.saturating_sub(at(HOP));
             }
-            if self.fleets[hearer].hear_rates(&news, now) {
+            if self.fleets[hearer].merge_rates(&news, now) {
                 self.tell(case, hearer, now);
             }
         }
--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -115,7 +115,7 @@
     let rates: Vec<RateNews> = told.rates.iter().map(rate).collect();
     let mut fleet = shared.fleet();
     fleet.update_backlog(&told.router, &backlog, now);
-    if fleet.hear_rates(&rates, now) {
+    if fleet.merge_rates(&rates, now) {
         let rated = fleet.rated();
         drop(fleet);
         shared.metrics.rated.set(rated as i64);
