--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -354,7 +354,7 @@
     }
 
     /// What endpoints told lately of their rates, for other routers.
-    pub fn rate_news(&self, now: Duration) -> Vec<RateNews> {
+    pub fn recent_rates(&self, now: Duration) -> Vec<RateNews> {
         self.rates.news(now)
     }
 
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -137,7 +137,7 @@
     }
 
     fn tell(&mut self, case: &Case, router: usize, now: Duration) {
-        let news = self.fleets[router].rate_news(now);
+        let news = self.fleets[router].recent_rates(now);
         if news.is_empty() {
             return;
         }
--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -41,7 +41,7 @@
             find(&shared, &mut told);
         }
         let backlog = shared.fleet().own_backlog(now);
-        let rates = shared.fleet().rate_news(now);
+        let rates = shared.fleet().recent_rates(now);
         let nothing = backlog.tokens.is_empty() && rates.is_empty();
         if nothing && idle {
             continue;
