--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -359,7 +359,7 @@
     }
 
     /// Endpoints that name a rate.
-    pub fn rated(&self) -> usize {
+    pub fn rate_limited_count(&self) -> usize {
         self.rates.count()
     }
 
--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -116,7 +116,7 @@
     let mut fleet = shared.fleet();
     fleet.update_backlog(&told.router, &backlog, now);
     if fleet.merge_rates(&rates, now) {
-        let rated = fleet.rated();
+        let rated = fleet.rate_limited_count();
         drop(fleet);
         shared.metrics.rated.set(rated as i64);
         log::info!(router = told.router.as_str(), rated = rated; "endpoint: another router was told a rate");
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -423,7 +423,7 @@
         // A refusal without a rate says nothing of the need.
         let tells = facts.rate.is_some() || !facts.not_run;
         if tells && fleet.record_rate(id, facts.rate, now) {
-            let rated = fleet.rated();
+            let rated = fleet.rate_limited_count();
             drop(fleet);
             self.shared.metrics.rated.set(rated as i64);
             log::info!(
