--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -364,7 +364,7 @@
     }
 
     /// Reports that this router has received after `since`; only those of its own answers, or all.
-    pub fn load_news(&self, since: Duration, own: bool) -> Vec<LoadNews> {
+    pub fn loads_since(&self, since: Duration, own: bool) -> Vec<LoadNews> {
         let news = self
             .known
             .values()
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -175,9 +175,9 @@
     let full = LoadReport { running: 6, waiting: 4 };
     let mut neighbour = pool(&[1, 1]);
     neighbour.record_load(&id, full, at(1_000));
-    let mut news = neighbour.load_news(at(900), true);
+    let mut news = neighbour.loads_since(at(900), true);
     assert_eq!(news.len(), 1);
-    assert_eq!(neighbour.load_news(at(1_000), true), []);
+    assert_eq!(neighbour.loads_since(at(1_000), true), []);
     // Clocks differ: the news comes with its age.
     news[0].told = at(5_000);
     struct Case {
@@ -212,7 +212,7 @@
             "{:?}",
             case.own
         );
-        let passed_on = fleet.load_news(at(5_010), false);
+        let passed_on = fleet.loads_since(at(5_010), false);
         assert_eq!(passed_on.iter().any(|news| news.report == full), case.used == "e1");
     }
 }
--- a/crates/gateway/src/follow/loads.rs
+++ b/crates/gateway/src/follow/loads.rs
@@ -14,7 +14,7 @@
 /// Exchanges reports with the router that is followed; `last` is when that was done before.
 pub async fn exchange(shared: &Shared, leader: &Leader, last: Duration) -> Result<(), PeerError> {
     let now = shared.clock.now();
-    let own = shared.fleet().load_news(last, true);
+    let own = shared.fleet().loads_since(last, true);
     let question = LoadExchange {
         last_ms: now.saturating_sub(last).as_millis() as u64,
         own: own.iter().map(|news| told(news, now)).collect(),
@@ -28,7 +28,7 @@
 pub fn answer(shared: &Shared, question: &LoadExchange) -> Vec<LoadTold> {
     let now = shared.clock.now();
     let since = now.saturating_sub(Duration::from_millis(question.last_ms));
-    let news = shared.fleet().load_news(since, false);
+    let news = shared.fleet().loads_since(since, false);
     hear(shared, &question.own);
     news.iter().map(|news| told(news, now)).collect()
 }
