--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -380,7 +380,7 @@
 
     /// Another router told what it heard. A router meets an endpoint of a large pool once in ten seconds; its neighbours
     /// together meet it several times a second.
-    pub fn hear_loads(&mut self, news: &[LoadNews], now: Duration) {
+    pub fn merge_loads(&mut self, news: &[LoadNews], now: Duration) {
         let news: HashMap<ShortKey, &LoadNews> = news.iter().map(|news| (news.endpoint, news)).collect();
         for known in self.known.values_mut() {
             if let Some(news) = news.get(&ShortKey::from(known.key)) {
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -205,7 +205,7 @@
         if let Some(own) = case.own {
             fleet.record_load(&id, LoadReport::default(), at(own));
         }
-        fleet.hear_loads(&news, at(5_050));
+        fleet.merge_loads(&news, at(5_050));
         assert_eq!(
             send(&mut fleet, None, &[], 0, at(5_100)).as_deref(),
             Some(case.used),
--- a/crates/gateway/src/follow/loads.rs
+++ b/crates/gateway/src/follow/loads.rs
@@ -44,7 +44,7 @@
         told: now.saturating_sub(Duration::from_millis(*age)),
     };
     let news: Vec<LoadNews> = told.iter().map(news).collect();
-    shared.fleet().hear_loads(&news, now);
+    shared.fleet().merge_loads(&news, now);
 }
 
 fn told(news: &LoadNews, now: Duration) -> LoadTold {
