--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -395,7 +395,7 @@
     }
 
     /// What came of an attempt.
-    pub fn outcome(&mut self, id: &EndpointId, outcome: Outcome, now: Duration) {
+    pub fn record_outcome(&mut self, id: &EndpointId, outcome: Outcome, now: Duration) {
         if let Some(known) = self.known.get_mut(id) {
             known.outcome(outcome, now);
         }
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -47,9 +47,9 @@
         } else {
             Outcome::Answered(at(20))
         };
-        fleet.outcome(&grey, outcome, now);
+        fleet.record_outcome(&grey, outcome, now);
         for sound in ["e1", "e2"] {
-            fleet.outcome(&EndpointId::from(sound), Outcome::Answered(at(20)), now);
+            fleet.record_outcome(&EndpointId::from(sound), Outcome::Answered(at(20)), now);
         }
     }
     let used: BTreeSet<_> = (0..12)
@@ -68,8 +68,8 @@
     let mut fleet = pool(&[1, 1]);
     let grey = EndpointId::from("e0");
     for _ in 0..20 {
-        fleet.outcome(&grey, Outcome::Failed, at(0));
-        fleet.outcome(&EndpointId::from("e1"), Outcome::Answered(at(20)), at(0));
+        fleet.record_outcome(&grey, Outcome::Failed, at(0));
+        fleet.record_outcome(&EndpointId::from("e1"), Outcome::Answered(at(20)), at(0));
     }
     assert_eq!(send(&mut fleet, None, &[], 0, at(10)).as_deref(), Some("e1"));
     let used: BTreeSet<_> = (0..40)
@@ -83,8 +83,8 @@
 fn late_answers_make_no_endpoint_grey() {
     let mut fleet = pool(&[1, 1]);
     for _ in 0..50 {
-        fleet.outcome(&EndpointId::from("e0"), Outcome::Silent, at(0));
-        fleet.outcome(&EndpointId::from("e0"), Outcome::Answered(at(400)), at(0));
+        fleet.record_outcome(&EndpointId::from("e0"), Outcome::Silent, at(0));
+        fleet.record_outcome(&EndpointId::from("e0"), Outcome::Answered(at(400)), at(0));
     }
     let used: BTreeSet<_> = (0..40)
         .filter_map(|own| send(&mut fleet, Some(&prompt(own, 99)), &[], own, at(10)))
@@ -137,8 +137,8 @@
 fn a_dead_endpoint_is_probed_and_not_called() {
     let mut fleet = pool(&[1, 1]);
     let dead = EndpointId::from("e0");
-    fleet.outcome(&dead, Outcome::Unreached, at(0));
-    fleet.outcome(&dead, Outcome::Unreached, at(10));
+    fleet.record_outcome(&dead, Outcome::Unreached, at(0));
+    fleet.record_outcome(&dead, Outcome::Unreached, at(10));
     for draw in 0..8 {
         assert_eq!(send(&mut fleet, None, &[], draw, at(20)).as_deref(), Some("e1"));
     }
--- a/crates/dispatch/tests/fleet_weights.rs
+++ b/crates/dispatch/tests/fleet_weights.rs
@@ -270,7 +270,8 @@
         now: u64,
         used: &'static [&'static str],
     }
-    let late: fn(&mut Fleet, &EndpointId) = |fleet, id| fleet.outcome(id, Outcome::Answered(at(1_400)), at(8_600));
+    let late: fn(&mut Fleet, &EndpointId) =
+        |fleet, id| fleet.record_outcome(id, Outcome::Answered(at(1_400)), at(8_600));
     let cases = [
         Case {
             what: "idle",
@@ -292,7 +293,7 @@
         },
         Case {
             what: "first events late a while ago",
-            seen: |fleet, id| fleet.outcome(id, Outcome::Answered(at(1_400)), at(5_000)),
+            seen: |fleet, id| fleet.record_outcome(id, Outcome::Answered(at(1_400)), at(5_000)),
             now: 8_700,
             used: &["e0", "e1"],
         },
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -224,7 +224,7 @@
                 self.served.late_verdicts += usize::from(!chat && waited > 600);
                 let fleet = &mut self.fleets[request.router];
                 fleet.prefill_finished(id, Incarnation(1), at(request.sent));
-                fleet.outcome(id, Outcome::Answered(at(waited)), at(now));
+                fleet.record_outcome(id, Outcome::Answered(at(waited)), at(now));
                 fleet.record_load(id, LoadReport { running, waiting }, at(now));
                 self.news.push((now + NEWS, request.router));
             }
--- a/crates/gateway/src/serve/flight.rs
+++ b/crates/gateway/src/serve/flight.rs
@@ -46,7 +46,9 @@
 
     pub(super) fn outcome(&self, outcome: Outcome) {
         let now = self.shared.clock.now();
-        self.shared.fleet().outcome(&self.picked.endpoint.id, outcome, now);
+        self.shared
+            .fleet()
+            .record_outcome(&self.picked.endpoint.id, outcome, now);
     }
 
     pub(super) fn answered(&self) {
