--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -404,7 +404,7 @@
     }
 
     /// What came of a probe: it shows whether the endpoint is reached, not how it serves.
-    pub fn probed(&mut self, id: &EndpointId, outcome: Outcome, now: Duration) {
+    pub fn record_probe(&mut self, id: &EndpointId, outcome: Outcome, now: Duration) {
         let event = evidence(id, outcome);
         self.health.on(event, now);
     }
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -144,7 +144,7 @@
     }
     let probes = fleet.due_probes(at(300));
     assert_eq!(probes.iter().map(|entry| entry.id.as_str()).collect::<Vec<_>>(), ["e0"]);
-    fleet.probed(&dead, Outcome::Answered(at(5)), at(310));
+    fleet.record_probe(&dead, Outcome::Answered(at(5)), at(310));
     let used: BTreeSet<_> = (0..8)
         .filter_map(|draw| send(&mut fleet, None, &[], draw, at(320)))
         .collect();
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -215,5 +215,5 @@
         Err(ExchangeError::NotSent) => Outcome::Unreached,
         Err(_) => Outcome::Broken,
     };
-    shared.fleet().probed(&entry.id, outcome, now);
+    shared.fleet().record_probe(&entry.id, outcome, now);
 }
