--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -410,7 +410,7 @@
     }
 
     /// The first event of a streamed answer came this long after its request was sent, or has not come by then.
-    pub fn waited(&mut self, service: &ServiceId, objective: Duration, waited: Duration, now: Duration) {
+    pub fn record_first_event(&mut self, service: &ServiceId, objective: Duration, waited: Duration, now: Duration) {
         let pressure = self.pressures.entry((service.clone(), objective)).or_default();
         pressure.waited(waited, objective, now);
     }
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -158,7 +158,9 @@
         let now = self.shared.clock.now();
         let waited = now.saturating_sub(began);
         let objective = self.call.route.objective;
-        self.shared.fleet().waited(self.call.service, objective, waited, now);
+        self.shared
+            .fleet()
+            .record_first_event(self.call.service, objective, waited, now);
     }
 
     fn note(&mut self, picked: &PickedEndpoint, outcome: &str) {
