--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -417,7 +417,7 @@
 
     /// Whether a request for a streamed answer is refused at once, since answers of its kind are late; `draw` is uniform over all
     /// numbers.
-    pub fn refuses(&self, service: &ServiceId, objective: Duration, draw: u64, now: Duration) -> bool {
+    pub fn should_shed(&self, service: &ServiceId, objective: Duration, draw: u64, now: Duration) -> bool {
         let pressure = self.pressures.get(&(service.clone(), objective));
         pressure.is_some_and(|pressure| pressure.refuses(draw, now))
     }
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -147,7 +147,7 @@
         let now = self.shared.clock.now();
         let (kind, objective) = (self.call.route.kind, self.call.route.objective);
         let fleet = self.shared.fleet();
-        kind.streams() && fleet.refuses(self.call.service, objective, rand::random(), now)
+        kind.streams() && fleet.should_shed(self.call.service, objective, rand::random(), now)
     }
 
     /// The first event has come, or the wait for it has ended.
