--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -423,7 +423,7 @@
     }
 
     /// A request's first attempt at a service.
-    pub fn first_attempt(&mut self, service: &ServiceId, now: Duration) {
+    pub fn record_first_attempt(&mut self, service: &ServiceId, now: Duration) {
         let window = self.settings.retries.window;
         self.meters.entry(service.clone()).or_default().first(window, now);
     }
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -81,7 +81,7 @@
         Ok(call) => call,
         Err(cause) => return refuse(shared, caller, cause, RequestState::Queued, &mut record).await,
     };
-    shared.fleet().first_attempt(call.service, shared.clock.now());
+    shared.fleet().record_first_attempt(call.service, shared.clock.now());
     let mut attempts = Attempts::new(shared, &call, &mut record);
     let finish = attempts.run().await;
     match finish {
