--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -429,7 +429,7 @@
     }
 
     /// Whether one more attempt may be made at a service; it is counted if so.
-    pub fn another_attempt(&mut self, service: &ServiceId, now: Duration) -> bool {
+    pub fn try_retry(&mut self, service: &ServiceId, now: Duration) -> bool {
         let limits = self.settings.retries;
         self.meters.entry(service.clone()).or_default().again(&limits, now)
     }
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -213,7 +213,7 @@
             Next::Stop => false,
             Next::Again => {
                 let now = self.shared.clock.now();
-                self.shared.fleet().another_attempt(self.call.service, now)
+                self.shared.fleet().try_retry(self.call.service, now)
             }
         }
     }
