--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -435,7 +435,7 @@
     }
 
     /// How far weights of a model are behind the newest, for logs.
-    pub fn behind(&self, model: &ModelId, weights: u64, now: Duration) -> Behind {
+    pub fn staleness(&self, model: &ModelId, weights: u64, now: Duration) -> Behind {
         let names = self.wanted.get(model);
         names.map_or(Behind::No, |names| names.behind(weights, now))
     }
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -334,7 +334,7 @@
         let prompt = self.call.wish.prompt.as_ref()?;
         let weights = picked.weights?;
         let now = self.shared.clock.now();
-        Some((weights, self.shared.fleet().behind(&prompt.model, weights, now)))
+        Some((weights, self.shared.fleet().staleness(&prompt.model, weights, now)))
     }
 
     /// The endpoint has not answered in the time for this attempt.
