--- a/crates/dispatch/src/fleet/known.rs
+++ b/crates/dispatch/src/fleet/known.rs
@@ -36,7 +36,7 @@
 
 /// A load report that routers tell each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LoadNews {
+pub struct LoadUpdate {
     /// Whose.
     pub endpoint: ShortKey,
     /// The report.
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -17,7 +17,7 @@
 
 pub use backlogs::Backlog;
 pub use engines::{Part, Prompt};
-pub use known::{LoadNews, LoadReport, Outcome, ShortKey};
+pub use known::{LoadReport, LoadUpdate, Outcome, ShortKey};
 pub use lanes::Reads;
 pub use names::{Behind, NameAge};
 pub use rates::RateNews;
@@ -364,13 +364,13 @@
     }
 
     /// Reports that this router has received after `since`; only those of its own answers, or all.
-    pub fn loads_since(&self, since: Duration, own: bool) -> Vec<LoadNews> {
+    pub fn loads_since(&self, since: Duration, own: bool) -> Vec<LoadUpdate> {
         let news = self
             .known
             .values()
             .filter_map(|known| Some((known.key, known.report()?)));
         let news = news.filter(|(_, heard)| heard.heard > since && (heard.own || !own));
-        let news = news.map(|(key, heard)| LoadNews {
+        let news = news.map(|(key, heard)| LoadUpdate {
             endpoint: ShortKey::from(key),
             report: heard.report,
             told: heard.told,
@@ -380,8 +380,8 @@
 
     /// Another router told what it heard. A router meets an endpoint of a large pool once in ten seconds; its neighbours
     /// together meet it several times a second.
-    pub fn merge_loads(&mut self, news: &[LoadNews], now: Duration) {
-        let news: HashMap<ShortKey, &LoadNews> = news.iter().map(|news| (news.endpoint, news)).collect();
+    pub fn merge_loads(&mut self, news: &[LoadUpdate], now: Duration) {
+        let news: HashMap<ShortKey, &LoadUpdate> = news.iter().map(|news| (news.endpoint, news)).collect();
         for known in self.known.values_mut() {
             if let Some(news) = news.get(&ShortKey::from(known.key)) {
                 known.reported(Heard {
--- a/crates/gateway/src/follow/loads.rs
+++ b/crates/gateway/src/follow/loads.rs
@@ -4,7 +4,7 @@
 //! which says nothing of now; a domain's routers together get one or two a second.
 
 use crate::shared::Shared;
-use dispatch::fleet::{LoadNews, LoadReport};
+use dispatch::fleet::{LoadReport, LoadUpdate};
 use peers::{Leader, LoadExchange, LoadTold, PeerError};
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
 
 fn hear(shared: &Shared, told: &[LoadTold]) {
     let now = shared.clock.now();
-    let news = |LoadTold(endpoint, running, waiting, age): &LoadTold| LoadNews {
+    let news = |LoadTold(endpoint, running, waiting, age): &LoadTold| LoadUpdate {
         endpoint: *endpoint,
         report: LoadReport {
             running: *running,
@@ -43,11 +43,11 @@
         },
         told: now.saturating_sub(Duration::from_millis(*age)),
     };
-    let news: Vec<LoadNews> = told.iter().map(news).collect();
+    let news: Vec<LoadUpdate> = told.iter().map(news).collect();
     shared.fleet().merge_loads(&news, now);
 }
 
-fn told(news: &LoadNews, now: Duration) -> LoadTold {
+fn told(news: &LoadUpdate, now: Duration) -> LoadTold {
     let age = now.saturating_sub(news.told).as_millis() as u64;
     LoadTold(news.endpoint, news.report.running, news.report.waiting, age)
 }
