--- a/crates/dispatch/src/fleet/known.rs
+++ b/crates/dispatch/src/fleet/known.rs
@@ -42,7 +42,7 @@
     /// The report.
     pub report: LoadReport,
     /// When an endpoint's answer told it, to this router or another.
-    pub told: Duration,
+    pub reported_at: Duration,
 }
 
 /// Stands for an endpoint between routers, in 32 bits: a domain's routers tell each other hundreds of reports a second.
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -373,7 +373,7 @@
         let news = news.map(|(key, heard)| LoadUpdate {
             endpoint: ShortKey::from(key),
             report: heard.report,
-            told: heard.told,
+            reported_at: heard.told,
         });
         news.collect()
     }
@@ -386,7 +386,7 @@
             if let Some(news) = news.get(&ShortKey::from(known.key)) {
                 known.reported(Heard {
                     report: news.report,
-                    told: news.told,
+                    told: news.reported_at,
                     heard: now,
                     own: false,
                 });
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -179,7 +179,7 @@
     assert_eq!(news.len(), 1);
     assert_eq!(neighbour.loads_since(at(1_000), true), []);
     // Clocks differ: the news comes with its age.
-    news[0].told = at(5_000);
+    news[0].reported_at = at(5_000);
     struct Case {
         own: Option<u64>,
         used: &'static str,
--- a/crates/gateway/src/follow/loads.rs
+++ b/crates/gateway/src/follow/loads.rs
@@ -41,13 +41,13 @@
             running: *running,
             waiting: *waiting,
         },
-        told: now.saturating_sub(Duration::from_millis(*age)),
+        reported_at: now.saturating_sub(Duration::from_millis(*age)),
     };
     let news: Vec<LoadUpdate> = told.iter().map(news).collect();
     shared.fleet().merge_loads(&news, now);
 }
 
 fn told(news: &LoadUpdate, now: Duration) -> LoadTold {
-    let age = now.saturating_sub(news.told).as_millis() as u64;
+    let age = now.saturating_sub(news.reported_at).as_millis() as u64;
     LoadTold(news.endpoint, news.report.running, news.report.waiting, age)
 }
