--- a/crates/dispatch/src/fleet/known.rs
+++ b/crates/dispatch/src/fleet/known.rs
@@ -79,7 +79,7 @@
     /// The answer was broken, cut or spoilt.
     Broken,
     /// No connection.
-    Unreached,
+    ConnectFailed,
     /// No answer in time.
     Silent,
 }
@@ -202,7 +202,7 @@
             }
             Outcome::Declined => return,
             Outcome::Silent => SILENT,
-            Outcome::Failed | Outcome::Broken | Outcome::Unreached => 1.0,
+            Outcome::Failed | Outcome::Broken | Outcome::ConnectFailed => 1.0,
         };
         let trouble = self.trouble(now);
         self.trouble = (trouble + FADE * (failed - trouble), now);
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -459,7 +459,7 @@
             endpoint,
             incarnation: None,
         },
-        Outcome::Broken | Outcome::Unreached => health::Event::Failed {
+        Outcome::Broken | Outcome::ConnectFailed => health::Event::Failed {
             endpoint,
             failure: health::Failure::Broken,
         },
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -137,8 +137,8 @@
 fn a_dead_endpoint_is_probed_and_not_called() {
     let mut fleet = pool(&[1, 1]);
     let dead = EndpointId::from("e0");
-    fleet.record_outcome(&dead, Outcome::Unreached, at(0));
-    fleet.record_outcome(&dead, Outcome::Unreached, at(10));
+    fleet.record_outcome(&dead, Outcome::ConnectFailed, at(0));
+    fleet.record_outcome(&dead, Outcome::ConnectFailed, at(10));
     for draw in 0..8 {
         assert_eq!(send(&mut fleet, None, &[], draw, at(20)).as_deref(), Some("e1"));
     }
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -212,7 +212,7 @@
     let outcome = match answer {
         Ok((200, _)) => Outcome::Answered(now.saturating_sub(asked)),
         Ok(_) => Outcome::Declined,
-        Err(ExchangeError::NotSent) => Outcome::Unreached,
+        Err(ExchangeError::NotSent) => Outcome::ConnectFailed,
         Err(_) => Outcome::Broken,
     };
     shared.fleet().record_probe(&entry.id, outcome, now);
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -238,7 +238,7 @@
             Waited::Done(Ok(link)) => link,
             Waited::Done(Err(_)) => {
                 self.unreached += 1;
-                flight.outcome(Outcome::Unreached);
+                flight.outcome(Outcome::ConnectFailed);
                 return Attempted::Failed(Failure::NotSent);
             }
             Waited::CallerGone => return Attempted::Ended(self.gone()),
@@ -444,7 +444,7 @@
         let meant = &flight.picked.endpoint.id;
         if status == 421 && facts.endpoint.as_ref().is_some_and(|other| other != meant) {
             // Another endpoint has the address now.
-            flight.outcome(Outcome::Unreached);
+            flight.outcome(Outcome::ConnectFailed);
             self.shared.links.forget(meant, None);
             return Attempted::Failed(Failure::Declined);
         }
