--- a/crates/dispatch/src/fleet/known.rs
+++ b/crates/dispatch/src/fleet/known.rs
@@ -81,7 +81,7 @@
     /// No connection.
     ConnectFailed,
     /// No answer in time.
-    Silent,
+    Timeout,
 }
 
 /// A request of this router whose prompt its endpoint has not read.
@@ -201,7 +201,7 @@
                 0.0
             }
             Outcome::Declined => return,
-            Outcome::Silent => SILENT,
+            Outcome::Timeout => SILENT,
             Outcome::Failed | Outcome::Broken | Outcome::ConnectFailed => 1.0,
         };
         let trouble = self.trouble(now);
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -463,7 +463,7 @@
             endpoint,
             failure: health::Failure::Broken,
         },
-        Outcome::Silent => health::Event::Failed {
+        Outcome::Timeout => health::Event::Failed {
             endpoint,
             failure: health::Failure::Timeout,
         },
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -83,7 +83,7 @@
 fn late_answers_make_no_endpoint_grey() {
     let mut fleet = pool(&[1, 1]);
     for _ in 0..50 {
-        fleet.record_outcome(&EndpointId::from("e0"), Outcome::Silent, at(0));
+        fleet.record_outcome(&EndpointId::from("e0"), Outcome::Timeout, at(0));
         fleet.record_outcome(&EndpointId::from("e0"), Outcome::Answered(at(400)), at(0));
     }
     let used: BTreeSet<_> = (0..40)
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -275,7 +275,7 @@
             }
             Waited::TimeOver => {
                 self.waited(flight.began);
-                flight.outcome(Outcome::Silent);
+                flight.outcome(Outcome::Timeout);
                 self.silent()
             }
         }
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -83,7 +83,7 @@
     }
 
     fn silent(self) -> Attempted {
-        self.flight.outcome(Outcome::Silent);
+        self.flight.outcome(Outcome::Timeout);
         self.attempts.events.broke();
         self.attempts.life.on(RequestEvent::AnswerBroke);
         Attempted::Failed(Failure::Silent)
