--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -20,7 +20,7 @@
 pub use known::{LoadReport, LoadUpdate, Outcome, ShortKey};
 pub use lanes::Reads;
 pub use names::{Behind, NameAge};
-pub use rates::RateNews;
+pub use rates::RateUpdate;
 
 use crate::pressure::Pressure;
 use crate::retries::{RetryLimits, RetryMeter};
@@ -336,7 +336,7 @@
         let Some(known) = self.known.get(id) else {
             return false;
         };
-        let news = RateNews {
+        let news = RateUpdate {
             endpoint: ShortKey::from(known.key),
             rate,
             told: now,
@@ -345,7 +345,7 @@
     }
 
     /// Other routers were told this by endpoints; whether any of it is new.
-    pub fn merge_rates(&mut self, news: &[RateNews], now: Duration) -> bool {
+    pub fn merge_rates(&mut self, news: &[RateUpdate], now: Duration) -> bool {
         let mut new = false;
         for news in news {
             new |= self.rates.hear(*news, now);
@@ -354,7 +354,7 @@
     }
 
     /// What endpoints told lately of their rates, for other routers.
-    pub fn recent_rates(&self, now: Duration) -> Vec<RateNews> {
+    pub fn recent_rates(&self, now: Duration) -> Vec<RateUpdate> {
         self.rates.news(now)
     }
 
--- a/crates/dispatch/src/fleet/rates.rs
+++ b/crates/dispatch/src/fleet/rates.rs
@@ -31,7 +31,7 @@
 
 /// What an endpoint said of its rate last, as routers tell each other.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RateNews {
+pub struct RateUpdate {
     /// Whose.
     pub endpoint: ShortKey,
     /// Requests a second from all routers together; none if it is no longer in need.
@@ -75,7 +75,7 @@
     }
 
     /// Takes in what an endpoint said; whether that is new.
-    pub(super) fn hear(&mut self, news: RateNews, now: Duration) -> bool {
+    pub(super) fn hear(&mut self, news: RateUpdate, now: Duration) -> bool {
         let known = self.named.get(&news.endpoint);
         if known.is_some_and(|known| known.told >= news.told) || (known.is_none() && news.rate.is_none()) {
             return false;
@@ -155,12 +155,12 @@
     }
 
     /// What endpoints said lately, to tell it to other routers.
-    pub(super) fn news(&self, now: Duration) -> Vec<RateNews> {
+    pub(super) fn news(&self, now: Duration) -> Vec<RateUpdate> {
         let lately = self
             .named
             .iter()
             .filter(|(_, named)| now.saturating_sub(named.told) < TOLD_FOR);
-        let news = lately.map(|(endpoint, named)| RateNews {
+        let news = lately.map(|(endpoint, named)| RateUpdate {
             endpoint: *endpoint,
             rate: named.rate,
             told: named.told,
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dispatch::fleet::{Choice, Fleet, PickContext, RateNews};
+use dispatch::fleet::{Choice, Fleet, PickContext, RateUpdate};
 use ids::{EndpointId, VmId};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -62,7 +62,7 @@
     /// Arrivals at endpoints: when, and from whom.
     arrivals: Vec<Vec<(Duration, usize)>>,
     answers: BTreeMap<(Duration, u64), (usize, usize)>,
-    news: BTreeMap<(Duration, u64), (usize, Vec<RateNews>)>,
+    news: BTreeMap<(Duration, u64), (usize, Vec<RateUpdate>)>,
     refused: usize,
 }
 
--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -5,7 +5,7 @@
 use async_channel::{Receiver, Sender};
 use async_std::future::timeout;
 use async_std::task;
-use dispatch::fleet::{Backlog, RateNews};
+use dispatch::fleet::{Backlog, RateUpdate};
 use peers::{BacklogTold, Leader, PeerError, RateTold};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
             continue;
         }
         idle = nothing;
-        let rate = |news: &RateNews| RateTold(news.endpoint, news.rate, age(news.told, now));
+        let rate = |news: &RateUpdate| RateTold(news.endpoint, news.rate, age(news.told, now));
         let rates: Vec<RateTold> = rates.iter().map(rate).collect();
         let router = shared.settings.load().vm.clone();
         for sender in told.values() {
@@ -107,12 +107,12 @@
         reads: told.reads.clone(),
     };
     // Taken for as old as it can be: news that comes back must not count as newer than what it repeats.
-    let rate = |RateTold(endpoint, rate, age): &RateTold| RateNews {
+    let rate = |RateTold(endpoint, rate, age): &RateTold| RateUpdate {
         endpoint: *endpoint,
         rate: *rate,
         told: now.saturating_sub(Duration::from_millis(*age) + CALL),
     };
-    let rates: Vec<RateNews> = told.rates.iter().map(rate).collect();
+    let rates: Vec<RateUpdate> = told.rates.iter().map(rate).collect();
     let mut fleet = shared.fleet();
     fleet.update_backlog(&told.router, &backlog, now);
     if fleet.merge_rates(&rates, now) {
