--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -339,7 +339,7 @@
         let news = RateUpdate {
             endpoint: ShortKey::from(known.key),
             rate,
-            told: now,
+            reported_at: now,
         };
         self.rates.hear(news, now)
     }
--- a/crates/dispatch/src/fleet/rates.rs
+++ b/crates/dispatch/src/fleet/rates.rs
@@ -37,7 +37,7 @@
     /// Requests a second from all routers together; none if it is no longer in need.
     pub rate: Option<f64>,
     /// When an answer of the endpoint said so.
-    pub told: Duration,
+    pub reported_at: Duration,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -77,20 +77,20 @@
     /// Takes in what an endpoint said; whether that is new.
     pub(super) fn hear(&mut self, news: RateUpdate, now: Duration) -> bool {
         let known = self.named.get(&news.endpoint);
-        if known.is_some_and(|known| known.told >= news.told) || (known.is_none() && news.rate.is_none()) {
+        if known.is_some_and(|known| known.told >= news.reported_at) || (known.is_none() && news.rate.is_none()) {
             return false;
         }
         let before = known.and_then(|known| known.rate);
         let begins = before.is_none();
         let named = self.named.entry(news.endpoint).or_insert(Named {
             rate: None,
-            told: news.told,
+            told: news.reported_at,
             share: None,
             saved: (0.0, now),
             checked: None,
         });
         named.rate = news.rate;
-        named.told = news.told;
+        named.told = news.reported_at;
         if begins {
             // It has just got more than it takes.
             named.saved = (0.0, now);
@@ -163,7 +163,7 @@
         let news = lately.map(|(endpoint, named)| RateUpdate {
             endpoint: *endpoint,
             rate: named.rate,
-            told: named.told,
+            reported_at: named.told,
         });
         news.collect()
     }
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -155,7 +155,7 @@
         while let Some(due) = self.news.first_entry().filter(|first| first.key().0 <= now) {
             let (hearer, mut news) = due.remove();
             for news in &mut news {
-                news.told = news.told.saturating_sub(at(HOP));
+                news.reported_at = news.reported_at.saturating_sub(at(HOP));
             }
             if self.fleets[hearer].merge_rates(&news, now) {
                 self.tell(case, hearer, now);
--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -47,7 +47,7 @@
             continue;
         }
         idle = nothing;
-        let rate = |news: &RateUpdate| RateTold(news.endpoint, news.rate, age(news.told, now));
+        let rate = |news: &RateUpdate| RateTold(news.endpoint, news.rate, age(news.reported_at, now));
         let rates: Vec<RateTold> = rates.iter().map(rate).collect();
         let router = shared.settings.load().vm.clone();
         for sender in told.values() {
@@ -110,7 +110,7 @@
     let rate = |RateTold(endpoint, rate, age): &RateTold| RateUpdate {
         endpoint: *endpoint,
         rate: *rate,
-        told: now.saturating_sub(Duration::from_millis(*age) + CALL),
+        reported_at: now.saturating_sub(Duration::from_millis(*age) + CALL),
     };
     let rates: Vec<RateUpdate> = told.rates.iter().map(rate).collect();
     let mut fleet = shared.fleet();
