--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -1,6 +1,6 @@
 //! Time of one choice of an engine, by the size of the pool: `cargo run --release -p dispatch --example choice_cost`.
 
-use dispatch::fleet::{Backlog, Choice, Fleet, FleetSettings, NameAge, Part, PickContext, Prompt, ShortKey};
+use dispatch::fleet::{Backlog, Choice, Fleet, FleetSettings, Part, PickContext, Prompt, ShortKey, TargetAge};
 use dispatch::retries::RetryLimits;
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, ModelId, ServiceId, VmId};
@@ -54,7 +54,7 @@
         };
         fleet.upsert_endpoint(&Arc::new(entry), Duration::ZERO);
     }
-    let age = NameAge {
+    let age = TargetAge {
         least: Duration::ZERO,
         most: Some(Duration::ZERO),
     };
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -19,7 +19,7 @@
 pub use engines::{Part, Prompt};
 pub use known::{LoadReport, LoadUpdate, Outcome, ShortKey};
 pub use lanes::Reads;
-pub use names::{Behind, NameAge};
+pub use names::{Behind, TargetAge};
 pub use rates::RateUpdate;
 
 use crate::pressure::Pressure;
@@ -155,19 +155,19 @@
     }
 
     /// Weights that a model is to be served with, which were named so long ago.
-    pub fn set_target(&mut self, model: &ModelId, weights: u64, age: NameAge, now: Duration) {
+    pub fn set_target(&mut self, model: &ModelId, weights: u64, age: TargetAge, now: Duration) {
         self.wanted.entry(model.clone()).or_default().name(weights, age, now);
     }
 
     /// Another router tells how long ago weights were named; whether that made clear what was vague. Newer ones than the store
     /// told this router are left out.
-    pub fn merge_target_age(&mut self, model: &ModelId, weights: u64, age: NameAge, now: Duration) -> bool {
+    pub fn merge_target_age(&mut self, model: &ModelId, weights: u64, age: TargetAge, now: Duration) -> bool {
         let names = self.wanted.get_mut(model);
         names.is_some_and(|names| names.told(weights, age, now))
     }
 
     /// How long ago weights were named.
-    pub fn target_ages(&self, now: Duration) -> Vec<(ModelId, u64, NameAge)> {
+    pub fn target_ages(&self, now: Duration) -> Vec<(ModelId, u64, TargetAge)> {
         let names = self.wanted.iter().flat_map(|(model, names)| {
             let ages = names.all().iter().map(move |named| (named.weights, named.age(now)));
             ages.map(|(weights, age)| (model.clone(), weights, age))
--- a/crates/dispatch/src/fleet/names.rs
+++ b/crates/dispatch/src/fleet/names.rs
@@ -16,7 +16,7 @@
 
 /// How long ago weights were named.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct NameAge {
+pub struct TargetAge {
     /// At least so long ago.
     pub least: Duration,
     /// At most so long ago; absent if this router can't tell.
@@ -45,7 +45,7 @@
 }
 
 impl Named {
-    fn new(weights: u64, age: NameAge, now: Duration) -> Self {
+    fn new(weights: u64, age: TargetAge, now: Duration) -> Self {
         let aged = |age| Aged { age, at: now };
         Self {
             weights,
@@ -54,8 +54,8 @@
         }
     }
 
-    pub(super) fn age(&self, now: Duration) -> NameAge {
-        NameAge {
+    pub(super) fn age(&self, now: Duration) -> TargetAge {
+        TargetAge {
             least: self.least.age(now),
             most: self.most.map(|most| most.age(now)),
         }
@@ -82,18 +82,18 @@
         let (own, older) = (self.age(now), older.age(now));
         let most = own.most.zip(older.most).map(|(own, older)| own.max(older));
         let least = own.least.max(older.least);
-        *self = Self::new(self.weights, NameAge { least, most }, now);
+        *self = Self::new(self.weights, TargetAge { least, most }, now);
     }
 
     /// Takes in what another router knows: both are right, so the narrower bound of each side holds.
-    fn narrow(&mut self, told: NameAge, now: Duration) {
+    fn narrow(&mut self, told: TargetAge, now: Duration) {
         let own = self.age(now);
         let most = match (own.most, told.most) {
             (Some(own), Some(told)) => Some(own.min(told)),
             (own, told) => own.or(told),
         };
         let least = own.least.max(told.least);
-        *self = Self::new(self.weights, NameAge { least, most }, now);
+        *self = Self::new(self.weights, TargetAge { least, most }, now);
     }
 }
 
@@ -114,7 +114,7 @@
 
 impl Names {
     /// Weights were named; others than newer ones change nothing.
-    pub(super) fn name(&mut self, weights: u64, age: NameAge, now: Duration) {
+    pub(super) fn name(&mut self, weights: u64, age: TargetAge, now: Duration) {
         if self.0.last().is_none_or(|last| last.weights < weights) {
             self.0.push(Named::new(weights, age, now));
             self.forget(now);
@@ -132,7 +132,7 @@
     /// Another router tells how long ago these weights were named; whether that made clear what was vague. Names in between that
     /// this router missed are taken in: a name's greatest age holds for whatever was named since the one before it, so without them
     /// a narrower age of a newer name would let engines serve that are further behind. Newer names come from the store.
-    pub(super) fn told(&mut self, weights: u64, age: NameAge, now: Duration) -> bool {
+    pub(super) fn told(&mut self, weights: u64, age: TargetAge, now: Duration) -> bool {
         if self.newest().is_none_or(|newest| newest.weights < weights) {
             return false;
         }
@@ -177,8 +177,8 @@
         let newer = self.0.iter().find(|named| named.weights > weights);
         match newer.map(|named| named.age(now)) {
             None => Behind::No,
-            Some(NameAge { most: None, .. }) => Behind::Unknown,
-            Some(NameAge { least, .. }) => Behind::For(least),
+            Some(TargetAge { most: None, .. }) => Behind::Unknown,
+            Some(TargetAge { least, .. }) => Behind::For(least),
         }
     }
 }
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -1,6 +1,6 @@
 //! How long ago weights were named, as far as routers can tell that start, freeze and ask each other.
 
-use dispatch::fleet::{Choice, Fleet, FleetSettings, NameAge, Part, PickContext, Prompt};
+use dispatch::fleet::{Choice, Fleet, FleetSettings, Part, PickContext, Prompt, TargetAge};
 use dispatch::retries::RetryLimits;
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, ModelId, ServiceId};
@@ -85,7 +85,7 @@
 
     /// The store tells the newest weights, not those in between nor when they were named.
     fn hears(&mut self, newest: u64, now: Duration) {
-        let age = NameAge {
+        let age = TargetAge {
             least: Duration::ZERO,
             most: self.confirmed.map(|confirmed| now - confirmed),
         };
@@ -93,9 +93,9 @@
         self.confirmed = Some(now);
     }
 
-    fn asks(&mut self, told: &[(ModelId, u64, NameAge)], under_way: Duration, now: Duration) {
+    fn asks(&mut self, told: &[(ModelId, u64, TargetAge)], under_way: Duration, now: Duration) {
         for (model, weights, age) in told {
-            let age = NameAge {
+            let age = TargetAge {
                 least: age.least,
                 most: age.most.map(|most| most + under_way),
             };
@@ -226,7 +226,7 @@
         router.hears(3, now);
         let told = |(weights, least, most): &(u64, u64, Option<u64>)| {
             let (least, most) = (ms(*least), most.map(ms));
-            (model(), *weights, NameAge { least, most })
+            (model(), *weights, TargetAge { least, most })
         };
         let told: Vec<_> = case.told.iter().map(told).collect();
         router.asks(&told, ms(0), now);
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of endpoints, and where its requests go.
 
-use dispatch::fleet::{Choice, Fleet, FleetSettings, NameAge, Part, PickContext, Prompt};
+use dispatch::fleet::{Choice, Fleet, FleetSettings, Part, PickContext, Prompt, TargetAge};
 use dispatch::retries::RetryLimits;
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, ModelId, ServiceId};
@@ -62,7 +62,7 @@
 
 /// New weights are named at a time that the router saw, or before it knew of any.
 pub fn name(fleet: &mut Fleet, weights: u64, named: Option<Duration>) {
-    let age = NameAge {
+    let age = TargetAge {
         least: Duration::ZERO,
         most: named.map(|_| Duration::ZERO),
     };
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -6,7 +6,7 @@
 use crate::orders::Listed;
 use crate::shared::Shared;
 use async_channel::Receiver;
-use dispatch::fleet::NameAge;
+use dispatch::fleet::TargetAge;
 use dispatch::holder::{Holder, Occupant, TIMES, Turns, fence};
 use dispatch::rollout::Postponed;
 use dispatch::roster::{ListChange, Roster, RosterChange};
@@ -418,7 +418,7 @@
                     unheard_ms = unheard.map_or(-1, |age| age.as_millis() as i64);
                     "weights: wanted"
                 );
-                let age = NameAge {
+                let age = TargetAge {
                     least: Duration::ZERO,
                     most: unheard,
                 };
--- a/crates/gateway/src/follow/names.rs
+++ b/crates/gateway/src/follow/names.rs
@@ -7,7 +7,7 @@
 use super::others::{CALL, ask_others};
 use crate::shared::Shared;
 use async_std::task;
-use dispatch::fleet::NameAge;
+use dispatch::fleet::TargetAge;
 use ids::ModelId;
 use peers::{Leader, NameTold};
 use std::sync::Arc;
@@ -36,7 +36,7 @@
 /// What this router tells another.
 pub fn answer(shared: &Shared) -> Vec<NameTold> {
     let ages = shared.fleet().target_ages(shared.clock.now());
-    let told = |(model, weights, age): (ModelId, u64, NameAge)| NameTold {
+    let told = |(model, weights, age): (ModelId, u64, TargetAge)| NameTold {
         model,
         weights,
         least_ms: age.least.as_millis() as u64,
@@ -60,7 +60,7 @@
     let under_way = now.saturating_sub(sent);
     let mut fleet = shared.fleet();
     for name in told {
-        let age = NameAge {
+        let age = TargetAge {
             least: Duration::from_millis(name.least_ms),
             most: name.most_ms.map(|most| Duration::from_millis(most) + under_way),
         };
