--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -55,7 +55,7 @@
         fleet.upsert_endpoint(&Arc::new(entry), Duration::ZERO);
     }
     let age = TargetAge {
-        least: Duration::ZERO,
+        lower: Duration::ZERO,
         most: Some(Duration::ZERO),
     };
     fleet.set_target(&ModelId::from("grain"), 2, age, Duration::ZERO);
--- a/crates/dispatch/src/fleet/names.rs
+++ b/crates/dispatch/src/fleet/names.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TargetAge {
     /// At least so long ago.
-    pub least: Duration,
+    pub lower: Duration,
     /// At most so long ago; absent if this router can't tell.
     pub most: Option<Duration>,
 }
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Named {
     pub(super) weights: u64,
-    least: Aged,
+    lower: Aged,
     most: Option<Aged>,
 }
 
@@ -49,14 +49,14 @@
         let aged = |age| Aged { age, at: now };
         Self {
             weights,
-            least: aged(age.least),
+            lower: aged(age.lower),
             most: age.most.map(aged),
         }
     }
 
     pub(super) fn age(&self, now: Duration) -> TargetAge {
         TargetAge {
-            least: self.least.age(now),
+            lower: self.lower.age(now),
             most: self.most.map(|most| most.age(now)),
         }
     }
@@ -64,7 +64,7 @@
     /// Whether they were named so long ago, as far as this router can tell; what it can't tell counts as long ago.
     pub(super) fn for_longer(&self, time: Duration, now: Duration) -> bool {
         let age = self.age(now);
-        age.most.is_none() || age.least >= time
+        age.most.is_none() || age.lower >= time
     }
 
     /// Whether they may have been named so long ago.
@@ -75,14 +75,14 @@
     /// Whether another router's word could make the age much clearer.
     fn vague(&self, now: Duration) -> bool {
         let age = self.age(now);
-        age.most.is_none_or(|most| most.saturating_sub(age.least) > LOOSE)
+        age.most.is_none_or(|most| most.saturating_sub(age.lower) > LOOSE)
     }
 
     fn stands_for(&mut self, older: &Self, now: Duration) {
         let (own, older) = (self.age(now), older.age(now));
         let most = own.most.zip(older.most).map(|(own, older)| own.max(older));
-        let least = own.least.max(older.least);
-        *self = Self::new(self.weights, TargetAge { least, most }, now);
+        let lower = own.lower.max(older.lower);
+        *self = Self::new(self.weights, TargetAge { lower, most }, now);
     }
 
     /// Takes in what another router knows: both are right, so the narrower bound of each side holds.
@@ -92,8 +92,8 @@
             (Some(own), Some(told)) => Some(own.min(told)),
             (own, told) => own.or(told),
         };
-        let least = own.least.max(told.least);
-        *self = Self::new(self.weights, TargetAge { least, most }, now);
+        let lower = own.lower.max(told.lower);
+        *self = Self::new(self.weights, TargetAge { lower, most }, now);
     }
 }
 
@@ -168,7 +168,7 @@
     /// clears up an age that is past `bound` at least.
     pub(super) fn vague_after(&self, weights: u64, bound: Duration, now: Duration) -> bool {
         let newer = self.0.iter().filter(|named| named.weights > weights);
-        let mut young = newer.filter(|named| named.age(now).least < bound);
+        let mut young = newer.filter(|named| named.age(now).lower < bound);
         young.any(|named| named.vague(now))
     }
 
@@ -178,7 +178,7 @@
         match newer.map(|named| named.age(now)) {
             None => Behind::No,
             Some(TargetAge { most: None, .. }) => Behind::Unknown,
-            Some(TargetAge { least, .. }) => Behind::For(least),
+            Some(TargetAge { lower, .. }) => Behind::For(lower),
         }
     }
 }
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -86,7 +86,7 @@
     /// The store tells the newest weights, not those in between nor when they were named.
     fn hears(&mut self, newest: u64, now: Duration) {
         let age = TargetAge {
-            least: Duration::ZERO,
+            lower: Duration::ZERO,
             most: self.confirmed.map(|confirmed| now - confirmed),
         };
         self.fleet.set_target(&model(), newest, age, now);
@@ -96,7 +96,7 @@
     fn asks(&mut self, told: &[(ModelId, u64, TargetAge)], under_way: Duration, now: Duration) {
         for (model, weights, age) in told {
             let age = TargetAge {
-                least: age.least,
+                lower: age.lower,
                 most: age.most.map(|most| most + under_way),
             };
             self.fleet.merge_target_age(model, *weights, age, now);
@@ -226,7 +226,7 @@
         router.hears(3, now);
         let told = |(weights, least, most): &(u64, u64, Option<u64>)| {
             let (least, most) = (ms(*least), most.map(ms));
-            (model(), *weights, TargetAge { least, most })
+            (model(), *weights, TargetAge { lower: least, most })
         };
         let told: Vec<_> = case.told.iter().map(told).collect();
         router.asks(&told, ms(0), now);
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -63,7 +63,7 @@
 /// New weights are named at a time that the router saw, or before it knew of any.
 pub fn name(fleet: &mut Fleet, weights: u64, named: Option<Duration>) {
     let age = TargetAge {
-        least: Duration::ZERO,
+        lower: Duration::ZERO,
         most: named.map(|_| Duration::ZERO),
     };
     fleet.set_target(&model(), weights, age, named.unwrap_or_default());
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -419,7 +419,7 @@
                     "weights: wanted"
                 );
                 let age = TargetAge {
-                    least: Duration::ZERO,
+                    lower: Duration::ZERO,
                     most: unheard,
                 };
                 self.shared.fleet().set_target(&wanted.model, wanted.weights, age, now);
--- a/crates/gateway/src/follow/names.rs
+++ b/crates/gateway/src/follow/names.rs
@@ -39,7 +39,7 @@
     let told = |(model, weights, age): (ModelId, u64, TargetAge)| NameTold {
         model,
         weights,
-        least_ms: age.least.as_millis() as u64,
+        least_ms: age.lower.as_millis() as u64,
         most_ms: age.most.map(|most| most.as_millis() as u64),
     };
     ages.into_iter().map(told).collect()
@@ -61,7 +61,7 @@
     let mut fleet = shared.fleet();
     for name in told {
         let age = TargetAge {
-            least: Duration::from_millis(name.least_ms),
+            lower: Duration::from_millis(name.least_ms),
             most: name.most_ms.map(|most| Duration::from_millis(most) + under_way),
         };
         if fleet.merge_target_age(&name.model, name.weights, age, now) {
