--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -56,7 +56,7 @@
     }
     let age = TargetAge {
         lower: Duration::ZERO,
-        most: Some(Duration::ZERO),
+        upper: Some(Duration::ZERO),
     };
     fleet.set_target(&ModelId::from("grain"), 2, age, Duration::ZERO);
     tell(&mut fleet, endpoints);
--- a/crates/dispatch/src/fleet/names.rs
+++ b/crates/dispatch/src/fleet/names.rs
@@ -20,7 +20,7 @@
     /// At least so long ago.
     pub lower: Duration,
     /// At most so long ago; absent if this router can't tell.
-    pub most: Option<Duration>,
+    pub upper: Option<Duration>,
 }
 
 /// Something that was so old at a time, and gets older.
@@ -41,7 +41,7 @@
 pub(super) struct Named {
     pub(super) weights: u64,
     lower: Aged,
-    most: Option<Aged>,
+    upper: Option<Aged>,
 }
 
 impl Named {
@@ -50,50 +50,50 @@
         Self {
             weights,
             lower: aged(age.lower),
-            most: age.most.map(aged),
+            upper: age.upper.map(aged),
         }
     }
 
     pub(super) fn age(&self, now: Duration) -> TargetAge {
         TargetAge {
             lower: self.lower.age(now),
-            most: self.most.map(|most| most.age(now)),
+            upper: self.upper.map(|upper| upper.age(now)),
         }
     }
 
     /// Whether they were named so long ago, as far as this router can tell; what it can't tell counts as long ago.
     pub(super) fn for_longer(&self, time: Duration, now: Duration) -> bool {
         let age = self.age(now);
-        age.most.is_none() || age.lower >= time
+        age.upper.is_none() || age.lower >= time
     }
 
     /// Whether they may have been named so long ago.
     pub(super) fn maybe_for_longer(&self, time: Duration, now: Duration) -> bool {
-        self.age(now).most.is_none_or(|most| most >= time)
+        self.age(now).upper.is_none_or(|upper| upper >= time)
     }
 
     /// Whether another router's word could make the age much clearer.
     fn vague(&self, now: Duration) -> bool {
         let age = self.age(now);
-        age.most.is_none_or(|most| most.saturating_sub(age.lower) > LOOSE)
+        age.upper.is_none_or(|upper| upper.saturating_sub(age.lower) > LOOSE)
     }
 
     fn stands_for(&mut self, older: &Self, now: Duration) {
         let (own, older) = (self.age(now), older.age(now));
-        let most = own.most.zip(older.most).map(|(own, older)| own.max(older));
+        let upper = own.upper.zip(older.upper).map(|(own, older)| own.max(older));
         let lower = own.lower.max(older.lower);
-        *self = Self::new(self.weights, TargetAge { lower, most }, now);
+        *self = Self::new(self.weights, TargetAge { lower, upper }, now);
     }
 
     /// Takes in what another router knows: both are right, so the narrower bound of each side holds.
     fn narrow(&mut self, told: TargetAge, now: Duration) {
         let own = self.age(now);
-        let most = match (own.most, told.most) {
+        let upper = match (own.upper, told.upper) {
             (Some(own), Some(told)) => Some(own.min(told)),
             (own, told) => own.or(told),
         };
         let lower = own.lower.max(told.lower);
-        *self = Self::new(self.weights, TargetAge { lower, most }, now);
+        *self = Self::new(self.weights, TargetAge { lower, upper }, now);
     }
 }
 
@@ -177,7 +177,7 @@
         let newer = self.0.iter().find(|named| named.weights > weights);
         match newer.map(|named| named.age(now)) {
             None => Behind::No,
-            Some(TargetAge { most: None, .. }) => Behind::Unknown,
+            Some(TargetAge { upper: None, .. }) => Behind::Unknown,
             Some(TargetAge { lower, .. }) => Behind::For(lower),
         }
     }
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -87,7 +87,7 @@
     fn hears(&mut self, newest: u64, now: Duration) {
         let age = TargetAge {
             lower: Duration::ZERO,
-            most: self.confirmed.map(|confirmed| now - confirmed),
+            upper: self.confirmed.map(|confirmed| now - confirmed),
         };
         self.fleet.set_target(&model(), newest, age, now);
         self.confirmed = Some(now);
@@ -97,7 +97,7 @@
         for (model, weights, age) in told {
             let age = TargetAge {
                 lower: age.lower,
-                most: age.most.map(|most| most + under_way),
+                upper: age.upper.map(|most| most + under_way),
             };
             self.fleet.merge_target_age(model, *weights, age, now);
         }
@@ -226,7 +226,14 @@
         router.hears(3, now);
         let told = |(weights, least, most): &(u64, u64, Option<u64>)| {
             let (least, most) = (ms(*least), most.map(ms));
-            (model(), *weights, TargetAge { lower: least, most })
+            (
+                model(),
+                *weights,
+                TargetAge {
+                    lower: least,
+                    upper: most,
+                },
+            )
         };
         let told: Vec<_> = case.told.iter().map(told).collect();
         router.asks(&told, ms(0), now);
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -64,7 +64,7 @@
 pub fn name(fleet: &mut Fleet, weights: u64, named: Option<Duration>) {
     let age = TargetAge {
         lower: Duration::ZERO,
-        most: named.map(|_| Duration::ZERO),
+        upper: named.map(|_| Duration::ZERO),
     };
     fleet.set_target(&model(), weights, age, named.unwrap_or_default());
 }
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -420,7 +420,7 @@
                 );
                 let age = TargetAge {
                     lower: Duration::ZERO,
-                    most: unheard,
+                    upper: unheard,
                 };
                 self.shared.fleet().set_target(&wanted.model, wanted.weights, age, now);
             }
--- a/crates/gateway/src/follow/names.rs
+++ b/crates/gateway/src/follow/names.rs
@@ -40,7 +40,7 @@
         model,
         weights,
         least_ms: age.lower.as_millis() as u64,
-        most_ms: age.most.map(|most| most.as_millis() as u64),
+        most_ms: age.upper.map(|most| most.as_millis() as u64),
     };
     ages.into_iter().map(told).collect()
 }
@@ -62,14 +62,14 @@
     for name in told {
         let age = TargetAge {
             lower: Duration::from_millis(name.least_ms),
-            most: name.most_ms.map(|most| Duration::from_millis(most) + under_way),
+            upper: name.most_ms.map(|most| Duration::from_millis(most) + under_way),
         };
         if fleet.merge_target_age(&name.model, name.weights, age, now) {
             log::info!(
                 model = name.model.as_str(),
                 weights = name.weights,
                 least_ms = name.least_ms,
-                most_ms = age.most.unwrap_or_default().as_millis() as u64;
+                most_ms = age.upper.unwrap_or_default().as_millis() as u64;
                 "weights: another router told how long ago they were named"
             );
         }
