--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -19,7 +19,7 @@
 pub use engines::{Part, Prompt};
 pub use known::{LoadReport, LoadUpdate, Outcome, ShortKey};
 pub use lanes::Reads;
-pub use names::{Behind, TargetAge};
+pub use names::{Staleness, TargetAge};
 pub use rates::RateUpdate;
 
 use crate::pressure::Pressure;
@@ -435,9 +435,9 @@
     }
 
     /// How far weights of a model are behind the newest, for logs.
-    pub fn staleness(&self, model: &ModelId, weights: u64, now: Duration) -> Behind {
+    pub fn staleness(&self, model: &ModelId, weights: u64, now: Duration) -> Staleness {
         let names = self.wanted.get(model);
-        names.map_or(Behind::No, |names| names.behind(weights, now))
+        names.map_or(Staleness::No, |names| names.behind(weights, now))
     }
 
     fn life(&mut self, id: &EndpointId, incarnation: Incarnation) -> Option<&mut Known> {
--- a/crates/dispatch/src/fleet/names.rs
+++ b/crates/dispatch/src/fleet/names.rs
@@ -99,7 +99,7 @@
 
 /// How far some weights are behind the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Behind {
+pub enum Staleness {
     /// They are the newest, as far as this router knows.
     No,
     /// Newer ones have been named for this long at least.
@@ -173,12 +173,12 @@
     }
 
     /// How far `weights` are behind: the first newer ones count.
-    pub(super) fn behind(&self, weights: u64, now: Duration) -> Behind {
+    pub(super) fn behind(&self, weights: u64, now: Duration) -> Staleness {
         let newer = self.0.iter().find(|named| named.weights > weights);
         match newer.map(|named| named.age(now)) {
-            None => Behind::No,
-            Some(TargetAge { upper: None, .. }) => Behind::Unknown,
-            Some(TargetAge { lower, .. }) => Behind::For(lower),
+            None => Staleness::No,
+            Some(TargetAge { upper: None, .. }) => Staleness::Unknown,
+            Some(TargetAge { lower, .. }) => Staleness::For(lower),
         }
     }
 }
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -9,7 +9,7 @@
 use crate::link::Link;
 use crate::shared::Shared;
 use dispatch::attempt::{self, Cause, Failure, Next, Tried, Unbegun, Wait};
-use dispatch::fleet::{Behind, Choice, Outcome, PickContext, PickedEndpoint};
+use dispatch::fleet::{Choice, Outcome, PickContext, PickedEndpoint, Staleness};
 use http::raw::{Answer, ExchangeError, Headers, Source, exchange};
 use ids::EndpointId;
 use lifecycle::events::EventSplitter;
@@ -330,7 +330,7 @@
     }
 
     /// Weights that an attempt names, and how far they are behind.
-    fn behind(&self, picked: &PickedEndpoint) -> Option<(u64, Behind)> {
+    fn behind(&self, picked: &PickedEndpoint) -> Option<(u64, Staleness)> {
         let prompt = self.call.wish.prompt.as_ref()?;
         let weights = picked.weights?;
         let now = self.shared.clock.now();
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -1,7 +1,7 @@
 //! What is written down of a request: one line, and counters.
 
 use crate::shared::Shared;
-use dispatch::fleet::Behind;
+use dispatch::fleet::Staleness;
 use ids::{EndpointId, Revision, WorkspaceId};
 use std::fmt::Write;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     /// Age of that document's last confirmation.
     pub age: Option<Duration>,
     /// Weights that the last attempt named, and how far they were behind when it was sent.
-    pub weights: Option<(u64, Behind)>,
+    pub weights: Option<(u64, Staleness)>,
     /// Its prompt, if it has one.
     pub prompt: PromptNote,
     arrived: Duration,
@@ -93,7 +93,7 @@
         }
         let total = shared.clock.now().saturating_sub(self.arrived);
         shared.metrics.requests.with_label_values(&[&self.route, outcome]).inc();
-        let (weights, behind) = self.weights.map_or((0, Behind::No), |weights| weights);
+        let (weights, behind) = self.weights.map_or((0, Staleness::No), |weights| weights);
         log::info!(
             id = self.id.as_str(),
             route = self.route.as_str(),
@@ -117,10 +117,10 @@
 }
 
 /// How far weights are behind, in a log line: -1 stands for an unknown time.
-fn behind_ms(behind: Behind) -> i64 {
+fn behind_ms(behind: Staleness) -> i64 {
     match behind {
-        Behind::No => 0,
-        Behind::For(time) => time.as_millis() as i64,
-        Behind::Unknown => -1,
+        Staleness::No => 0,
+        Staleness::For(time) => time.as_millis() as i64,
+        Staleness::Unknown => -1,
     }
 }
