--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -437,7 +437,7 @@
     /// How far weights of a model are behind the newest, for logs.
     pub fn staleness(&self, model: &ModelId, weights: u64, now: Duration) -> Staleness {
         let names = self.wanted.get(model);
-        names.map_or(Staleness::No, |names| names.behind(weights, now))
+        names.map_or(Staleness::Current, |names| names.behind(weights, now))
     }
 
     fn life(&mut self, id: &EndpointId, incarnation: Incarnation) -> Option<&mut Known> {
--- a/crates/dispatch/src/fleet/names.rs
+++ b/crates/dispatch/src/fleet/names.rs
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Staleness {
     /// They are the newest, as far as this router knows.
-    No,
+    Current,
     /// Newer ones have been named for this long at least.
     For(Duration),
     /// Newer ones have been named, and this router doesn't know since when.
@@ -176,7 +176,7 @@
     pub(super) fn behind(&self, weights: u64, now: Duration) -> Staleness {
         let newer = self.0.iter().find(|named| named.weights > weights);
         match newer.map(|named| named.age(now)) {
-            None => Staleness::No,
+            None => Staleness::Current,
             Some(TargetAge { upper: None, .. }) => Staleness::Unknown,
             Some(TargetAge { lower, .. }) => Staleness::For(lower),
         }
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -93,7 +93,7 @@
         }
         let total = shared.clock.now().saturating_sub(self.arrived);
         shared.metrics.requests.with_label_values(&[&self.route, outcome]).inc();
-        let (weights, behind) = self.weights.map_or((0, Staleness::No), |weights| weights);
+        let (weights, behind) = self.weights.map_or((0, Staleness::Current), |weights| weights);
         log::info!(
             id = self.id.as_str(),
             route = self.route.as_str(),
@@ -119,7 +119,7 @@
 /// How far weights are behind, in a log line: -1 stands for an unknown time.
 fn behind_ms(behind: Staleness) -> i64 {
     match behind {
-        Staleness::No => 0,
+        Staleness::Current => 0,
         Staleness::For(time) => time.as_millis() as i64,
         Staleness::Unknown => -1,
     }
