--- a/crates/dispatch/src/fleet/names.rs
+++ b/crates/dispatch/src/fleet/names.rs
@@ -103,7 +103,7 @@
     /// They are the newest, as far as this router knows.
     Current,
     /// Newer ones have been named for this long at least.
-    For(Duration),
+    Stale(Duration),
     /// Newer ones have been named, and this router doesn't know since when.
     Unknown,
 }
@@ -178,7 +178,7 @@
         match newer.map(|named| named.age(now)) {
             None => Staleness::Current,
             Some(TargetAge { upper: None, .. }) => Staleness::Unknown,
-            Some(TargetAge { lower, .. }) => Staleness::For(lower),
+            Some(TargetAge { lower, .. }) => Staleness::Stale(lower),
         }
     }
 }
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -120,7 +120,7 @@
 fn behind_ms(behind: Staleness) -> i64 {
     match behind {
         Staleness::Current => 0,
-        Staleness::For(time) => time.as_millis() as i64,
+        Staleness::Stale(time) => time.as_millis() as i64,
         Staleness::Unknown => -1,
     }
 }
