--- a/crates/dispatch/src/fleet/backlogs.rs
+++ b/crates/dispatch/src/fleet/backlogs.rs
@@ -4,7 +4,7 @@
 //! endpoint that reads for a second answers nobody: to each router it looks idle, and all send their next request there. So routers
 //! tell each other what they wait for. What a router told last holds for [`HOLDS`], since one that is lost takes nothing back.
 
-use super::{Reads, ShortKey};
+use super::{LaneTokens, ShortKey};
 use ids::{ServiceId, VmId};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -24,14 +24,14 @@
     /// Endpoints that requests wait for, and how many prompt tokens.
     pub tokens: Vec<(ShortKey, u64)>,
     /// What was read lately of each service.
-    pub reads: Vec<(ServiceId, Reads)>,
+    pub reads: Vec<(ServiceId, LaneTokens)>,
 }
 
 #[derive(Debug)]
 struct Told {
     at: Duration,
     tokens: Vec<(ShortKey, u64)>,
-    reads: Vec<(ServiceId, Reads)>,
+    reads: Vec<(ServiceId, LaneTokens)>,
 }
 
 /// What all other routers told last.
@@ -57,8 +57,8 @@
     }
 
     /// What other routers' requests have had read lately of a service.
-    pub(super) fn reads(&self, service: &ServiceId) -> Reads {
-        let mut sum = Reads::default();
+    pub(super) fn reads(&self, service: &ServiceId) -> LaneTokens {
+        let mut sum = LaneTokens::default();
         let told = self.told.values().flat_map(|told| &told.reads);
         for (_, reads) in told.filter(|(known, _)| known == service) {
             sum.add(reads);
--- a/crates/dispatch/src/fleet/lanes.rs
+++ b/crates/dispatch/src/fleet/lanes.rs
@@ -17,7 +17,7 @@
 /// Level of the hash that ranks endpoints for the lane of long answers.
 const LEVEL: u64 = 0x1a9e;
 /// What is assumed besides of a service of which little was seen.
-const ASSUMED: Reads = Reads {
+const ASSUMED: LaneTokens = LaneTokens {
     reading: 40_000.0,
     generating: 20_000.0,
 };
@@ -40,7 +40,7 @@
 
 /// Prompt tokens that were read lately for requests of each lane.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Reads {
+pub struct LaneTokens {
     /// Of long prompts.
     pub reading: f64,
     /// Before long answers.
@@ -50,7 +50,7 @@
 /// What this router's requests have had read, with less weight the longer ago.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Fading {
-    reads: Reads,
+    reads: LaneTokens,
     at: Duration,
 }
 
@@ -67,16 +67,16 @@
         *lane += tokens as f64;
     }
 
-    pub(super) fn reads(&self, now: Duration) -> Reads {
+    pub(super) fn reads(&self, now: Duration) -> LaneTokens {
         let left = fade::left(now.saturating_sub(self.at), HALF);
-        Reads {
+        LaneTokens {
             reading: self.reads.reading * left,
             generating: self.reads.generating * left,
         }
     }
 }
 
-impl Reads {
+impl LaneTokens {
     pub(super) fn add(&mut self, other: &Self) {
         self.reading += other.reading;
         self.generating += other.generating;
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -18,7 +18,7 @@
 pub use backlogs::Backlog;
 pub use engines::{Part, Prompt};
 pub use known::{LoadReport, LoadUpdate, Outcome, ShortKey};
-pub use lanes::Reads;
+pub use lanes::LaneTokens;
 pub use names::{Staleness, TargetAge};
 pub use rates::RateUpdate;
 
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -8,7 +8,7 @@
 use crate::service::PeerError;
 use crate::socket::{self, Traffic};
 use async_std::net::{TcpListener, TcpStream};
-use dispatch::fleet::{Reads, ShortKey};
+use dispatch::fleet::{LaneTokens, ShortKey};
 use dispatch::prefixes::PartKey;
 use futures::StreamExt;
 use futures::future::BoxFuture;
@@ -145,7 +145,7 @@
     /// Endpoints with a backlog, and its prompt tokens.
     pub backlogs: Vec<(ShortKey, u64)>,
     /// What the router's requests have had read lately, of each service.
-    pub reads: Vec<(ServiceId, Reads)>,
+    pub reads: Vec<(ServiceId, LaneTokens)>,
     /// Rates that endpoints named lately.
     #[serde(default)]
     pub rates: Vec<RateTold>,
