--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -72,7 +72,7 @@
         });
         let backlog = Backlog {
             tokens: waits.collect(),
-            reads: Vec::new(),
+            lane_tokens: Vec::new(),
         };
         fleet.update_backlog(&VmId::from(format!("vm-{router}")), &backlog, BEGIN);
     }
--- a/crates/dispatch/src/fleet/backlogs.rs
+++ b/crates/dispatch/src/fleet/backlogs.rs
@@ -24,7 +24,7 @@
     /// Endpoints that requests wait for, and how many prompt tokens.
     pub tokens: Vec<(ShortKey, u64)>,
     /// What was read lately of each service.
-    pub reads: Vec<(ServiceId, LaneTokens)>,
+    pub lane_tokens: Vec<(ServiceId, LaneTokens)>,
 }
 
 #[derive(Debug)]
@@ -51,7 +51,7 @@
         let told = Told {
             at: now,
             tokens: news.tokens.clone(),
-            reads: news.reads.clone(),
+            reads: news.lane_tokens.clone(),
         };
         self.told.insert(router.clone(), told);
     }
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -308,7 +308,7 @@
             tokens: known
                 .map(|known| (ShortKey::from(known.key), known.prefill()))
                 .collect(),
-            reads: reads
+            lane_tokens: reads
                 .map(|(service, lanes)| (service.clone(), lanes.reads(now)))
                 .collect(),
         }
--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -54,7 +54,7 @@
             let news = BacklogTold {
                 router: router.clone(),
                 backlogs: backlog.tokens.clone(),
-                reads: backlog.reads.clone(),
+                reads: backlog.lane_tokens.clone(),
                 rates: rates.clone(),
             };
             // Only the newest word counts; a receiver that is gone is replaced with the next look.
@@ -104,7 +104,7 @@
     let now = shared.clock.now();
     let backlog = Backlog {
         tokens: told.backlogs.clone(),
-        reads: told.reads.clone(),
+        lane_tokens: told.reads.clone(),
     };
     // Taken for as old as it can be: news that comes back must not count as newer than what it repeats.
     let rate = |RateTold(endpoint, rate, age): &RateTold| RateUpdate {
