--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -1,6 +1,6 @@
 //! Time of one choice of an engine, by the size of the pool: `cargo run --release -p dispatch --example choice_cost`.
 
-use dispatch::fleet::{Backlog, Choice, Fleet, FleetSettings, Part, PickContext, Prompt, ShortKey, TargetAge};
+use dispatch::fleet::{Backlog, Choice, Fleet, FleetSettings, PickContext, Prompt, PromptPart, ShortKey, TargetAge};
 use dispatch::retries::RetryLimits;
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, ModelId, ServiceId, VmId};
@@ -79,7 +79,7 @@
 }
 
 fn choose(fleet: &mut Fleet, number: u64) -> Duration {
-    let part = |id, tokens| Part { id, tokens };
+    let part = |id, tokens| PromptPart { id, tokens };
     let prompt = Prompt {
         model: ModelId::from("grain"),
         parts: vec![
--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -39,7 +39,7 @@
 
 /// A part of a prompt that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Stands for its text.
     pub id: u64,
     /// Its length.
@@ -52,7 +52,7 @@
     /// The model.
     pub model: ModelId,
     /// Parts in order; the last one is the request's own.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
     /// Prompt tokens in all.
     pub tokens: u64,
     /// Most tokens that are generated.
@@ -61,7 +61,7 @@
 
 impl Prompt {
     /// Parts that other requests may share: all but the last.
-    pub fn shared(&self) -> &[Part] {
+    pub fn shared(&self) -> &[PromptPart] {
         let last = self.parts.len().saturating_sub(1);
         &self.parts[..last]
     }
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -16,7 +16,7 @@
 mod rates;
 
 pub use backlogs::Backlog;
-pub use engines::{Part, Prompt};
+pub use engines::{Prompt, PromptPart};
 pub use known::{LoadReport, LoadUpdate, Outcome, ShortKey};
 pub use lanes::LaneTokens;
 pub use names::{Staleness, TargetAge};
--- a/crates/dispatch/src/prefixes.rs
+++ b/crates/dispatch/src/prefixes.rs
@@ -10,7 +10,7 @@
 //! Events come late and with gaps, and latest to routers that hear of them by others. An engine is always told to ask the place
 //! of its prefix: a vain question costs it a millisecond, reading 6,000 tokens again 75. Events only say what need not be sent.
 
-use crate::fleet::Part;
+use crate::fleet::PromptPart;
 use ids::WorkspaceId;
 use placement::{EndpointKey, score};
 use serde::{Deserialize, Serialize};
@@ -122,7 +122,7 @@
         &mut self,
         salt: &str,
         isolated: Option<&WorkspaceId>,
-        shared: &[Part],
+        shared: &[PromptPart],
         own: u64,
         now: Duration,
     ) -> Transfers {
@@ -186,7 +186,7 @@
     }
 
     /// What to tell the engine that gets a prompt of these shared parts.
-    pub fn transfers(&mut self, salt: &str, shared: &[Part], own: u64, now: Duration) -> Transfers {
+    pub fn transfers(&mut self, salt: &str, shared: &[PromptPart], own: u64, now: Duration) -> Transfers {
         if !self.alive(now) || shared.is_empty() {
             return Transfers::default();
         }
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dispatch::fleet::{Fleet, LoadReport, Outcome, Part, Prompt};
+use dispatch::fleet::{Fleet, LoadReport, Outcome, Prompt, PromptPart};
 use ids::{EndpointId, Incarnation};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -225,12 +225,12 @@
     for session in 0..50 {
         let short = Prompt {
             parts: vec![
-                Part { id: 1, tokens: 119 },
-                Part {
+                PromptPart { id: 1, tokens: 119 },
+                PromptPart {
                     id: session,
                     tokens: 79,
                 },
-                Part { id: 9, tokens: 628 },
+                PromptPart { id: 9, tokens: 628 },
             ],
             tokens: 826,
             output: 73,
--- a/crates/dispatch/tests/fleet_weights.rs
+++ b/crates/dispatch/tests/fleet_weights.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dispatch::fleet::{Fleet, LoadReport, Outcome, Part, Prompt};
+use dispatch::fleet::{Fleet, LoadReport, Outcome, Prompt, PromptPart};
 use ids::{EndpointId, Incarnation};
 use std::collections::BTreeSet;
 use support::fleet::{at, model, name, pool, prompt, send};
@@ -76,11 +76,11 @@
 fn long_answers_keep_away_from_endpoints_that_load_soon() {
     let long = |session| Prompt {
         parts: vec![
-            Part {
+            PromptPart {
                 id: session,
                 tokens: 512,
             },
-            Part { id: 8, tokens: 314 },
+            PromptPart { id: 8, tokens: 314 },
         ],
         tokens: 826,
         output: 290,
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -1,6 +1,6 @@
 //! How long ago weights were named, as far as routers can tell that start, freeze and ask each other.
 
-use dispatch::fleet::{Choice, Fleet, FleetSettings, Part, PickContext, Prompt, TargetAge};
+use dispatch::fleet::{Choice, Fleet, FleetSettings, PickContext, Prompt, PromptPart, TargetAge};
 use dispatch::retries::RetryLimits;
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, ModelId, ServiceId};
@@ -53,7 +53,7 @@
     fleet.upsert_endpoint(&Arc::new(entry(weights)), now);
     let prompt = Prompt {
         model: model(),
-        parts: vec![Part { id: 1, tokens: 100 }],
+        parts: vec![PromptPart { id: 1, tokens: 100 }],
         tokens: 100,
         output: 10,
     };
--- a/crates/dispatch/tests/prefixes.rs
+++ b/crates/dispatch/tests/prefixes.rs
@@ -1,12 +1,12 @@
 //! What engines are told to exchange with the store of cached prefixes.
 
-use dispatch::fleet::Part;
+use dispatch::fleet::PromptPart;
 use dispatch::prefixes::{PartKey, PrefixEvent, PrefixEvents, PrefixStore, PrefixStores, Transfers};
 use ids::WorkspaceId;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const SHARED: [Part; 2] = [Part { id: 1, tokens: 2_520 }, Part { id: 2, tokens: 3_780 }];
+const SHARED: [PromptPart; 2] = [PromptPart { id: 1, tokens: 2_520 }, PromptPart { id: 2, tokens: 3_780 }];
 /// Tokens of the part that no other request has.
 const OWN: u64 = 100;
 
@@ -160,7 +160,7 @@
 
 /// Where each of a hundred sessions' prefixes is kept.
 fn places(stores: &mut PrefixStores, now: u64) -> Vec<Option<SocketAddr>> {
-    let session = |id| [SHARED[0], Part { id, tokens: 3_780 }];
+    let session = |id| [SHARED[0], PromptPart { id, tokens: 3_780 }];
     let place = |id| stores.transfers("3", None, &session(id), OWN, at(now)).fetch;
     (100..200).map(place).collect()
 }
@@ -227,7 +227,7 @@
     let mut used = std::collections::BTreeSet::new();
     for workspace in ["paper", "wheat", "bags", "rice", "ink", "glue"].map(WorkspaceId::from) {
         let salt = format!("3/{workspace}");
-        let session = |id| [SHARED[0], Part { id, tokens: 3_780 }];
+        let session = |id| [SHARED[0], PromptPart { id, tokens: 3_780 }];
         let place = |id| {
             stores
                 .transfers(&salt, Some(&workspace), &session(id), OWN, at(10))
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -1,7 +1,7 @@
 //! Routers that send long and short prompts to engines, simulated without I/O in steps of a millisecond.
 
 use super::fleet::{at, fleet, model, service};
-use dispatch::fleet::{Choice, Fleet, LoadReport, Outcome, Part, PickContext, PickedEndpoint, Prompt};
+use dispatch::fleet::{Choice, Fleet, LoadReport, Outcome, PickContext, PickedEndpoint, Prompt, PromptPart};
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, VmId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -263,7 +263,7 @@
 }
 
 fn prompt(subject: u64, outer: u64, inner: u64, own: u64, output: u64) -> Prompt {
-    let part = |id, tokens| Part { id, tokens };
+    let part = |id, tokens| PromptPart { id, tokens };
     Prompt {
         model: model(),
         parts: vec![
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of endpoints, and where its requests go.
 
-use dispatch::fleet::{Choice, Fleet, FleetSettings, Part, PickContext, Prompt, TargetAge};
+use dispatch::fleet::{Choice, Fleet, FleetSettings, PickContext, Prompt, PromptPart, TargetAge};
 use dispatch::retries::RetryLimits;
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, ModelId, ServiceId};
@@ -73,12 +73,12 @@
     Prompt {
         model: model(),
         parts: vec![
-            Part { id: 1, tokens: 2_520 },
-            Part {
+            PromptPart { id: 1, tokens: 2_520 },
+            PromptPart {
                 id: session,
                 tokens: 3_780,
             },
-            Part { id: own, tokens: 2_890 },
+            PromptPart { id: own, tokens: 2_890 },
         ],
         tokens: 9_190,
         output: 10,
