--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -88,7 +88,7 @@
             part(10_000 + number, 2_890),
         ],
         tokens: 9_190,
-        output: 50,
+        max_output: 50,
     };
     let service = ServiceId::from("pool");
     let wish = PickContext {
--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -56,7 +56,7 @@
     /// Prompt tokens in all.
     pub tokens: u64,
     /// Most tokens that are generated.
-    pub output: u64,
+    pub max_output: u64,
 }
 
 impl Prompt {
@@ -68,7 +68,7 @@
 
     /// Whether an engine spends more time on the answer than on reading the prompt.
     pub fn mostly_generates(&self) -> bool {
-        self.output * GENERATED_TOKENS > self.tokens
+        self.max_output * GENERATED_TOKENS > self.tokens
     }
 
     /// A number from 0 to 1 that is drawn for the innermost shared prefix, the same at every router, so that its requests stay
--- a/crates/dispatch/tests/crowd.rs
+++ b/crates/dispatch/tests/crowd.rs
@@ -92,7 +92,7 @@
     let mut fleet = fleet(&entries.collect::<Vec<_>>());
     for session in 0..200 {
         let long = Prompt {
-            output: 600,
+            max_output: 600,
             ..prompt(session, 8)
         };
         used.extend(send(&mut fleet, Some(&long), &[], session, at(session)));
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -233,7 +233,7 @@
                 PromptPart { id: 9, tokens: 628 },
             ],
             tokens: 826,
-            output: 73,
+            max_output: 73,
             ..prompt(session, 9)
         };
         let mut used = BTreeSet::new();
--- a/crates/dispatch/tests/fleet_weights.rs
+++ b/crates/dispatch/tests/fleet_weights.rs
@@ -83,7 +83,7 @@
             PromptPart { id: 8, tokens: 314 },
         ],
         tokens: 826,
-        output: 290,
+        max_output: 290,
         ..prompt(session, 8)
     };
     let short = |session| prompt(session, 8);
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -55,7 +55,7 @@
         model: model(),
         parts: vec![PromptPart { id: 1, tokens: 100 }],
         tokens: 100,
-        output: 10,
+        max_output: 10,
     };
     let wish = PickContext {
         service: &ServiceId::from("s"),
--- a/crates/dispatch/tests/rollout.rs
+++ b/crates/dispatch/tests/rollout.rs
@@ -260,7 +260,7 @@
     let mut load = fleet(&(0..9).map(entry).collect::<Vec<_>>());
     let answers = (0..200).filter_map(|session| {
         let long = Prompt {
-            output: 600,
+            max_output: 600,
             ..prompt(session, 8)
         };
         let name = send(&mut load, Some(&long), &[], session, at(0))?;
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -91,7 +91,7 @@
             return None;
         }
         let mut request = self.waiting.remove(0);
-        request.ends = Some(now + request.prompt.output * TOKEN);
+        request.ends = Some(now + request.prompt.max_output * TOKEN);
         self.running.push(request);
         Some(self.running.len() - 1)
     }
@@ -272,6 +272,6 @@
             part(2_000_000, own),
         ],
         tokens: outer + inner + own,
-        output,
+        max_output: output,
     }
 }
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -81,7 +81,7 @@
             PromptPart { id: own, tokens: 2_890 },
         ],
         tokens: 9_190,
-        output: 10,
+        max_output: 10,
     }
 }
 
