--- a/crates/dispatch/src/fleet/candidates.rs
+++ b/crates/dispatch/src/fleet/candidates.rs
@@ -57,7 +57,7 @@
         let mut reads = own.map(|own| own.reads(now)).unwrap_or_default();
         reads.add(&self.others.reads(wish.service));
         let lane = reads.lane(all, |known| self.coming.contains(&known.entry.id));
-        let generates = prompt.mostly_generates();
+        let generates = prompt.is_decode_heavy();
         move |known| !lane.is_empty() && lane.contains(&known.key) != generates
     }
 
@@ -88,7 +88,7 @@
     /// Leaves out endpoints that load soon, unless there are no others: an endpoint finishes what it runs before it loads, and
     /// serves nobody else while its last long answers are generated, for some seconds.
     fn staying(&self, open: &mut Vec<&Known>, prompt: &Prompt) {
-        if prompt.mostly_generates() {
+        if prompt.is_decode_heavy() {
             prefer(open, |known| !self.coming.contains(&known.entry.id));
         }
     }
--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether an engine spends more time on the answer than on reading the prompt.
-    pub fn mostly_generates(&self) -> bool {
+    pub fn is_decode_heavy(&self) -> bool {
         self.max_output * GENERATED_TOKENS > self.tokens
     }
 
--- a/crates/dispatch/src/fleet/lanes.rs
+++ b/crates/dispatch/src/fleet/lanes.rs
@@ -59,7 +59,7 @@
     pub(super) fn count(&mut self, prompt: &Prompt, tokens: u64, now: Duration) {
         self.reads = self.reads(now);
         self.at = now;
-        let lane = if prompt.mostly_generates() {
+        let lane = if prompt.is_decode_heavy() {
             &mut self.reads.generating
         } else {
             &mut self.reads.reading
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -219,7 +219,7 @@
                 let running = engine.running.len() as u32;
                 let request = &engine.running[read];
                 let waited = now - request.sent;
-                let chat = request.prompt.mostly_generates();
+                let chat = request.prompt.is_decode_heavy();
                 self.served.late_chats += usize::from(chat && waited > 400);
                 self.served.late_verdicts += usize::from(!chat && waited > 600);
                 let fleet = &mut self.fleets[request.router];
@@ -232,7 +232,7 @@
                 .running
                 .extract_if(.., |request| request.ends.is_some_and(|at| now >= at))
             {
-                let chat = ended.prompt.mostly_generates();
+                let chat = ended.prompt.is_decode_heavy();
                 self.served.chats += usize::from(chat);
                 self.served.verdicts += usize::from(!chat);
                 self.served.paused_chats += usize::from(chat && ended.paused);
