--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -8,7 +8,7 @@
 /// Pause after an order: no load at the sites is faster.
 const FASTEST_LOAD: Duration = Duration::from_millis(600);
 /// Longest wait for the answer to an order. A sound endpoint answers within a few ms, or 200 ms more if a packet is lost.
-pub const ANSWER: Duration = Duration::from_millis(300);
+pub const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Orders in a row that are repeated at once: with half of them unanswered, seven in eight endpoints have answered by then.
 const AT_ONCE: u32 = 2;
@@ -21,7 +21,7 @@
     let Some(more) = silent.checked_sub(AT_ONCE + 1) else {
         return Duration::ZERO;
     };
-    (ANSWER * 2_u32.saturating_pow(more)).min(REPEAT_MOST)
+    (ORDER_TIMEOUT * 2_u32.saturating_pow(more)).min(REPEAT_MOST)
 }
 
 /// What is to be done.
--- a/crates/dispatch/tests/loading.rs
+++ b/crates/dispatch/tests/loading.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use dispatch::holder::TIMES;
-use dispatch::loading::{ANSWER, Loading, Next, OrderOutcome};
+use dispatch::loading::{Loading, Next, ORDER_TIMEOUT, OrderOutcome};
 use dispatch::rollout::{Ordered, Report};
 use std::time::Duration;
 use support::pool::{BOUND, Pool, Trouble};
@@ -211,7 +211,7 @@
                 weights: 2,
                 at: now,
             };
-            now += ANSWER;
+            now += ORDER_TIMEOUT;
             next = loading.answered(sent, OrderOutcome::Unanswered);
         }
         let Next::Look(pause) = next else {
--- a/crates/dispatch/tests/support/pool.rs
+++ b/crates/dispatch/tests/support/pool.rs
@@ -1,7 +1,7 @@
 //! A pool of engines whose weights a holder renews, simulated without I/O in steps of 10 ms.
 
 use dispatch::holder::{TURN_SLACK, Turns, listed};
-use dispatch::loading::{ANSWER, Loading, Next, OrderOutcome};
+use dispatch::loading::{Loading, Next, ORDER_TIMEOUT, OrderOutcome};
 use dispatch::rollout::{Ordered, Report, Runner, next_loads};
 use ids::EndpointId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -285,7 +285,7 @@
             let (every, later) = self.trouble.late;
             if every > 0 && self.orders.is_multiple_of(every) {
                 engine.late.push((now + later, order));
-                part.look = now + ANSWER.as_millis() as u64;
+                part.look = now + ORDER_TIMEOUT.as_millis() as u64;
                 part.waits = Some((now, sent));
                 return;
             }
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -9,7 +9,7 @@
 use async_std::task;
 use dispatch::fleet::Outcome;
 use dispatch::holder::{Holder, listed};
-use dispatch::loading::{ANSWER, Loading, Next, OrderOutcome};
+use dispatch::loading::{Loading, Next, ORDER_TIMEOUT, OrderOutcome};
 use dispatch::rollout::{Ordered, Report};
 use dispatch::site::EndpointEntry;
 use http::raw::{ExchangeError, Headers};
@@ -166,7 +166,7 @@
             fence,
         };
         let (call, headers) = (self.shared.dialect.order)(&order);
-        let answer = ask(self.entry.address, &call, &headers, ANSWER).await;
+        let answer = ask(self.entry.address, &call, &headers, ORDER_TIMEOUT).await;
         let outcome = match &answer {
             Ok((status, _)) => match (self.shared.dialect.ordered)(*status) {
                 OrderAnswer::Accepted | OrderAnswer::Holds => OrderOutcome::Taken,
