--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
     /// Ask for a report after a pause.
-    Look(Duration),
+    Poll(Duration),
     /// Order the newest weights, once the list of those that load is young; see [`crate::holder::listed`].
     Order {
         /// Count of orders that the order expects.
@@ -73,20 +73,20 @@
             return if gives_up(self.misses) {
                 Next::Stop
             } else {
-                Next::Look(LOOK)
+                Next::Poll(LOOK)
             };
         };
         self.misses = 0;
         match load_step(&report, wanted, self.ordered, now) {
             LoadStep::Done => report.weights.map_or(Next::Stop, Next::Done),
-            LoadStep::Wait => Next::Look(LOOK),
+            LoadStep::Wait => Next::Poll(LOOK),
             LoadStep::Order { expected } => Next::Order { expected },
         }
     }
 
     /// An order could not be given, since the list could not be written.
     pub fn unlisted(&self) -> Next {
-        Next::Look(LOOK)
+        Next::Poll(LOOK)
     }
 
     /// What came of an order that was sent at `sent.at`.
@@ -101,17 +101,17 @@
                 self.ordered = Some(sent);
                 self.unanswered = None;
                 self.silent = 0;
-                Next::Look(FASTEST_LOAD + LOOK)
+                Next::Poll(FASTEST_LOAD + LOOK)
             }
             OrderOutcome::Unanswered => {
                 self.unanswered = self.unanswered.or(Some(sent));
                 self.silent += 1;
-                Next::Look(repeat_pause(self.silent))
+                Next::Poll(repeat_pause(self.silent))
             }
             // The first one was taken, though its answer was lost: only what is reported from now on tells of it.
             OrderOutcome::Conflict => {
                 self.ordered = self.unanswered.take().map(|first| Ordered { at: sent.at, ..first });
-                Next::Look(FASTEST_LOAD + LOOK)
+                Next::Poll(FASTEST_LOAD + LOOK)
             }
         }
     }
--- a/crates/dispatch/tests/loading.rs
+++ b/crates/dispatch/tests/loading.rs
@@ -214,7 +214,7 @@
             now += ORDER_TIMEOUT;
             next = loading.answered(sent, OrderOutcome::Unanswered);
         }
-        let Next::Look(pause) = next else {
+        let Next::Poll(pause) = next else {
             panic!("{next:?}");
         };
         now += pause.max(Duration::from_millis(1));
--- a/crates/dispatch/tests/support/pool.rs
+++ b/crates/dispatch/tests/support/pool.rs
@@ -292,7 +292,7 @@
             next = part.loading.answered(sent, engine.take(order));
         }
         match next {
-            Next::Look(pause) => part.look = now + pause.as_millis() as u64,
+            Next::Poll(pause) => part.look = now + pause.as_millis() as u64,
             Next::Done(_) | Next::Stop => {
                 self.parts.remove(id);
                 self.ended.insert(id.clone(), now);
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -105,7 +105,7 @@
             match next {
                 Next::Done(weights) => return Some(weights),
                 Next::Stop => return None,
-                Next::Look(pause) => task::sleep(pause).await,
+                Next::Poll(pause) => task::sleep(pause).await,
                 Next::Order { .. } => {}
             }
         }
