--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// It is being carried out, or what it asks for holds.
-    Taken,
+    Accepted,
     /// No answer came: it may have been taken, or may be carried out seconds later.
     Unanswered,
     /// Another order is in progress or came first, or the order never left.
@@ -97,7 +97,7 @@
     pub fn answered(&mut self, sent: Ordered, outcome: OrderOutcome) -> Next {
         match outcome {
             OrderOutcome::Refused => Next::Stop,
-            OrderOutcome::Taken => {
+            OrderOutcome::Accepted => {
                 self.ordered = Some(sent);
                 self.unanswered = None;
                 self.silent = 0;
--- a/crates/dispatch/tests/support/pool.rs
+++ b/crates/dispatch/tests/support/pool.rs
@@ -68,7 +68,7 @@
         }
         self.orders += 1;
         self.load = Some((order.weights, LOAD * 10));
-        OrderOutcome::Taken
+        OrderOutcome::Accepted
     }
 
     fn loads(&self, now: u64) -> bool {
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -169,7 +169,7 @@
         let answer = ask(self.entry.address, &call, &headers, ORDER_TIMEOUT).await;
         let outcome = match &answer {
             Ok((status, _)) => match (self.shared.dialect.ordered)(*status) {
-                OrderAnswer::Accepted | OrderAnswer::Holds => OrderOutcome::Taken,
+                OrderAnswer::Accepted | OrderAnswer::Holds => OrderOutcome::Accepted,
                 OrderAnswer::Conflict => OrderOutcome::Conflict,
                 // Another endpoint has the address by now, or this one will never take the order.
                 OrderAnswer::Refused => OrderOutcome::Refused,
@@ -196,7 +196,7 @@
 
 fn name(outcome: OrderOutcome) -> &'static str {
     match outcome {
-        OrderOutcome::Taken => "taken",
+        OrderOutcome::Accepted => "taken",
         OrderOutcome::Unanswered => "unanswered",
         OrderOutcome::Conflict => "conflict",
         OrderOutcome::Refused => "refused",
