--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -50,7 +50,7 @@
     /// Another order is in progress or came first, or the order never left.
     Conflict,
     /// Refused for good.
-    Refused,
+    Rejected,
 }
 
 /// One endpoint that is to load.
@@ -96,7 +96,7 @@
     /// doesn't stay unused for seconds.
     pub fn answered(&mut self, sent: Ordered, outcome: OrderOutcome) -> Next {
         match outcome {
-            OrderOutcome::Refused => Next::Stop,
+            OrderOutcome::Rejected => Next::Stop,
             OrderOutcome::Accepted => {
                 self.ordered = Some(sent);
                 self.unanswered = None;
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -172,7 +172,7 @@
                 OrderAnswer::Accepted | OrderAnswer::Holds => OrderOutcome::Accepted,
                 OrderAnswer::Conflict => OrderOutcome::Conflict,
                 // Another endpoint has the address by now, or this one will never take the order.
-                OrderAnswer::Refused => OrderOutcome::Refused,
+                OrderAnswer::Refused => OrderOutcome::Rejected,
             },
             Err(ExchangeError::NotSent) => OrderOutcome::Conflict,
             Err(_) => OrderOutcome::Unanswered,
@@ -199,7 +199,7 @@
         OrderOutcome::Accepted => "taken",
         OrderOutcome::Unanswered => "unanswered",
         OrderOutcome::Conflict => "conflict",
-        OrderOutcome::Refused => "refused",
+        OrderOutcome::Rejected => "refused",
     }
 }
 
