--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -67,7 +67,7 @@
 
 impl Loading {
     /// A report has come, or could not be had.
-    pub fn looked(&mut self, report: Option<Report>, wanted: u64, now: Duration) -> Next {
+    pub fn on_report(&mut self, report: Option<Report>, wanted: u64, now: Duration) -> Next {
         let Some(report) = report else {
             self.misses += 1;
             return if gives_up(self.misses) {
--- a/crates/dispatch/tests/loading.rs
+++ b/crates/dispatch/tests/loading.rs
@@ -203,7 +203,7 @@
         orders: 0,
     };
     while now < limit {
-        let mut next = loading.looked(Some(report), 2, now);
+        let mut next = loading.on_report(Some(report), 2, now);
         if let Next::Order { expected } = next {
             orders += 1;
             let sent = Ordered {
--- a/crates/dispatch/tests/support/pool.rs
+++ b/crates/dispatch/tests/support/pool.rs
@@ -262,7 +262,7 @@
         }
         let mut next = match part.waits.take() {
             Some((_, sent)) => part.loading.answered(sent, OrderOutcome::Unanswered),
-            None => part.loading.looked(Some(engine.report(now)), wanted, at),
+            None => part.loading.on_report(Some(engine.report(now)), wanted, at),
         };
         if let Next::Order { expected } = next {
             if !fresh {
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -93,7 +93,7 @@
             let wanted = self.wanted()?;
             self.may_order()?;
             let report = self.report(&mut line).await;
-            let mut next = loading.looked(report, wanted, self.shared.clock.now());
+            let mut next = loading.on_report(report, wanted, self.shared.clock.now());
             if let Next::Order { expected } = next {
                 next = if self.is_listed().await {
                     let (sent, outcome) = self.order(wanted, expected).await?;
