--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -85,7 +85,7 @@
     }
 
     /// An order could not be given, since the list could not be written.
-    pub fn unlisted(&self) -> Next {
+    pub fn on_list_failure(&self) -> Next {
         Next::Poll(LOOK)
     }
 
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -99,7 +99,7 @@
                     let (sent, outcome) = self.order(wanted, expected).await?;
                     loading.answered(sent, outcome)
                 } else {
-                    loading.unlisted()
+                    loading.on_list_failure()
                 };
             }
             match next {
