--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -94,7 +94,7 @@
     /// Load pattern: half of the orders get no answer and are carried out seconds later, while every endpoint still has to load.
     /// Such an order is repeated at once: both expect the same count, so only one of the two takes effect, and the place of a load
     /// doesn't stay unused for seconds.
-    pub fn answered(&mut self, sent: Ordered, outcome: OrderOutcome) -> Next {
+    pub fn on_outcome(&mut self, sent: Ordered, outcome: OrderOutcome) -> Next {
         match outcome {
             OrderOutcome::Rejected => Next::Stop,
             OrderOutcome::Accepted => {
--- a/crates/dispatch/tests/loading.rs
+++ b/crates/dispatch/tests/loading.rs
@@ -212,7 +212,7 @@
                 at: now,
             };
             now += ORDER_TIMEOUT;
-            next = loading.answered(sent, OrderOutcome::Unanswered);
+            next = loading.on_outcome(sent, OrderOutcome::Unanswered);
         }
         let Next::Poll(pause) = next else {
             panic!("{next:?}");
--- a/crates/dispatch/tests/support/pool.rs
+++ b/crates/dispatch/tests/support/pool.rs
@@ -261,7 +261,7 @@
             return;
         }
         let mut next = match part.waits.take() {
-            Some((_, sent)) => part.loading.answered(sent, OrderOutcome::Unanswered),
+            Some((_, sent)) => part.loading.on_outcome(sent, OrderOutcome::Unanswered),
             None => part.loading.on_report(Some(engine.report(now)), wanted, at),
         };
         if let Next::Order { expected } = next {
@@ -289,7 +289,7 @@
                 part.waits = Some((now, sent));
                 return;
             }
-            next = part.loading.answered(sent, engine.take(order));
+            next = part.loading.on_outcome(sent, engine.take(order));
         }
         match next {
             Next::Poll(pause) => part.look = now + pause.as_millis() as u64,
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -97,7 +97,7 @@
             if let Next::Order { expected } = next {
                 next = if self.is_listed().await {
                     let (sent, outcome) = self.order(wanted, expected).await?;
-                    loading.answered(sent, outcome)
+                    loading.on_outcome(sent, outcome)
                 } else {
                     loading.on_list_failure()
                 };
