--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -412,7 +412,7 @@
     /// The first event of a streamed answer came this long after its request was sent, or has not come by then.
     pub fn record_first_event(&mut self, service: &ServiceId, objective: Duration, waited: Duration, now: Duration) {
         let pressure = self.pressures.entry((service.clone(), objective)).or_default();
-        pressure.waited(waited, objective, now);
+        pressure.record(waited, objective, now);
     }
 
     /// Whether a request for a streamed answer is refused at once, since answers of its kind are late; `draw` is uniform over all
--- a/crates/dispatch/src/pressure.rs
+++ b/crates/dispatch/src/pressure.rs
@@ -38,7 +38,7 @@
 
 impl Pressure {
     /// A first event came this long after the request was sent, or has not come by then.
-    pub fn waited(&mut self, waited: Duration, objective: Duration, now: Duration) {
+    pub fn record(&mut self, waited: Duration, objective: Duration, now: Duration) {
         let fade = self.fade(now);
         let ratio = waited.as_secs_f64() / objective.as_secs_f64().max(f64::MIN_POSITIVE);
         self.sum = self.sum * fade + ratio.clamp(SHORTEST, LONGEST).ln();
--- a/crates/dispatch/tests/pressure.rs
+++ b/crates/dispatch/tests/pressure.rs
@@ -19,7 +19,7 @@
 /// First events every 200 ms, each this late in turn; returns when the last one came.
 fn seen(pressure: &mut Pressure, waits: &[u64], count: u64) -> u64 {
     for (number, wait) in (0..count).zip(waits.iter().cycle()) {
-        pressure.waited(at(*wait), OBJECTIVE, at(number * 200));
+        pressure.record(at(*wait), OBJECTIVE, at(number * 200));
     }
     count.saturating_sub(1) * 200
 }
@@ -90,7 +90,7 @@
         "without a word for ten seconds"
     );
     for number in 1..=20 {
-        pressure.waited(at(150), OBJECTIVE, at(last + number * 200));
+        pressure.record(at(150), OBJECTIVE, at(last + number * 200));
     }
     assert!(
         refused(&pressure, last + 4_000) < 0.05,
