--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -419,7 +419,7 @@
     /// numbers.
     pub fn should_shed(&self, service: &ServiceId, objective: Duration, draw: u64, now: Duration) -> bool {
         let pressure = self.pressures.get(&(service.clone(), objective));
-        pressure.is_some_and(|pressure| pressure.refuses(draw, now))
+        pressure.is_some_and(|pressure| pressure.should_shed(draw, now))
     }
 
     /// A request's first attempt at a service.
--- a/crates/dispatch/src/pressure.rs
+++ b/crates/dispatch/src/pressure.rs
@@ -47,7 +47,7 @@
     }
 
     /// Whether a request is refused at once; `draw` is uniform over all numbers.
-    pub fn refuses(&self, draw: u64, now: Duration) -> bool {
+    pub fn should_shed(&self, draw: u64, now: Duration) -> bool {
         let share = ((self.typical(now) - FIRST) / RANGE).clamp(0.0, MOST);
         (draw as f64 / u64::MAX as f64) < share
     }
--- a/crates/dispatch/tests/pressure.rs
+++ b/crates/dispatch/tests/pressure.rs
@@ -12,7 +12,9 @@
 /// Share of a thousand requests that is refused.
 fn refused(pressure: &Pressure, now: u64) -> f64 {
     let step = u64::MAX / 1_000;
-    let count = (0..1_000).filter(|draw| pressure.refuses(draw * step, at(now))).count();
+    let count = (0..1_000)
+        .filter(|draw| pressure.should_shed(draw * step, at(now)))
+        .count();
     count as f64 / 1_000.0
 }
 
