--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -1,6 +1,6 @@
 //! Time of one choice of an engine, by the size of the pool: `cargo run --release -p dispatch --example choice_cost`.
 
-use dispatch::fleet::{Backlog, Choice, Fleet, FleetSettings, NameAge, Part, Prompt, ShortKey, Wish};
+use dispatch::fleet::{Backlog, Choice, Fleet, FleetSettings, PickContext, Prompt, PromptPart, ShortKey, TargetAge};
 use dispatch::retries::RetryLimits;
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, ModelId, ServiceId, VmId};
@@ -38,8 +38,8 @@
             window: Duration::from_secs(10),
             routers: 100,
         },
-        old_weights: Duration::from_secs(9),
-        last_weights: Duration::from_secs(11),
+        soft_staleness: Duration::from_secs(9),
+        hard_staleness: Duration::from_secs(11),
     });
     for number in 0..endpoints {
         let entry = EndpointEntry {
@@ -52,13 +52,13 @@
             leaving: false,
             weights: vec![(ModelId::from("grain"), 1 + number % 2)],
         };
-        fleet.serves(&Arc::new(entry), Duration::ZERO);
+        fleet.upsert_endpoint(&Arc::new(entry), Duration::ZERO);
     }
-    let age = NameAge {
-        least: Duration::ZERO,
-        most: Some(Duration::ZERO),
+    let age = TargetAge {
+        lower: Duration::ZERO,
+        upper: Some(Duration::ZERO),
     };
-    fleet.want(&ModelId::from("grain"), 2, age, Duration::ZERO);
+    fleet.set_target(&ModelId::from("grain"), 2, age, Duration::ZERO);
     tell(&mut fleet, endpoints);
     fleet
 }
@@ -72,14 +72,14 @@
         });
         let backlog = Backlog {
             tokens: waits.collect(),
-            reads: Vec::new(),
+            lane_tokens: Vec::new(),
         };
-        fleet.hear_backlog(&VmId::from(format!("vm-{router}")), &backlog, BEGIN);
+        fleet.update_backlog(&VmId::from(format!("vm-{router}")), &backlog, BEGIN);
     }
 }
 
 fn choose(fleet: &mut Fleet, number: u64) -> Duration {
-    let part = |id, tokens| Part { id, tokens };
+    let part = |id, tokens| PromptPart { id, tokens };
     let prompt = Prompt {
         model: ModelId::from("grain"),
         parts: vec![
@@ -88,10 +88,10 @@
             part(10_000 + number, 2_890),
         ],
         tokens: 9_190,
-        output: 50,
+        max_output: 50,
     };
     let service = ServiceId::from("pool");
-    let wish = Wish {
+    let wish = PickContext {
         service: &service,
         avoid: &[],
         prompt: Some(&prompt),
@@ -101,6 +101,6 @@
     let begun = Instant::now();
     let choice = fleet.choose(&wish, draw, BEGIN + Duration::from_micros(100 * number));
     let took = begun.elapsed();
-    assert!(matches!(choice, Choice::At(_)));
+    assert!(matches!(choice, Choice::Endpoint(_)));
     took
 }
--- a/crates/dispatch/src/fleet/candidates.rs
+++ b/crates/dispatch/src/fleet/candidates.rs
@@ -2,7 +2,7 @@
 
 use super::known::Known;
 use super::names::Named;
-use super::{Fleet, Prompt, ShortKey, Wish};
+use super::{Fleet, PickContext, Prompt, ShortKey};
 use control::health::HealthState;
 use ids::ModelId;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 }
 
 impl Fleet {
-    pub(super) fn candidates(&self, wish: &Wish<'_>, now: Duration) -> Standing<'_> {
+    pub(super) fn candidates(&self, wish: &PickContext<'_>, now: Duration) -> Standing<'_> {
         let mut open: Vec<&Known> = self.serving(wish).collect();
         if open.is_empty() {
             return Standing::None;
@@ -49,19 +49,19 @@
     }
 
     /// Endpoints that a prompt had better stay away from: those for long answers if it is long, and the others if its answer is.
-    pub(super) fn apart(&self, wish: &Wish<'_>, prompt: &Prompt, now: Duration) -> impl Fn(&Known) -> bool {
+    pub(super) fn apart(&self, wish: &PickContext<'_>, prompt: &Prompt, now: Duration) -> impl Fn(&Known) -> bool {
         let sound = |known: &&Known| !self.loading.contains(&known.entry.id) && self.is_sound(known, now);
-        let everywhere = Wish { avoid: &[], ..*wish };
+        let everywhere = PickContext { avoid: &[], ..*wish };
         let all = self.serving(&everywhere).filter(sound).collect();
         let own = self.lanes.get(wish.service);
         let mut reads = own.map(|own| own.reads(now)).unwrap_or_default();
         reads.add(&self.others.reads(wish.service));
         let lane = reads.lane(all, |known| self.coming.contains(&known.entry.id));
-        let generates = prompt.mostly_generates();
+        let generates = prompt.is_decode_heavy();
         move |known| !lane.is_empty() && lane.contains(&known.key) != generates
     }
 
-    fn serving(&self, wish: &Wish<'_>) -> impl Iterator<Item = &Known> {
+    fn serving(&self, wish: &PickContext<'_>) -> impl Iterator<Item = &Known> {
         self.known
             .values()
             .filter(|known| known.entry.service == *wish.service && !known.entry.leaving)
@@ -88,7 +88,7 @@
     /// Leaves out endpoints that load soon, unless there are no others: an endpoint finishes what it runs before it loads, and
     /// serves nobody else while its last long answers are generated, for some seconds.
     fn staying(&self, open: &mut Vec<&Known>, prompt: &Prompt) {
-        if prompt.mostly_generates() {
+        if prompt.is_decode_heavy() {
             prefer(open, |known| !self.coming.contains(&known.entry.id));
         }
     }
@@ -97,7 +97,7 @@
     /// over the second half of the time that is allowed. Were it at one moment, engines with old weights would have queues of
     /// seconds at that moment, and begin on what waits there long after it.
     fn weighed(&self, open: &mut Vec<&Known>, prompt: &Prompt, now: Duration) {
-        let after = self.settings.old_weights.mul_f64((1.0 + prompt.draw()) / 2.0);
+        let after = self.settings.soft_staleness.mul_f64((1.0 + prompt.draw()) / 2.0);
         let least = self.least_weights(&prompt.model, after, now);
         prefer(open, |known| known.serves(&prompt.model, least));
     }
--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -4,7 +4,7 @@
 //! hashes of the nested levels and weighs what would have to be read again against what waits there.
 
 use super::known::Known;
-use super::{Choice, Fleet, Picked, ShortKey, Wish};
+use super::{Choice, Fleet, PickContext, PickedEndpoint, ShortKey};
 use ids::{Incarnation, ModelId};
 use placement::{Candidate, Placer, PrefixChain};
 use std::time::Duration;
@@ -39,7 +39,7 @@
 
 /// A part of a prompt that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Stands for its text.
     pub id: u64,
     /// Its length.
@@ -52,23 +52,23 @@
     /// The model.
     pub model: ModelId,
     /// Parts in order; the last one is the request's own.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
     /// Prompt tokens in all.
     pub tokens: u64,
     /// Most tokens that are generated.
-    pub output: u64,
+    pub max_output: u64,
 }
 
 impl Prompt {
     /// Parts that other requests may share: all but the last.
-    pub fn shared(&self) -> &[Part] {
+    pub fn shared(&self) -> &[PromptPart] {
         let last = self.parts.len().saturating_sub(1);
         &self.parts[..last]
     }
 
     /// Whether an engine spends more time on the answer than on reading the prompt.
-    pub fn mostly_generates(&self) -> bool {
-        self.output * GENERATED_TOKENS > self.tokens
+    pub fn is_decode_heavy(&self) -> bool {
+        self.max_output * GENERATED_TOKENS > self.tokens
     }
 
     /// A number from 0 to 1 that is drawn for the innermost shared prefix, the same at every router, so that its requests stay
@@ -101,13 +101,13 @@
     pub(super) fn choose_engine(
         &self,
         placer: &mut Placer,
-        wish: &Wish<'_>,
+        wish: &PickContext<'_>,
         mut open: Vec<&Known>,
         draw: u64,
         now: Duration,
     ) -> Choice {
         let Some(prompt) = wish.prompt else {
-            return Choice::Nowhere;
+            return Choice::Unavailable;
         };
         let chain = prompt.chain(seed(wish));
         open.sort_by_key(|known| known.key);
@@ -121,7 +121,7 @@
             endpoint, incarnation, ..
         } = candidates[pick.index];
         let known = open[pick.index];
-        let picked = Picked {
+        let picked = PickedEndpoint {
             endpoint: known.entry.clone(),
             weights: known.weights(&prompt.model),
             prefill: prompt.tokens.saturating_sub(pick.cached as u64 * BLOCK),
@@ -134,7 +134,7 @@
             pick.cached.min(chain.blocks().len()),
             now,
         );
-        Choice::At(picked)
+        Choice::Endpoint(picked)
     }
 
     /// What is ahead of a new request there, as prompt tokens.
@@ -162,7 +162,7 @@
 }
 
 /// Prefixes of an isolated workspace have homes of their own.
-fn seed(wish: &Wish<'_>) -> u64 {
+fn seed(wish: &PickContext<'_>) -> u64 {
     wish.isolated
         .map_or(0, |workspace| xxh3_64_with_seed(workspace.as_str().as_bytes(), 1))
 }
--- a/crates/dispatch/src/fleet/known.rs
+++ b/crates/dispatch/src/fleet/known.rs
@@ -36,13 +36,13 @@
 
 /// A load report that routers tell each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LoadNews {
+pub struct LoadUpdate {
     /// Whose.
     pub endpoint: ShortKey,
     /// The report.
     pub report: LoadReport,
     /// When an endpoint's answer told it, to this router or another.
-    pub told: Duration,
+    pub reported_at: Duration,
 }
 
 /// Stands for an endpoint between routers, in 32 bits: a domain's routers tell each other hundreds of reports a second.
@@ -79,9 +79,9 @@
     /// The answer was broken, cut or spoilt.
     Broken,
     /// No connection.
-    Unreached,
+    ConnectFailed,
     /// No answer in time.
-    Silent,
+    Timeout,
 }
 
 /// A request of this router whose prompt its endpoint has not read.
@@ -201,8 +201,8 @@
                 0.0
             }
             Outcome::Declined => return,
-            Outcome::Silent => SILENT,
-            Outcome::Failed | Outcome::Broken | Outcome::Unreached => 1.0,
+            Outcome::Timeout => SILENT,
+            Outcome::Failed | Outcome::Broken | Outcome::ConnectFailed => 1.0,
         };
         let trouble = self.trouble(now);
         self.trouble = (trouble + FADE * (failed - trouble), now);
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -16,11 +16,11 @@
 mod rates;
 
 pub use backlogs::Backlog;
-pub use engines::{Part, Prompt};
-pub use known::{LoadNews, LoadReport, Outcome, ShortKey};
-pub use lanes::Reads;
-pub use names::{Behind, NameAge};
-pub use rates::RateNews;
+pub use engines::{Prompt, PromptPart};
+pub use known::{LoadReport, LoadUpdate, Outcome, ShortKey};
+pub use lanes::LaneTokens;
+pub use names::{Staleness, TargetAge};
+pub use rates::RateUpdate;
 
 use crate::pressure::Pressure;
 use crate::retries::{RetryLimits, RetryMeter};
@@ -46,14 +46,14 @@
     /// Budget of attempts beyond the first.
     pub retries: RetryLimits,
     /// How long requests may begin on older weights after newer ones were named.
-    pub old_weights: Duration,
+    pub soft_staleness: Duration,
     /// How long any request may: from then on an answer on them is worth nothing.
-    pub last_weights: Duration,
+    pub hard_staleness: Duration,
 }
 
 /// What a request asks of its endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Wish<'a> {
+pub struct PickContext<'a> {
     /// The service.
     pub service: &'a ServiceId,
     /// Endpoints that were tried before.
@@ -68,18 +68,18 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Choice {
     /// Send it there.
-    At(Picked),
+    Endpoint(PickedEndpoint),
     /// All endpoints that could serve it are full.
     Full,
     /// Endpoints that could serve it take no more for now; the caller had better come back after this time.
-    Limited(Duration),
+    RateLimited(Duration),
     /// No endpoint that could serve it is in service.
-    Nowhere,
+    Unavailable,
 }
 
 /// A chosen endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Picked {
+pub struct PickedEndpoint {
     /// The endpoint.
     pub endpoint: Arc<EndpointEntry>,
     /// Number of the weights it is believed to serve the request's model with.
@@ -133,7 +133,7 @@
     }
 
     /// An endpoint serves, newly or with other properties.
-    pub fn serves(&mut self, entry: &Arc<EndpointEntry>, now: Duration) {
+    pub fn upsert_endpoint(&mut self, entry: &Arc<EndpointEntry>, now: Duration) {
         let known = self.known.get_mut(&entry.id);
         match known {
             Some(known) if known.entry.incarnation == entry.incarnation => known.update(entry.clone()),
@@ -147,7 +147,7 @@
     }
 
     /// An endpoint is gone.
-    pub fn gone(&mut self, id: &EndpointId, now: Duration) {
+    pub fn remove_endpoint(&mut self, id: &EndpointId, now: Duration) {
         if let Some(known) = self.known.remove(id) {
             self.rates.forget(ShortKey::from(known.key), now);
         }
@@ -155,19 +155,19 @@
     }
 
     /// Weights that a model is to be served with, which were named so long ago.
-    pub fn want(&mut self, model: &ModelId, weights: u64, age: NameAge, now: Duration) {
+    pub fn set_target(&mut self, model: &ModelId, weights: u64, age: TargetAge, now: Duration) {
         self.wanted.entry(model.clone()).or_default().name(weights, age, now);
     }
 
     /// Another router tells how long ago weights were named; whether that made clear what was vague. Newer ones than the store
     /// told this router are left out.
-    pub fn told_age(&mut self, model: &ModelId, weights: u64, age: NameAge, now: Duration) -> bool {
+    pub fn merge_target_age(&mut self, model: &ModelId, weights: u64, age: TargetAge, now: Duration) -> bool {
         let names = self.wanted.get_mut(model);
         names.is_some_and(|names| names.told(weights, age, now))
     }
 
     /// How long ago weights were named.
-    pub fn name_ages(&self, now: Duration) -> Vec<(ModelId, u64, NameAge)> {
+    pub fn target_ages(&self, now: Duration) -> Vec<(ModelId, u64, TargetAge)> {
         let names = self.wanted.iter().flat_map(|(model, names)| {
             let ages = names.all().iter().map(move |named| (named.weights, named.age(now)));
             ages.map(|(weights, age)| (model.clone(), weights, age))
@@ -176,8 +176,8 @@
     }
 
     /// Whether an endpoint has old weights, and another router's word could tell much better for how long it may serve.
-    pub fn vague_names(&self, now: Duration) -> bool {
-        let bound = self.settings.last_weights;
+    pub fn has_uncertain_age(&self, now: Duration) -> bool {
+        let bound = self.settings.hard_staleness;
         self.wanted.iter().any(|(model, names)| {
             let mut served = self.known.values().filter_map(|known| known.weights(model));
             served.any(|weights| names.vague_after(weights, bound, now))
@@ -185,7 +185,7 @@
     }
 
     /// Weights wanted of each model.
-    pub fn wanted(&self) -> impl Iterator<Item = (&ModelId, u64)> {
+    pub fn targets(&self) -> impl Iterator<Item = (&ModelId, u64)> {
         self.wanted
             .iter()
             .filter_map(|(model, names)| Some((model, names.newest()?.weights)))
@@ -193,13 +193,13 @@
 
     /// Endpoints that load weights now or are about to, which get no requests, and those that come next, which get no long
     /// answers.
-    pub fn loads(&mut self, loading: BTreeSet<EndpointId>, coming: BTreeSet<EndpointId>) {
+    pub fn set_loading(&mut self, loading: BTreeSet<EndpointId>, coming: BTreeSet<EndpointId>) {
         self.loading = loading;
         self.coming = coming;
     }
 
     /// An answer or the order holder named the weights an endpoint serves a model with.
-    pub fn serves_weights(&mut self, id: &EndpointId, model: &ModelId, weights: u64) {
+    pub fn record_weights(&mut self, id: &EndpointId, model: &ModelId, weights: u64) {
         if let Some(known) = self.known.get_mut(id) {
             known.learn_weights(model, weights);
         }
@@ -207,7 +207,7 @@
 
     /// An endpoint refused a request since it serves other weights than it was believed to. It has the newest by now, or
     /// what its entry says; if that is wrong too, the next request is refused and says so.
-    pub fn other_weights(&mut self, id: &EndpointId, model: &ModelId) {
+    pub fn correct_weights(&mut self, id: &EndpointId, model: &ModelId) {
         let newest = self.wanted.get(model).and_then(Names::newest);
         let newest = newest.map(|named| named.weights);
         if let Some(known) = self.known.get_mut(id) {
@@ -221,12 +221,12 @@
     }
 
     /// Routers that share the retry budget; 0 if that isn't known.
-    pub fn routers(&mut self, count: u32) {
+    pub fn set_router_count(&mut self, count: u32) {
         self.settings.retries.routers = count;
     }
 
     /// The routers that share the rates of endpoints, of which `own` is this one.
-    pub fn members(&mut self, own: &VmId, routers: &[VmId]) {
+    pub fn set_routers(&mut self, own: &VmId, routers: &[VmId]) {
         self.rates.routers(own, routers);
     }
 
@@ -239,10 +239,10 @@
     }
 
     /// Chooses an endpoint; `draw` is uniform over all numbers.
-    pub fn choose(&mut self, wish: &Wish<'_>, draw: u64, now: Duration) -> Choice {
+    pub fn choose(&mut self, wish: &PickContext<'_>, draw: u64, now: Duration) -> Choice {
         self.others.add_up(now);
         let choice = self.choose_any(wish, draw, now);
-        if let Choice::At(picked) = &choice
+        if let Choice::Endpoint(picked) = &choice
             && let Some(known) = self.known.get(&picked.endpoint.id)
         {
             self.rates.take(ShortKey::from(known.key), now);
@@ -250,7 +250,7 @@
         choice
     }
 
-    fn choose_any(&mut self, wish: &Wish<'_>, draw: u64, now: Duration) -> Choice {
+    fn choose_any(&mut self, wish: &PickContext<'_>, draw: u64, now: Duration) -> Choice {
         if wish.prompt.is_none() {
             return self.choose_from(wish, now, |open| self.choose_plain(&open, draw, now));
         }
@@ -258,7 +258,7 @@
         let mut placer = self.placers.remove(wish.service).unwrap_or_else(engines::placer);
         let choice = self.choose_from(wish, now, |open| self.choose_engine(&mut placer, wish, open, draw, now));
         self.placers.insert(wish.service.clone(), placer);
-        if let (Choice::At(picked), Some(prompt)) = (&choice, wish.prompt) {
+        if let (Choice::Endpoint(picked), Some(prompt)) = (&choice, wish.prompt) {
             let lanes = self.lanes.entry(wish.service.clone()).or_default();
             lanes.count(prompt, picked.prefill, now);
         }
@@ -267,34 +267,34 @@
 
     fn choose_from<'a>(
         &'a self,
-        wish: &Wish<'_>,
+        wish: &PickContext<'_>,
         now: Duration,
         choose: impl FnOnce(Vec<&'a Known>) -> Choice,
     ) -> Choice {
         match self.candidates(wish, now) {
             Standing::Some(open) => choose(open),
             Standing::Full => Choice::Full,
-            Standing::Limited(after) => Choice::Limited(after),
-            Standing::None => Choice::Nowhere,
+            Standing::Limited(after) => Choice::RateLimited(after),
+            Standing::None => Choice::Unavailable,
         }
     }
 
     /// A request was sent to an endpoint, which has this many prompt tokens of it to read.
-    pub fn begin(&mut self, id: &EndpointId, incarnation: Incarnation, prefill: u64, now: Duration) {
+    pub fn request_started(&mut self, id: &EndpointId, incarnation: Incarnation, prefill: u64, now: Duration) {
         if let Some(known) = self.life(id, incarnation) {
             known.begin(prefill, now);
         }
     }
 
     /// The endpoint has read the prompt of a request that was sent at `began`, or will never read it.
-    pub fn prefilled(&mut self, id: &EndpointId, incarnation: Incarnation, began: Duration) {
+    pub fn prefill_finished(&mut self, id: &EndpointId, incarnation: Incarnation, began: Duration) {
         if let Some(known) = self.life(id, incarnation) {
             known.prefilled(began);
         }
     }
 
     /// A request has left an endpoint.
-    pub fn end(&mut self, id: &EndpointId, incarnation: Incarnation) {
+    pub fn request_finished(&mut self, id: &EndpointId, incarnation: Incarnation) {
         if let Some(known) = self.life(id, incarnation) {
             known.end();
         }
@@ -308,19 +308,19 @@
             tokens: known
                 .map(|known| (ShortKey::from(known.key), known.prefill()))
                 .collect(),
-            reads: reads
+            lane_tokens: reads
                 .map(|(service, lanes)| (service.clone(), lanes.reads(now)))
                 .collect(),
         }
     }
 
     /// Another router told all of its backlogs.
-    pub fn hear_backlog(&mut self, router: &VmId, told: &Backlog, now: Duration) {
+    pub fn update_backlog(&mut self, router: &VmId, told: &Backlog, now: Duration) {
         self.others.hear(router, told, now);
     }
 
     /// An endpoint told its load.
-    pub fn reported(&mut self, id: &EndpointId, report: LoadReport, now: Duration) {
+    pub fn record_load(&mut self, id: &EndpointId, report: LoadReport, now: Duration) {
         if let Some(known) = self.known.get_mut(id) {
             known.reported(Heard {
                 report,
@@ -332,20 +332,20 @@
     }
 
     /// An answer of an endpoint named the requests a second that it takes from all routers together, or none; whether that is new.
-    pub fn named_rate(&mut self, id: &EndpointId, rate: Option<f64>, now: Duration) -> bool {
+    pub fn record_rate(&mut self, id: &EndpointId, rate: Option<f64>, now: Duration) -> bool {
         let Some(known) = self.known.get(id) else {
             return false;
         };
-        let news = RateNews {
+        let news = RateUpdate {
             endpoint: ShortKey::from(known.key),
             rate,
-            told: now,
+            reported_at: now,
         };
         self.rates.hear(news, now)
     }
 
     /// Other routers were told this by endpoints; whether any of it is new.
-    pub fn hear_rates(&mut self, news: &[RateNews], now: Duration) -> bool {
+    pub fn merge_rates(&mut self, news: &[RateUpdate], now: Duration) -> bool {
         let mut new = false;
         for news in news {
             new |= self.rates.hear(*news, now);
@@ -354,39 +354,39 @@
     }
 
     /// What endpoints told lately of their rates, for other routers.
-    pub fn rate_news(&self, now: Duration) -> Vec<RateNews> {
+    pub fn recent_rates(&self, now: Duration) -> Vec<RateUpdate> {
         self.rates.news(now)
     }
 
     /// Endpoints that name a rate.
-    pub fn rated(&self) -> usize {
+    pub fn rate_limited_count(&self) -> usize {
         self.rates.count()
     }
 
     /// Reports that this router has received after `since`; only those of its own answers, or all.
-    pub fn load_news(&self, since: Duration, own: bool) -> Vec<LoadNews> {
+    pub fn loads_since(&self, since: Duration, own: bool) -> Vec<LoadUpdate> {
         let news = self
             .known
             .values()
             .filter_map(|known| Some((known.key, known.report()?)));
         let news = news.filter(|(_, heard)| heard.heard > since && (heard.own || !own));
-        let news = news.map(|(key, heard)| LoadNews {
+        let news = news.map(|(key, heard)| LoadUpdate {
             endpoint: ShortKey::from(key),
             report: heard.report,
-            told: heard.told,
+            reported_at: heard.told,
         });
         news.collect()
     }
 
     /// Another router told what it heard. A router meets an endpoint of a large pool once in ten seconds; its neighbours
     /// together meet it several times a second.
-    pub fn hear_loads(&mut self, news: &[LoadNews], now: Duration) {
-        let news: HashMap<ShortKey, &LoadNews> = news.iter().map(|news| (news.endpoint, news)).collect();
+    pub fn merge_loads(&mut self, news: &[LoadUpdate], now: Duration) {
+        let news: HashMap<ShortKey, &LoadUpdate> = news.iter().map(|news| (news.endpoint, news)).collect();
         for known in self.known.values_mut() {
             if let Some(news) = news.get(&ShortKey::from(known.key)) {
                 known.reported(Heard {
                     report: news.report,
-                    told: news.told,
+                    told: news.reported_at,
                     heard: now,
                     own: false,
                 });
@@ -395,7 +395,7 @@
     }
 
     /// What came of an attempt.
-    pub fn outcome(&mut self, id: &EndpointId, outcome: Outcome, now: Duration) {
+    pub fn record_outcome(&mut self, id: &EndpointId, outcome: Outcome, now: Duration) {
         if let Some(known) = self.known.get_mut(id) {
             known.outcome(outcome, now);
         }
@@ -404,26 +404,26 @@
     }
 
     /// What came of a probe: it shows whether the endpoint is reached, not how it serves.
-    pub fn probed(&mut self, id: &EndpointId, outcome: Outcome, now: Duration) {
+    pub fn record_probe(&mut self, id: &EndpointId, outcome: Outcome, now: Duration) {
         let event = evidence(id, outcome);
         self.health.on(event, now);
     }
 
     /// The first event of a streamed answer came this long after its request was sent, or has not come by then.
-    pub fn waited(&mut self, service: &ServiceId, objective: Duration, waited: Duration, now: Duration) {
+    pub fn record_first_event(&mut self, service: &ServiceId, objective: Duration, waited: Duration, now: Duration) {
         let pressure = self.pressures.entry((service.clone(), objective)).or_default();
-        pressure.waited(waited, objective, now);
+        pressure.record(waited, objective, now);
     }
 
     /// Whether a request for a streamed answer is refused at once, since answers of its kind are late; `draw` is uniform over all
     /// numbers.
-    pub fn refuses(&self, service: &ServiceId, objective: Duration, draw: u64, now: Duration) -> bool {
+    pub fn should_shed(&self, service: &ServiceId, objective: Duration, draw: u64, now: Duration) -> bool {
         let pressure = self.pressures.get(&(service.clone(), objective));
-        pressure.is_some_and(|pressure| pressure.refuses(draw, now))
+        pressure.is_some_and(|pressure| pressure.should_shed(draw, now))
     }
 
     /// A request's first attempt at a service.
-    pub fn first_attempt(&mut self, service: &ServiceId, now: Duration) {
+    pub fn record_first_attempt(&mut self, service: &ServiceId, now: Duration) {
         let window = self.settings.retries.window;
         self.meters
             .entry(service.clone())
@@ -432,15 +432,15 @@
     }
 
     /// Whether one more attempt may be made at a service; it is counted if so.
-    pub fn another_attempt(&mut self, service: &ServiceId, now: Duration) -> bool {
+    pub fn try_retry(&mut self, service: &ServiceId, now: Duration) -> bool {
         let limits = self.settings.retries;
         self.meters.entry(service.clone()).or_default().try_retry(&limits, now)
     }
 
     /// How far weights of a model are behind the newest, for logs.
-    pub fn behind(&self, model: &ModelId, weights: u64, now: Duration) -> Behind {
+    pub fn staleness(&self, model: &ModelId, weights: u64, now: Duration) -> Staleness {
         let names = self.wanted.get(model);
-        names.map_or(Behind::No, |names| names.behind(weights, now))
+        names.map_or(Staleness::Current, |names| names.behind(weights, now))
     }
 
     fn life(&mut self, id: &EndpointId, incarnation: Incarnation) -> Option<&mut Known> {
@@ -462,11 +462,11 @@
             endpoint,
             incarnation: None,
         },
-        Outcome::Broken | Outcome::Unreached => health::Event::Failed {
+        Outcome::Broken | Outcome::ConnectFailed => health::Event::Failed {
             endpoint,
             failure: health::Failure::Connection,
         },
-        Outcome::Silent => health::Event::Failed {
+        Outcome::Timeout => health::Event::Failed {
             endpoint,
             failure: health::Failure::Timeout,
         },
--- a/crates/dispatch/src/fleet/names.rs
+++ b/crates/dispatch/src/fleet/names.rs
@@ -16,11 +16,11 @@
 
 /// How long ago weights were named.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct NameAge {
+pub struct TargetAge {
     /// At least so long ago.
-    pub least: Duration,
+    pub lower: Duration,
     /// At most so long ago; absent if this router can't tell.
-    pub most: Option<Duration>,
+    pub upper: Option<Duration>,
 }
 
 /// Something that was so old at a time, and gets older.
@@ -40,70 +40,70 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Named {
     pub(super) weights: u64,
-    least: Aged,
-    most: Option<Aged>,
+    lower: Aged,
+    upper: Option<Aged>,
 }
 
 impl Named {
-    fn new(weights: u64, age: NameAge, now: Duration) -> Self {
+    fn new(weights: u64, age: TargetAge, now: Duration) -> Self {
         let aged = |age| Aged { age, at: now };
         Self {
             weights,
-            least: aged(age.least),
-            most: age.most.map(aged),
+            lower: aged(age.lower),
+            upper: age.upper.map(aged),
         }
     }
 
-    pub(super) fn age(&self, now: Duration) -> NameAge {
-        NameAge {
-            least: self.least.age(now),
-            most: self.most.map(|most| most.age(now)),
+    pub(super) fn age(&self, now: Duration) -> TargetAge {
+        TargetAge {
+            lower: self.lower.age(now),
+            upper: self.upper.map(|upper| upper.age(now)),
         }
     }
 
     /// Whether they were named so long ago, as far as this router can tell; what it can't tell counts as long ago.
     pub(super) fn for_longer(&self, time: Duration, now: Duration) -> bool {
         let age = self.age(now);
-        age.most.is_none() || age.least >= time
+        age.upper.is_none() || age.lower >= time
     }
 
     /// Whether they may have been named so long ago.
     pub(super) fn maybe_for_longer(&self, time: Duration, now: Duration) -> bool {
-        self.age(now).most.is_none_or(|most| most >= time)
+        self.age(now).upper.is_none_or(|upper| upper >= time)
     }
 
     /// Whether another router's word could make the age much clearer.
     fn vague(&self, now: Duration) -> bool {
         let age = self.age(now);
-        age.most.is_none_or(|most| most.saturating_sub(age.least) > LOOSE)
+        age.upper.is_none_or(|upper| upper.saturating_sub(age.lower) > LOOSE)
     }
 
     fn stands_for(&mut self, older: &Self, now: Duration) {
         let (own, older) = (self.age(now), older.age(now));
-        let most = own.most.zip(older.most).map(|(own, older)| own.max(older));
-        let least = own.least.max(older.least);
-        *self = Self::new(self.weights, NameAge { least, most }, now);
+        let upper = own.upper.zip(older.upper).map(|(own, older)| own.max(older));
+        let lower = own.lower.max(older.lower);
+        *self = Self::new(self.weights, TargetAge { lower, upper }, now);
     }
 
     /// Takes in what another router knows: both are right, so the narrower bound of each side holds.
-    fn narrow(&mut self, told: NameAge, now: Duration) {
+    fn narrow(&mut self, told: TargetAge, now: Duration) {
         let own = self.age(now);
-        let most = match (own.most, told.most) {
+        let upper = match (own.upper, told.upper) {
             (Some(own), Some(told)) => Some(own.min(told)),
             (own, told) => own.or(told),
         };
-        let least = own.least.max(told.least);
-        *self = Self::new(self.weights, NameAge { least, most }, now);
+        let lower = own.lower.max(told.lower);
+        *self = Self::new(self.weights, TargetAge { lower, upper }, now);
     }
 }
 
 /// How far some weights are behind the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Behind {
+pub enum Staleness {
     /// They are the newest, as far as this router knows.
-    No,
+    Current,
     /// Newer ones have been named for this long at least.
-    For(Duration),
+    Stale(Duration),
     /// Newer ones have been named, and this router doesn't know since when.
     Unknown,
 }
@@ -114,7 +114,7 @@
 
 impl Names {
     /// Weights were named; others than newer ones change nothing.
-    pub(super) fn name(&mut self, weights: u64, age: NameAge, now: Duration) {
+    pub(super) fn name(&mut self, weights: u64, age: TargetAge, now: Duration) {
         if self.0.last().is_none_or(|last| last.weights < weights) {
             self.0.push(Named::new(weights, age, now));
             self.forget(now);
@@ -132,7 +132,7 @@
     /// Another router tells how long ago these weights were named; whether that made clear what was vague. Names in between that
     /// this router missed are taken in: a name's greatest age holds for whatever was named since the one before it, so without them
     /// a narrower age of a newer name would let engines serve that are further behind. Newer names come from the store.
-    pub(super) fn told(&mut self, weights: u64, age: NameAge, now: Duration) -> bool {
+    pub(super) fn told(&mut self, weights: u64, age: TargetAge, now: Duration) -> bool {
         if self.newest().is_none_or(|newest| newest.weights < weights) {
             return false;
         }
@@ -168,17 +168,17 @@
     /// clears up an age that is past `bound` at least.
     pub(super) fn vague_after(&self, weights: u64, bound: Duration, now: Duration) -> bool {
         let newer = self.0.iter().filter(|named| named.weights > weights);
-        let mut young = newer.filter(|named| named.age(now).least < bound);
+        let mut young = newer.filter(|named| named.age(now).lower < bound);
         young.any(|named| named.vague(now))
     }
 
     /// How far `weights` are behind: the first newer ones count.
-    pub(super) fn behind(&self, weights: u64, now: Duration) -> Behind {
+    pub(super) fn behind(&self, weights: u64, now: Duration) -> Staleness {
         let newer = self.0.iter().find(|named| named.weights > weights);
         match newer.map(|named| named.age(now)) {
-            None => Behind::No,
-            Some(NameAge { most: None, .. }) => Behind::Unknown,
-            Some(NameAge { least, .. }) => Behind::For(least),
+            None => Staleness::Current,
+            Some(TargetAge { upper: None, .. }) => Staleness::Unknown,
+            Some(TargetAge { lower, .. }) => Staleness::Stale(lower),
         }
     }
 }
--- a/crates/dispatch/src/fleet/plain.rs
+++ b/crates/dispatch/src/fleet/plain.rs
@@ -4,7 +4,7 @@
 //! usual time, longer by what runs and waits there for each slot.
 
 use super::known::Known;
-use super::{Choice, Fleet, Picked};
+use super::{Choice, Fleet, PickedEndpoint};
 use std::time::Duration;
 
 /// Time until an answer that is assumed before the first one came, seconds.
@@ -28,9 +28,9 @@
             .collect();
         let index = usize::try_from(draw % near.len().max(1) as u64).unwrap_or_default();
         let Some(known) = near.get(index) else {
-            return Choice::Nowhere;
+            return Choice::Unavailable;
         };
-        Choice::At(Picked {
+        Choice::Endpoint(PickedEndpoint {
             endpoint: known.entry.clone(),
             weights: None,
             prefill: 0,
--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -8,7 +8,7 @@
 /// Pause after an order: no load at the sites is faster.
 const FASTEST_LOAD: Duration = Duration::from_millis(600);
 /// Longest wait for the answer to an order. A sound endpoint answers within a few ms, or 200 ms more if a packet is lost.
-pub const ANSWER: Duration = Duration::from_millis(300);
+pub const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Orders in a row that are repeated at once: with half of them unanswered, seven in eight endpoints have answered by then.
 const AT_ONCE: u32 = 2;
@@ -21,14 +21,14 @@
     let Some(more) = silent.checked_sub(AT_ONCE + 1) else {
         return Duration::ZERO;
     };
-    (ANSWER * 2_u32.saturating_pow(more)).min(REPEAT_MOST)
+    (ORDER_TIMEOUT * 2_u32.saturating_pow(more)).min(REPEAT_MOST)
 }
 
 /// What is to be done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
     /// Ask for a report after a pause.
-    Look(Duration),
+    Poll(Duration),
     /// Order the newest weights, once the list of those that load is young; see [`crate::holder::list_is_current`].
     Order {
         /// Count of orders that the order expects.
@@ -44,13 +44,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// It is being carried out, or what it asks for holds.
-    Taken,
+    Accepted,
     /// No answer came: it may have been taken, or may be carried out seconds later.
     Unanswered,
     /// Another order is in progress or came first, or the order never left.
     Conflict,
     /// Refused for good.
-    Refused,
+    Rejected,
 }
 
 /// One endpoint that is to load.
@@ -67,26 +67,26 @@
 
 impl Loading {
     /// A report has come, or could not be had.
-    pub fn looked(&mut self, report: Option<Report>, wanted: u64, now: Duration) -> Next {
+    pub fn on_report(&mut self, report: Option<Report>, wanted: u64, now: Duration) -> Next {
         let Some(report) = report else {
             self.misses += 1;
             return if should_give_up(self.misses) {
                 Next::Stop
             } else {
-                Next::Look(LOOK)
+                Next::Poll(LOOK)
             };
         };
         self.misses = 0;
         match load_step(&report, wanted, self.ordered, now) {
             LoadStep::Done => report.weights.map_or(Next::Stop, Next::Done),
-            LoadStep::Wait => Next::Look(LOOK),
+            LoadStep::Wait => Next::Poll(LOOK),
             LoadStep::Order { expected } => Next::Order { expected },
         }
     }
 
     /// An order could not be given, since the list could not be written.
-    pub fn unlisted(&self) -> Next {
-        Next::Look(LOOK)
+    pub fn on_list_failure(&self) -> Next {
+        Next::Poll(LOOK)
     }
 
     /// What came of an order that was sent at `sent.at`.
@@ -94,24 +94,24 @@
     /// Load pattern: half of the orders get no answer and are carried out seconds later, while every endpoint still has to load.
     /// Such an order is repeated at once: both expect the same count, so only one of the two takes effect, and the place of a load
     /// doesn't stay unused for seconds.
-    pub fn answered(&mut self, sent: SentOrder, outcome: OrderOutcome) -> Next {
+    pub fn on_outcome(&mut self, sent: SentOrder, outcome: OrderOutcome) -> Next {
         match outcome {
-            OrderOutcome::Refused => Next::Stop,
-            OrderOutcome::Taken => {
+            OrderOutcome::Rejected => Next::Stop,
+            OrderOutcome::Accepted => {
                 self.ordered = Some(sent);
                 self.unanswered = None;
                 self.silent = 0;
-                Next::Look(FASTEST_LOAD + LOOK)
+                Next::Poll(FASTEST_LOAD + LOOK)
             }
             OrderOutcome::Unanswered => {
                 self.unanswered = self.unanswered.or(Some(sent));
                 self.silent += 1;
-                Next::Look(repeat_pause(self.silent))
+                Next::Poll(repeat_pause(self.silent))
             }
             // The first one was taken, though its answer was lost: only what is reported from now on tells of it.
             OrderOutcome::Conflict => {
                 self.ordered = self.unanswered.take().map(|first| SentOrder { at: sent.at, ..first });
-                Next::Look(FASTEST_LOAD + LOOK)
+                Next::Poll(FASTEST_LOAD + LOOK)
             }
         }
     }
--- a/crates/dispatch/src/prefixes.rs
+++ b/crates/dispatch/src/prefixes.rs
@@ -12,7 +12,7 @@
 //! asked to fetch from the store of its prefix: a miss costs it 1 ms, repeating the prefill of 6,000 tokens 75 ms. The
 //! events only decide what need not be saved.
 
-use crate::fleet::Part;
+use crate::fleet::PromptPart;
 use ids::WorkspaceId;
 use placement::{EndpointKey, score};
 use serde::{Deserialize, Serialize};
@@ -127,7 +127,7 @@
         &mut self,
         salt: &str,
         isolated: Option<&WorkspaceId>,
-        shared: &[Part],
+        shared: &[PromptPart],
         own: u64,
         now: Duration,
     ) -> Transfers {
@@ -192,7 +192,7 @@
 
     /// The transfers of an engine that gets a prompt with these shared parts. It saves them if at least as many shared
     /// tokens as `own` tokens are missing in the store.
-    pub fn transfers(&mut self, salt: &str, shared: &[Part], own: u64, now: Duration) -> Transfers {
+    pub fn transfers(&mut self, salt: &str, shared: &[PromptPart], own: u64, now: Duration) -> Transfers {
         if !self.alive(now) || shared.is_empty() {
             return Transfers::default();
         }
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dispatch::fleet::{Fleet, LoadReport, Outcome, Part, Prompt};
+use dispatch::fleet::{Fleet, LoadReport, Outcome, Prompt, PromptPart};
 use ids::{EndpointId, Incarnation};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -27,11 +27,11 @@
 fn a_load_report_counts_for_a_moment() {
     let mut fleet = pool(&[1, 1]);
     let full = LoadReport { running: 6, waiting: 4 };
-    fleet.reported(&EndpointId::from("e0"), full, at(0));
+    fleet.record_load(&EndpointId::from("e0"), full, at(0));
     for draw in 0..4 {
         assert_eq!(send(&mut fleet, None, &[], draw, at(1)).as_deref(), Some("e1"));
     }
-    fleet.reported(&EndpointId::from("e1"), full, at(3_000));
+    fleet.record_load(&EndpointId::from("e1"), full, at(3_000));
     assert_eq!(send(&mut fleet, None, &[], 0, at(3_001)).as_deref(), Some("e0"));
 }
 
@@ -47,9 +47,9 @@
         } else {
             Outcome::Answered(at(20))
         };
-        fleet.outcome(&grey, outcome, now);
+        fleet.record_outcome(&grey, outcome, now);
         for sound in ["e1", "e2"] {
-            fleet.outcome(&EndpointId::from(sound), Outcome::Answered(at(20)), now);
+            fleet.record_outcome(&EndpointId::from(sound), Outcome::Answered(at(20)), now);
         }
     }
     let used: BTreeSet<_> = (0..12)
@@ -68,8 +68,8 @@
     let mut fleet = pool(&[1, 1]);
     let grey = EndpointId::from("e0");
     for _ in 0..20 {
-        fleet.outcome(&grey, Outcome::Failed, at(0));
-        fleet.outcome(&EndpointId::from("e1"), Outcome::Answered(at(20)), at(0));
+        fleet.record_outcome(&grey, Outcome::Failed, at(0));
+        fleet.record_outcome(&EndpointId::from("e1"), Outcome::Answered(at(20)), at(0));
     }
     assert_eq!(send(&mut fleet, None, &[], 0, at(10)).as_deref(), Some("e1"));
     let used: BTreeSet<_> = (0..40)
@@ -83,8 +83,8 @@
 fn late_answers_make_no_endpoint_grey() {
     let mut fleet = pool(&[1, 1]);
     for _ in 0..50 {
-        fleet.outcome(&EndpointId::from("e0"), Outcome::Silent, at(0));
-        fleet.outcome(&EndpointId::from("e0"), Outcome::Answered(at(400)), at(0));
+        fleet.record_outcome(&EndpointId::from("e0"), Outcome::Timeout, at(0));
+        fleet.record_outcome(&EndpointId::from("e0"), Outcome::Answered(at(400)), at(0));
     }
     let used: BTreeSet<_> = (0..40)
         .filter_map(|own| send(&mut fleet, Some(&prompt(own, 99)), &[], own, at(10)))
@@ -125,7 +125,7 @@
     let mut leaving = entry("e2", 1);
     leaving.leaving = true;
     let mut fleet = fleet(&[entry("e0", 1), entry("e1", 1), leaving]);
-    fleet.loads(BTreeSet::from([EndpointId::from("e0")]), BTreeSet::new());
+    fleet.set_loading(BTreeSet::from([EndpointId::from("e0")]), BTreeSet::new());
     let used: BTreeSet<_> = (0..20)
         .filter_map(|own| send(&mut fleet, Some(&prompt(own, 100 + own)), &[], own, at(0)))
         .collect();
@@ -137,14 +137,14 @@
 fn a_dead_endpoint_is_probed_and_not_called() {
     let mut fleet = pool(&[1, 1]);
     let dead = EndpointId::from("e0");
-    fleet.outcome(&dead, Outcome::Unreached, at(0));
-    fleet.outcome(&dead, Outcome::Unreached, at(10));
+    fleet.record_outcome(&dead, Outcome::ConnectFailed, at(0));
+    fleet.record_outcome(&dead, Outcome::ConnectFailed, at(10));
     for draw in 0..8 {
         assert_eq!(send(&mut fleet, None, &[], draw, at(20)).as_deref(), Some("e1"));
     }
     let probes = fleet.due_probes(at(300));
     assert_eq!(probes.iter().map(|entry| entry.id.as_str()).collect::<Vec<_>>(), ["e0"]);
-    fleet.probed(&dead, Outcome::Answered(at(5)), at(310));
+    fleet.record_probe(&dead, Outcome::Answered(at(5)), at(310));
     let used: BTreeSet<_> = (0..8)
         .filter_map(|draw| send(&mut fleet, None, &[], draw, at(320)))
         .collect();
@@ -157,13 +157,13 @@
     let mut fleet = pool(&[1, 1]);
     let id = EndpointId::from("e0");
     for _ in 0..6 {
-        fleet.begin(&id, Incarnation(1), 0, at(0));
+        fleet.request_started(&id, Incarnation(1), 0, at(0));
     }
     let mut reborn = entry("e0", 1);
     reborn.incarnation = Incarnation(2);
-    fleet.serves(&Arc::new(reborn), at(10));
-    fleet.end(&id, Incarnation(1));
-    fleet.begin(&EndpointId::from("e1"), Incarnation(1), 0, at(0));
+    fleet.upsert_endpoint(&Arc::new(reborn), at(10));
+    fleet.request_finished(&id, Incarnation(1));
+    fleet.request_started(&EndpointId::from("e1"), Incarnation(1), 0, at(0));
     assert_eq!(send(&mut fleet, None, &[], 0, at(20)).as_deref(), Some("e0"));
 }
 
@@ -174,12 +174,12 @@
     let id = EndpointId::from("e0");
     let full = LoadReport { running: 6, waiting: 4 };
     let mut neighbour = pool(&[1, 1]);
-    neighbour.reported(&id, full, at(1_000));
-    let mut news = neighbour.load_news(at(900), true);
+    neighbour.record_load(&id, full, at(1_000));
+    let mut news = neighbour.loads_since(at(900), true);
     assert_eq!(news.len(), 1);
-    assert_eq!(neighbour.load_news(at(1_000), true), []);
+    assert_eq!(neighbour.loads_since(at(1_000), true), []);
     // Clocks differ: the news comes with its age.
-    news[0].told = at(5_000);
+    news[0].reported_at = at(5_000);
     struct Case {
         own: Option<u64>,
         used: &'static str,
@@ -197,22 +197,22 @@
     ];
     for case in cases {
         let mut fleet = pool(&[1, 1]);
-        fleet.reported(
+        fleet.record_load(
             &EndpointId::from("e1"),
             LoadReport { running: 2, waiting: 0 },
             at(5_000),
         );
         if let Some(own) = case.own {
-            fleet.reported(&id, LoadReport::default(), at(own));
+            fleet.record_load(&id, LoadReport::default(), at(own));
         }
-        fleet.hear_loads(&news, at(5_050));
+        fleet.merge_loads(&news, at(5_050));
         assert_eq!(
             send(&mut fleet, None, &[], 0, at(5_100)).as_deref(),
             Some(case.used),
             "{:?}",
             case.own
         );
-        let passed_on = fleet.load_news(at(5_010), false);
+        let passed_on = fleet.loads_since(at(5_010), false);
         assert_eq!(passed_on.iter().any(|news| news.report == full), case.used == "e1");
     }
 }
@@ -225,15 +225,15 @@
     for session in 0..50 {
         let short = Prompt {
             parts: vec![
-                Part { id: 1, tokens: 119 },
-                Part {
+                PromptPart { id: 1, tokens: 119 },
+                PromptPart {
                     id: session,
                     tokens: 79,
                 },
-                Part { id: 9, tokens: 628 },
+                PromptPart { id: 9, tokens: 628 },
             ],
             tokens: 826,
-            output: 73,
+            max_output: 73,
             ..prompt(session, 9)
         };
         let mut used = BTreeSet::new();
@@ -247,8 +247,8 @@
                 now,
             )
             .expect("an endpoint");
-            fleet.prefilled(&EndpointId::from(name.as_str()), Incarnation(1), now);
-            fleet.end(&EndpointId::from(name.as_str()), Incarnation(1));
+            fleet.prefill_finished(&EndpointId::from(name.as_str()), Incarnation(1), now);
+            fleet.request_finished(&EndpointId::from(name.as_str()), Incarnation(1));
             used.insert(name);
         }
         moved += used.len() - 1;
--- a/crates/dispatch/tests/fleet_weights.rs
+++ b/crates/dispatch/tests/fleet_weights.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dispatch::fleet::{Fleet, LoadReport, Outcome, Part, Prompt};
+use dispatch::fleet::{Fleet, LoadReport, Outcome, Prompt, PromptPart};
 use ids::{EndpointId, Incarnation};
 use std::collections::BTreeSet;
 use support::fleet::{at, model, name, pool, prompt, send};
@@ -76,14 +76,14 @@
 fn long_answers_keep_away_from_endpoints_that_load_soon() {
     let long = |session| Prompt {
         parts: vec![
-            Part {
+            PromptPart {
                 id: session,
                 tokens: 512,
             },
-            Part { id: 8, tokens: 314 },
+            PromptPart { id: 8, tokens: 314 },
         ],
         tokens: 826,
-        output: 290,
+        max_output: 290,
         ..prompt(session, 8)
     };
     let short = |session| prompt(session, 8);
@@ -117,7 +117,7 @@
     ];
     for case in cases {
         let mut fleet = pool(&[1, 1, 1]);
-        fleet.loads(BTreeSet::new(), ids(case.coming));
+        fleet.set_loading(BTreeSet::new(), ids(case.coming));
         let used: BTreeSet<EndpointId> = (0..12)
             .filter_map(|session| send(&mut fleet, Some(&(case.prompt)(session)), &[], session, at(0)))
             .map(EndpointId::from)
@@ -133,9 +133,9 @@
     let id = EndpointId::from("e0");
     let mut fleet = pool(&[1, 1]);
     name(&mut fleet, 3, Some(at(0)));
-    fleet.other_weights(&id, &model());
+    fleet.correct_weights(&id, &model());
     assert_eq!(fleet.weights(&id, &model()), Some(3));
-    fleet.other_weights(&id, &model());
+    fleet.correct_weights(&id, &model());
     assert_eq!(fleet.weights(&id, &model()), Some(1));
 }
 
@@ -166,8 +166,8 @@
         let renewed = (0..1_000).filter(|session| {
             let used = send(&mut fleet, Some(&prompt(*session, 9)), &[], session * 7, at(2_000));
             let used = used.map(EndpointId::from).expect("an endpoint");
-            fleet.end(&used, Incarnation(1));
-            fleet.prefilled(&used, Incarnation(1), at(2_000));
+            fleet.request_finished(&used, Incarnation(1));
+            fleet.prefill_finished(&used, Incarnation(1), at(2_000));
             fleet.weights(&used, &model()) == Some(2)
         });
         let renewed = renewed.count();
@@ -211,8 +211,8 @@
         let old = (0..1_000).filter(|session| {
             let used = send(&mut fleet, Some(&prompt(*session, 9)), &[], session * 7, at(case.now));
             let used = used.map(EndpointId::from).expect("an endpoint");
-            fleet.end(&used, Incarnation(1));
-            fleet.prefilled(&used, Incarnation(1), at(case.now));
+            fleet.request_finished(&used, Incarnation(1));
+            fleet.prefill_finished(&used, Incarnation(1), at(case.now));
             fleet.weights(&used, &model()) == Some(1)
         });
         let old = old.count();
@@ -270,7 +270,8 @@
         now: u64,
         used: &'static [&'static str],
     }
-    let late: fn(&mut Fleet, &EndpointId) = |fleet, id| fleet.outcome(id, Outcome::Answered(at(1_400)), at(8_600));
+    let late: fn(&mut Fleet, &EndpointId) =
+        |fleet, id| fleet.record_outcome(id, Outcome::Answered(at(1_400)), at(8_600));
     let cases = [
         Case {
             what: "idle",
@@ -292,7 +293,7 @@
         },
         Case {
             what: "first events late a while ago",
-            seen: |fleet, id| fleet.outcome(id, Outcome::Answered(at(1_400)), at(5_000)),
+            seen: |fleet, id| fleet.record_outcome(id, Outcome::Answered(at(1_400)), at(5_000)),
             now: 8_700,
             used: &["e0", "e1"],
         },
@@ -300,14 +301,14 @@
             what: "many wait by its report",
             seen: |fleet, id| {
                 let running = 12;
-                fleet.reported(id, LoadReport { running, waiting: 60 }, at(8_600));
+                fleet.record_load(id, LoadReport { running, waiting: 60 }, at(8_600));
             },
             now: 8_700,
             used: &["e1"],
         },
         Case {
             what: "prompts of this router aren't read yet",
-            seen: |fleet, id| fleet.begin(id, Incarnation(1), 90_000, at(8_600)),
+            seen: |fleet, id| fleet.request_started(id, Incarnation(1), 90_000, at(8_600)),
             now: 8_700,
             used: &["e1"],
         },
--- a/crates/dispatch/tests/loading.rs
+++ b/crates/dispatch/tests/loading.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use dispatch::holder::TIMES;
-use dispatch::loading::{ANSWER, Loading, Next, OrderOutcome};
+use dispatch::loading::{Loading, Next, ORDER_TIMEOUT, OrderOutcome};
 use dispatch::rollout::{Report, SentOrder};
 use std::time::Duration;
 use support::pool::{BOUND, Pool, Trouble};
@@ -203,7 +203,7 @@
         orders: 0,
     };
     while now < limit {
-        let mut next = loading.looked(Some(report), 2, now);
+        let mut next = loading.on_report(Some(report), 2, now);
         if let Next::Order { expected } = next {
             orders += 1;
             let sent = SentOrder {
@@ -211,10 +211,10 @@
                 weights: 2,
                 at: now,
             };
-            now += ANSWER;
-            next = loading.answered(sent, OrderOutcome::Unanswered);
+            now += ORDER_TIMEOUT;
+            next = loading.on_outcome(sent, OrderOutcome::Unanswered);
         }
-        let Next::Look(pause) = next else {
+        let Next::Poll(pause) = next else {
             panic!("{next:?}");
         };
         now += pause.max(Duration::from_millis(1));
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -1,6 +1,6 @@
 //! How long ago weights were named, as far as routers can tell that start, freeze and ask each other.
 
-use dispatch::fleet::{Choice, Fleet, FleetSettings, NameAge, Part, Prompt, Wish};
+use dispatch::fleet::{Choice, Fleet, FleetSettings, PickContext, Prompt, PromptPart, TargetAge};
 use dispatch::retries::RetryLimits;
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, ModelId, ServiceId};
@@ -42,28 +42,28 @@
             window: ms(10_000),
             routers: 1,
         },
-        old_weights: ms(7_500),
-        last_weights: LAST,
+        soft_staleness: ms(7_500),
+        hard_staleness: LAST,
     })
 }
 
 /// Whether a router would let a prompt begin on an engine with these weights, the only one there is.
 fn begins(fleet: &mut Fleet, weights: u64, now: Duration) -> bool {
-    fleet.gone(&EndpointId::from("e"), now);
-    fleet.serves(&Arc::new(entry(weights)), now);
+    fleet.remove_endpoint(&EndpointId::from("e"), now);
+    fleet.upsert_endpoint(&Arc::new(entry(weights)), now);
     let prompt = Prompt {
         model: model(),
-        parts: vec![Part { id: 1, tokens: 100 }],
+        parts: vec![PromptPart { id: 1, tokens: 100 }],
         tokens: 100,
-        output: 10,
+        max_output: 10,
     };
-    let wish = Wish {
+    let wish = PickContext {
         service: &ServiceId::from("s"),
         avoid: &[],
         prompt: Some(&prompt),
         isolated: None,
     };
-    matches!(fleet.choose(&wish, 1, now), Choice::At(_))
+    matches!(fleet.choose(&wish, 1, now), Choice::Endpoint(_))
 }
 
 /// A router of the model: what it knows, and when the store last told it everything.
@@ -85,21 +85,21 @@
 
     /// The store tells the newest weights, not those in between nor when they were named.
     fn hears(&mut self, newest: u64, now: Duration) {
-        let age = NameAge {
-            least: Duration::ZERO,
-            most: self.confirmed.map(|confirmed| now - confirmed),
+        let age = TargetAge {
+            lower: Duration::ZERO,
+            upper: self.confirmed.map(|confirmed| now - confirmed),
         };
-        self.fleet.want(&model(), newest, age, now);
+        self.fleet.set_target(&model(), newest, age, now);
         self.confirmed = Some(now);
     }
 
-    fn asks(&mut self, told: &[(ModelId, u64, NameAge)], under_way: Duration, now: Duration) {
+    fn asks(&mut self, told: &[(ModelId, u64, TargetAge)], under_way: Duration, now: Duration) {
         for (model, weights, age) in told {
-            let age = NameAge {
-                least: age.least,
-                most: age.most.map(|most| most + under_way),
+            let age = TargetAge {
+                lower: age.lower,
+                upper: age.upper.map(|most| most + under_way),
             };
-            self.fleet.told_age(model, *weights, age, now);
+            self.fleet.merge_target_age(model, *weights, age, now);
         }
     }
 }
@@ -161,7 +161,7 @@
             Move::Freeze(at, time) => routers[at].frozen = now + ms(time),
             Move::Follow(at) if awake(&routers[at]) => routers[at].hears(newest, now),
             Move::Ask(at, other, under_way) if awake(&routers[at]) && awake(&routers[other]) => {
-                let told = routers[other].fleet.name_ages(now - ms(under_way));
+                let told = routers[other].fleet.target_ages(now - ms(under_way));
                 routers[at].asks(&told, ms(under_way), now);
             }
             Move::Follow(_) | Move::Ask(..) => {}
@@ -226,7 +226,14 @@
         router.hears(3, now);
         let told = |(weights, least, most): &(u64, u64, Option<u64>)| {
             let (least, most) = (ms(*least), most.map(ms));
-            (model(), *weights, NameAge { least, most })
+            (
+                model(),
+                *weights,
+                TargetAge {
+                    lower: least,
+                    upper: most,
+                },
+            )
         };
         let told: Vec<_> = case.told.iter().map(told).collect();
         router.asks(&told, ms(0), now);
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dispatch::fleet::{Choice, Fleet, RateNews, Wish};
+use dispatch::fleet::{Choice, Fleet, PickContext, RateUpdate};
 use ids::{EndpointId, VmId};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -62,7 +62,7 @@
     /// Arrivals at endpoints: when, and from whom.
     arrivals: Vec<Vec<(Duration, usize)>>,
     answers: BTreeMap<(Duration, u64), (usize, usize)>,
-    news: BTreeMap<(Duration, u64), (usize, Vec<RateNews>)>,
+    news: BTreeMap<(Duration, u64), (usize, Vec<RateUpdate>)>,
     refused: usize,
 }
 
@@ -85,7 +85,7 @@
             let mut fleet = fleet(&entries);
             let knows = |vm: &&VmId| *vm == own || world.draw(100) < case.known;
             let known: Vec<VmId> = vms.iter().filter(knows).cloned().collect();
-            fleet.members(own, &known);
+            fleet.set_routers(own, &known);
             world.fleets.push(fleet);
         }
         world
@@ -100,7 +100,7 @@
     }
 
     fn send(&mut self, router: usize, now: Duration) {
-        let wish = Wish {
+        let wish = PickContext {
             service: &service(),
             avoid: &[],
             prompt: None,
@@ -108,17 +108,17 @@
         };
         let draw = self.draw(u64::MAX);
         match self.fleets[router].choose(&wish, draw, now) {
-            Choice::At(picked) => {
+            Choice::Endpoint(picked) => {
                 let endpoint = number(&picked.endpoint.id);
                 self.arrivals[endpoint].push((now, router));
                 let key = (now + ANSWER, self.draw(u64::MAX));
                 self.answers.insert(key, (router, endpoint));
             }
-            Choice::Limited(after) => {
+            Choice::RateLimited(after) => {
                 assert!(after <= Duration::from_secs(2), "{after:?}");
                 self.refused += 1;
             }
-            Choice::Full | Choice::Nowhere => panic!("no endpoint is full"),
+            Choice::Full | Choice::Unavailable => panic!("no endpoint is full"),
         }
     }
 
@@ -130,14 +130,14 @@
             if in_need {
                 self.told.entry((router, endpoint)).or_insert(now);
             }
-            if self.fleets[router].named_rate(&EndpointId::from(name(endpoint)), rate, now) {
+            if self.fleets[router].record_rate(&EndpointId::from(name(endpoint)), rate, now) {
                 self.tell(case, router, now);
             }
         }
     }
 
     fn tell(&mut self, case: &Case, router: usize, now: Duration) {
-        let news = self.fleets[router].rate_news(now);
+        let news = self.fleets[router].recent_rates(now);
         if news.is_empty() {
             return;
         }
@@ -155,9 +155,9 @@
         while let Some(due) = self.news.first_entry().filter(|first| first.key().0 <= now) {
             let (hearer, mut news) = due.remove();
             for news in &mut news {
-                news.told = news.told.saturating_sub(at(HOP));
+                news.reported_at = news.reported_at.saturating_sub(at(HOP));
             }
-            if self.fleets[hearer].hear_rates(&news, now) {
+            if self.fleets[hearer].merge_rates(&news, now) {
                 self.tell(case, hearer, now);
             }
         }
--- a/crates/dispatch/tests/rollout.rs
+++ b/crates/dispatch/tests/rollout.rs
@@ -262,12 +262,12 @@
     let mut load = fleet(&(0..9).map(entry).collect::<Vec<_>>());
     let answers = (0..200).filter_map(|session| {
         let long = Prompt {
-            output: 600,
+            max_output: 600,
             ..prompt(session, 8)
         };
         let name = send(&mut load, Some(&long), &[], session, at(0))?;
-        load.prefilled(&EndpointId::from(name.as_str()), Incarnation(1), at(0));
-        load.end(&EndpointId::from(name.as_str()), Incarnation(1));
+        load.prefill_finished(&EndpointId::from(name.as_str()), Incarnation(1), at(0));
+        load.request_finished(&EndpointId::from(name.as_str()), Incarnation(1));
         Some(name)
     });
     let used: BTreeSet<EndpointId> = answers.map(|name| EndpointId::from(name.as_str())).collect();
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -1,7 +1,7 @@
 //! Routers that send long and short prompts to engines, simulated without I/O in steps of a millisecond.
 
 use super::fleet::{at, fleet, model, service};
-use dispatch::fleet::{Choice, Fleet, LoadReport, Outcome, Part, Picked, Prompt, Wish};
+use dispatch::fleet::{Choice, Fleet, LoadReport, Outcome, PickContext, PickedEndpoint, Prompt, PromptPart};
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, VmId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,7 +47,7 @@
 struct Request {
     router: usize,
     prompt: Prompt,
-    picked: Picked,
+    picked: PickedEndpoint,
     sent: u64,
     left: u64,
     /// When its answer ends, once its prompt is read.
@@ -91,7 +91,7 @@
             return None;
         }
         let mut request = self.waiting.remove(0);
-        request.ends = Some(now + request.prompt.output * TOKEN);
+        request.ends = Some(now + request.prompt.max_output * TOKEN);
         self.running.push(request);
         Some(self.running.len() - 1)
     }
@@ -182,17 +182,17 @@
         let router = self.random.below(self.load.routers as u64) as usize;
         let draw = self.random.next();
         let service = service();
-        let wish = Wish {
+        let wish = PickContext {
             service: &service,
             avoid: &[],
             prompt: Some(&prompt),
             isolated: None,
         };
-        let Choice::At(picked) = self.fleets[router].choose(&wish, draw, at(now)) else {
+        let Choice::Endpoint(picked) = self.fleets[router].choose(&wish, draw, at(now)) else {
             panic!("no endpoint at {now}");
         };
         let entry = Arc::clone(&picked.endpoint);
-        self.fleets[router].begin(&entry.id, entry.incarnation, picked.prefill, at(now));
+        self.fleets[router].request_started(&entry.id, entry.incarnation, picked.prefill, at(now));
         self.news.push((now + NEWS, router));
         let engine = self.engines.get_mut(&entry.id).expect("it was listed");
         let left = engine.lacks(&prompt);
@@ -219,24 +219,24 @@
                 let running = engine.running.len() as u32;
                 let request = &engine.running[read];
                 let waited = now - request.sent;
-                let chat = request.prompt.mostly_generates();
+                let chat = request.prompt.is_decode_heavy();
                 self.served.late_chats += usize::from(chat && waited > 400);
                 self.served.late_verdicts += usize::from(!chat && waited > 600);
                 let fleet = &mut self.fleets[request.router];
-                fleet.prefilled(id, Incarnation(1), at(request.sent));
-                fleet.outcome(id, Outcome::Answered(at(waited)), at(now));
-                fleet.reported(id, LoadReport { running, waiting }, at(now));
+                fleet.prefill_finished(id, Incarnation(1), at(request.sent));
+                fleet.record_outcome(id, Outcome::Answered(at(waited)), at(now));
+                fleet.record_load(id, LoadReport { running, waiting }, at(now));
                 self.news.push((now + NEWS, request.router));
             }
             for ended in engine
                 .running
                 .extract_if(.., |request| request.ends.is_some_and(|at| now >= at))
             {
-                let chat = ended.prompt.mostly_generates();
+                let chat = ended.prompt.is_decode_heavy();
                 self.served.chats += usize::from(chat);
                 self.served.verdicts += usize::from(!chat);
                 self.served.paused_chats += usize::from(chat && ended.paused);
-                self.fleets[ended.router].end(&ended.picked.endpoint.id, Incarnation(1));
+                self.fleets[ended.router].request_finished(&ended.picked.endpoint.id, Incarnation(1));
             }
         }
     }
@@ -255,7 +255,7 @@
             let name = VmId::from(format!("router-{from}").as_str());
             for (to, fleet) in self.fleets.iter_mut().enumerate() {
                 if to != from {
-                    fleet.hear_backlog(&name, &told, at(now));
+                    fleet.update_backlog(&name, &told, at(now));
                 }
             }
         }
@@ -263,7 +263,7 @@
 }
 
 fn prompt(subject: u64, outer: u64, inner: u64, own: u64, output: u64) -> Prompt {
-    let part = |id, tokens| Part { id, tokens };
+    let part = |id, tokens| PromptPart { id, tokens };
     Prompt {
         model: model(),
         parts: vec![
@@ -272,6 +272,6 @@
             part(2_000_000, own),
         ],
         tokens: outer + inner + own,
-        output,
+        max_output: output,
     }
 }
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of endpoints, and where its requests go.
 
-use dispatch::fleet::{Choice, Fleet, FleetSettings, NameAge, Part, Prompt, Wish};
+use dispatch::fleet::{Choice, Fleet, FleetSettings, PickContext, Prompt, PromptPart, TargetAge};
 use dispatch::retries::RetryLimits;
 use dispatch::site::EndpointEntry;
 use ids::{DomainId, EndpointId, Incarnation, ModelId, ServiceId};
@@ -43,11 +43,11 @@
             window: Duration::from_secs(10),
             routers: 0,
         },
-        old_weights: OLD,
-        last_weights: at(9_500),
+        soft_staleness: OLD,
+        hard_staleness: at(9_500),
     });
     for entry in entries {
-        fleet.serves(&Arc::new(entry.clone()), at(0));
+        fleet.upsert_endpoint(&Arc::new(entry.clone()), at(0));
     }
     fleet
 }
@@ -62,26 +62,26 @@
 
 /// New weights are named at a time that the router saw, or before it knew of any.
 pub fn name(fleet: &mut Fleet, weights: u64, named: Option<Duration>) {
-    let age = NameAge {
-        least: Duration::ZERO,
-        most: named.map(|_| Duration::ZERO),
+    let age = TargetAge {
+        lower: Duration::ZERO,
+        upper: named.map(|_| Duration::ZERO),
     };
-    fleet.want(&model(), weights, age, named.unwrap_or_default());
+    fleet.set_target(&model(), weights, age, named.unwrap_or_default());
 }
 
 pub fn prompt(session: u64, own: u64) -> Prompt {
     Prompt {
         model: model(),
         parts: vec![
-            Part { id: 1, tokens: 2_520 },
-            Part {
+            PromptPart { id: 1, tokens: 2_520 },
+            PromptPart {
                 id: session,
                 tokens: 3_780,
             },
-            Part { id: own, tokens: 2_890 },
+            PromptPart { id: own, tokens: 2_890 },
         ],
         tokens: 9_190,
-        output: 10,
+        max_output: 10,
     }
 }
 
@@ -94,18 +94,18 @@
     now: Duration,
 ) -> Option<String> {
     let service = service();
-    let wish = Wish {
+    let wish = PickContext {
         service: &service,
         avoid,
         prompt,
         isolated: None,
     };
     match fleet.choose(&wish, draw, now) {
-        Choice::At(picked) => {
+        Choice::Endpoint(picked) => {
             let endpoint = &picked.endpoint;
-            fleet.begin(&endpoint.id, endpoint.incarnation, picked.prefill, now);
+            fleet.request_started(&endpoint.id, endpoint.incarnation, picked.prefill, now);
             Some(endpoint.id.to_string())
         }
-        Choice::Full | Choice::Limited(_) | Choice::Nowhere => None,
+        Choice::Full | Choice::RateLimited(_) | Choice::Unavailable => None,
     }
 }
--- a/crates/dispatch/tests/support/pool.rs
+++ b/crates/dispatch/tests/support/pool.rs
@@ -1,7 +1,7 @@
 //! A pool of engines whose weights a holder renews, simulated without I/O in steps of 10 ms.
 
 use dispatch::holder::{ForeignOrders, HANDOVER_SLACK, list_is_current};
-use dispatch::loading::{ANSWER, Loading, Next, OrderOutcome};
+use dispatch::loading::{Loading, Next, ORDER_TIMEOUT, OrderOutcome};
 use dispatch::rollout::{LoadCandidate, Report, SentOrder, plan_loads};
 use ids::EndpointId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -68,7 +68,7 @@
         }
         self.orders += 1;
         self.load = Some((order.weights, LOAD * 10));
-        OrderOutcome::Taken
+        OrderOutcome::Accepted
     }
 
     fn loads(&self, now: u64) -> bool {
@@ -261,8 +261,8 @@
             return;
         }
         let mut next = match part.waits.take() {
-            Some((_, sent)) => part.loading.answered(sent, OrderOutcome::Unanswered),
-            None => part.loading.looked(Some(engine.report(now)), wanted, at),
+            Some((_, sent)) => part.loading.on_outcome(sent, OrderOutcome::Unanswered),
+            None => part.loading.on_report(Some(engine.report(now)), wanted, at),
         };
         if let Next::Order { expected } = next {
             if !fresh {
@@ -285,14 +285,14 @@
             let (every, later) = self.trouble.late;
             if every > 0 && self.orders.is_multiple_of(every) {
                 engine.late.push((now + later, order));
-                part.look = now + ANSWER.as_millis() as u64;
+                part.look = now + ORDER_TIMEOUT.as_millis() as u64;
                 part.waits = Some((now, sent));
                 return;
             }
-            next = part.loading.answered(sent, engine.take(order));
+            next = part.loading.on_outcome(sent, engine.take(order));
         }
         match next {
-            Next::Look(pause) => part.look = now + pause.as_millis() as u64,
+            Next::Poll(pause) => part.look = now + pause.as_millis() as u64,
             Next::Done(_) | Next::Stop => {
                 self.parts.remove(id);
                 self.ended.insert(id.clone(), now);
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -6,7 +6,7 @@
 use crate::orders::Listed;
 use crate::shared::Shared;
 use async_channel::Receiver;
-use dispatch::fleet::NameAge;
+use dispatch::fleet::TargetAge;
 use dispatch::holder::{ForeignOrders, Holder, HolderRecord, TIMES, fence};
 use dispatch::rollout::LoadBackoff;
 use dispatch::roster::{ListChange, Roster, RosterChange};
@@ -325,7 +325,7 @@
             match change {
                 RosterChange::InService(entry) => {
                     self.shared.links.forget(&entry.id, Some(entry.incarnation));
-                    self.shared.fleet().serves(&entry, now);
+                    self.shared.fleet().upsert_endpoint(&entry, now);
                     log::info!(
                         endpoint = entry.id.as_str(),
                         service = entry.service.as_str(),
@@ -347,7 +347,7 @@
                 }
                 RosterChange::Removed(id) => {
                     self.shared.links.forget(&id, None);
-                    self.shared.fleet().gone(&id, now);
+                    self.shared.fleet().remove_endpoint(&id, now);
                     log::info!(endpoint = id.as_str(); "endpoint: gone");
                 }
             }
@@ -418,11 +418,11 @@
                     unheard_ms = unheard.map_or(-1, |age| age.as_millis() as i64);
                     "weights: wanted"
                 );
-                let age = NameAge {
-                    least: Duration::ZERO,
-                    most: unheard,
+                let age = TargetAge {
+                    lower: Duration::ZERO,
+                    upper: unheard,
                 };
-                self.shared.fleet().want(&wanted.model, wanted.weights, age, now);
+                self.shared.fleet().set_target(&wanted.model, wanted.weights, age, now);
             }
             Err(err) => log::error!(key = item.key.as_str(), why:% = err; "weights: cannot be read"),
         }
@@ -467,7 +467,7 @@
         {
             let mut fleet = self.shared.fleet();
             for loaded in holding.loaded.iter().filter(|loaded| self.lives(loaded)) {
-                fleet.serves_weights(&loaded.endpoint, &loaded.model, loaded.weights);
+                fleet.record_weights(&loaded.endpoint, &loaded.model, loaded.weights);
             }
         }
         self.told = holding;
@@ -490,9 +490,9 @@
         let mut fleet = self.shared.fleet();
         if known && self.occupant == Some(self.told.fence) {
             let set = |ids: &[EndpointId]| ids.iter().cloned().collect();
-            fleet.loads(set(&self.told.loading), set(&self.told.coming));
+            fleet.set_loading(set(&self.told.loading), set(&self.told.coming));
         } else {
-            fleet.loads(BTreeSet::new(), BTreeSet::new());
+            fleet.set_loading(BTreeSet::new(), BTreeSet::new());
         }
     }
 
--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -5,7 +5,7 @@
 use async_channel::{Receiver, Sender};
 use async_std::future::timeout;
 use async_std::task;
-use dispatch::fleet::{Backlog, RateNews};
+use dispatch::fleet::{Backlog, RateUpdate};
 use peers::{BacklogTold, Leader, PeerError, RateTold};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -41,20 +41,20 @@
             find(&shared, &mut told);
         }
         let backlog = shared.fleet().own_backlog(now);
-        let rates = shared.fleet().rate_news(now);
+        let rates = shared.fleet().recent_rates(now);
         let nothing = backlog.tokens.is_empty() && rates.is_empty();
         if nothing && idle {
             continue;
         }
         idle = nothing;
-        let rate = |news: &RateNews| RateTold(news.endpoint, news.rate, age(news.told, now));
+        let rate = |news: &RateUpdate| RateTold(news.endpoint, news.rate, age(news.reported_at, now));
         let rates: Vec<RateTold> = rates.iter().map(rate).collect();
         let router = shared.settings.load().vm.clone();
         for sender in told.values() {
             let news = BacklogTold {
                 router: router.clone(),
                 backlogs: backlog.tokens.clone(),
-                reads: backlog.reads.clone(),
+                reads: backlog.lane_tokens.clone(),
                 rates: rates.clone(),
             };
             // Only the newest word counts; a receiver that is gone is replaced with the next look.
@@ -104,19 +104,19 @@
     let now = shared.clock.now();
     let backlog = Backlog {
         tokens: told.backlogs.clone(),
-        reads: told.reads.clone(),
+        lane_tokens: told.reads.clone(),
     };
     // Taken for as old as it can be: news that comes back must not count as newer than what it repeats.
-    let rate = |RateTold(endpoint, rate, age): &RateTold| RateNews {
+    let rate = |RateTold(endpoint, rate, age): &RateTold| RateUpdate {
         endpoint: *endpoint,
         rate: *rate,
-        told: now.saturating_sub(Duration::from_millis(*age) + CALL),
+        reported_at: now.saturating_sub(Duration::from_millis(*age) + CALL),
     };
-    let rates: Vec<RateNews> = told.rates.iter().map(rate).collect();
+    let rates: Vec<RateUpdate> = told.rates.iter().map(rate).collect();
     let mut fleet = shared.fleet();
-    fleet.hear_backlog(&told.router, &backlog, now);
-    if fleet.hear_rates(&rates, now) {
-        let rated = fleet.rated();
+    fleet.update_backlog(&told.router, &backlog, now);
+    if fleet.merge_rates(&rates, now) {
+        let rated = fleet.rate_limited_count();
         drop(fleet);
         shared.metrics.rated.set(rated as i64);
         log::info!(router = told.router.as_str(), rated = rated; "endpoint: another router was told a rate");
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -167,8 +167,8 @@
         let members = Members::read(&self.shared);
         {
             let mut fleet = self.shared.fleet();
-            fleet.routers(members.count());
-            fleet.members(&settings.vm, &members.ids());
+            fleet.set_router_count(members.count());
+            fleet.set_routers(&settings.vm, &members.ids());
         }
         let leaders = members.leaders(&settings.vm, &settings.domain);
         self.shared.watches.store(leaders.is_empty(), Ordering::SeqCst);
--- a/crates/gateway/src/follow/names.rs
+++ b/crates/gateway/src/follow/names.rs
@@ -7,7 +7,7 @@
 use super::others::{CALL, ask_others};
 use crate::shared::Shared;
 use async_std::task;
-use dispatch::fleet::NameAge;
+use dispatch::fleet::TargetAge;
 use ids::ModelId;
 use peers::{Leader, NameTold};
 use std::sync::Arc;
@@ -24,7 +24,7 @@
     let mut pause = LOOK;
     loop {
         task::sleep(pause).await;
-        if shared.fleet().vague_names(shared.clock.now()) {
+        if shared.fleet().has_uncertain_age(shared.clock.now()) {
             ask(&shared).await;
             pause = (pause * 2).min(LOOK_MOST);
         } else {
@@ -35,12 +35,12 @@
 
 /// What this router tells another.
 pub fn answer(shared: &Shared) -> Vec<NameTold> {
-    let ages = shared.fleet().name_ages(shared.clock.now());
-    let told = |(model, weights, age): (ModelId, u64, NameAge)| NameTold {
+    let ages = shared.fleet().target_ages(shared.clock.now());
+    let told = |(model, weights, age): (ModelId, u64, TargetAge)| NameTold {
         model,
         weights,
-        least_ms: age.least.as_millis() as u64,
-        most_ms: age.most.map(|most| most.as_millis() as u64),
+        least_ms: age.lower.as_millis() as u64,
+        most_ms: age.upper.map(|most| most.as_millis() as u64),
     };
     ages.into_iter().map(told).collect()
 }
@@ -60,16 +60,16 @@
     let under_way = now.saturating_sub(sent);
     let mut fleet = shared.fleet();
     for name in told {
-        let age = NameAge {
-            least: Duration::from_millis(name.least_ms),
-            most: name.most_ms.map(|most| Duration::from_millis(most) + under_way),
+        let age = TargetAge {
+            lower: Duration::from_millis(name.least_ms),
+            upper: name.most_ms.map(|most| Duration::from_millis(most) + under_way),
         };
-        if fleet.told_age(&name.model, name.weights, age, now) {
+        if fleet.merge_target_age(&name.model, name.weights, age, now) {
             log::info!(
                 model = name.model.as_str(),
                 weights = name.weights,
                 least_ms = name.least_ms,
-                most_ms = age.most.unwrap_or_default().as_millis() as u64;
+                most_ms = age.upper.unwrap_or_default().as_millis() as u64;
                 "weights: another router told how long ago they were named"
             );
         }
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -9,7 +9,7 @@
 use async_std::task;
 use dispatch::fleet::Outcome;
 use dispatch::holder::{Holder, list_is_current};
-use dispatch::loading::{ANSWER, Loading, Next, OrderOutcome};
+use dispatch::loading::{Loading, Next, ORDER_TIMEOUT, OrderOutcome};
 use dispatch::rollout::{Report, SentOrder};
 use dispatch::site::EndpointEntry;
 use http::raw::{ExchangeError, Headers};
@@ -93,19 +93,19 @@
             let wanted = self.wanted()?;
             self.may_order()?;
             let report = self.report(&mut line).await;
-            let mut next = loading.looked(report, wanted, self.shared.clock.now());
+            let mut next = loading.on_report(report, wanted, self.shared.clock.now());
             if let Next::Order { expected } = next {
                 next = if self.is_listed().await {
                     let (sent, outcome) = self.order(wanted, expected).await?;
-                    loading.answered(sent, outcome)
+                    loading.on_outcome(sent, outcome)
                 } else {
-                    loading.unlisted()
+                    loading.on_list_failure()
                 };
             }
             match next {
                 Next::Done(weights) => return Some(weights),
                 Next::Stop => return None,
-                Next::Look(pause) => task::sleep(pause).await,
+                Next::Poll(pause) => task::sleep(pause).await,
                 Next::Order { .. } => {}
             }
         }
@@ -134,7 +134,7 @@
 
     fn wanted(&self) -> Option<u64> {
         let fleet = self.shared.fleet();
-        let wanted = fleet.wanted().find(|(model, _)| **model == self.model);
+        let wanted = fleet.targets().find(|(model, _)| **model == self.model);
         wanted.map(|(_, weights)| weights)
     }
 
@@ -166,13 +166,13 @@
             fence,
         };
         let (call, headers) = (self.shared.dialect.order)(&order);
-        let answer = ask(self.entry.address, &call, &headers, ANSWER).await;
+        let answer = ask(self.entry.address, &call, &headers, ORDER_TIMEOUT).await;
         let outcome = match &answer {
             Ok((status, _)) => match (self.shared.dialect.ordered)(*status) {
-                OrderAnswer::Accepted | OrderAnswer::Holds => OrderOutcome::Taken,
+                OrderAnswer::Accepted | OrderAnswer::Holds => OrderOutcome::Accepted,
                 OrderAnswer::Conflict => OrderOutcome::Conflict,
                 // Another endpoint has the address by now, or this one will never take the order.
-                OrderAnswer::Refused => OrderOutcome::Refused,
+                OrderAnswer::Refused => OrderOutcome::Rejected,
             },
             Err(ExchangeError::NotSent) => OrderOutcome::Conflict,
             Err(_) => OrderOutcome::Unanswered,
@@ -196,10 +196,10 @@
 
 fn name(outcome: OrderOutcome) -> &'static str {
     match outcome {
-        OrderOutcome::Taken => "taken",
+        OrderOutcome::Accepted => "taken",
         OrderOutcome::Unanswered => "unanswered",
         OrderOutcome::Conflict => "conflict",
-        OrderOutcome::Refused => "refused",
+        OrderOutcome::Rejected => "refused",
     }
 }
 
@@ -212,8 +212,8 @@
     let outcome = match answer {
         Ok((200, _)) => Outcome::Answered(now.saturating_sub(asked)),
         Ok(_) => Outcome::Declined,
-        Err(ExchangeError::NotSent) => Outcome::Unreached,
+        Err(ExchangeError::NotSent) => Outcome::ConnectFailed,
         Err(_) => Outcome::Broken,
     };
-    shared.fleet().probed(&entry.id, outcome, now);
+    shared.fleet().record_probe(&entry.id, outcome, now);
 }
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -9,7 +9,7 @@
 use crate::link::Link;
 use crate::shared::Shared;
 use dispatch::attempt::{self, AttemptHistory, Cause, Failure, PendingAttempt, RetryDecision, Wait};
-use dispatch::fleet::{Behind, Choice, Outcome, Picked, Wish};
+use dispatch::fleet::{Choice, Outcome, PickContext, PickedEndpoint, Staleness};
 use http::raw::{Answer, ExchangeError, Headers, Source, exchange};
 use ids::EndpointId;
 use lifecycle::events::EventSplitter;
@@ -147,7 +147,7 @@
         let now = self.shared.clock.now();
         let (kind, objective) = (self.call.route.kind, self.call.route.objective);
         let fleet = self.shared.fleet();
-        kind.streams() && fleet.refuses(self.call.service, objective, rand::random(), now)
+        kind.streams() && fleet.should_shed(self.call.service, objective, rand::random(), now)
     }
 
     /// The first event has come, or the wait for it has ended.
@@ -158,15 +158,17 @@
         let now = self.shared.clock.now();
         let waited = now.saturating_sub(began);
         let objective = self.call.route.objective;
-        self.shared.fleet().waited(self.call.service, objective, waited, now);
+        self.shared
+            .fleet()
+            .record_first_event(self.call.service, objective, waited, now);
     }
 
-    fn note(&mut self, picked: &Picked, outcome: &str) {
+    fn note(&mut self, picked: &PickedEndpoint, outcome: &str) {
         let now = self.shared.clock.now();
         self.record.tried(&picked.endpoint.id, picked.reason, outcome, now);
     }
 
-    fn note_prompt(&mut self, picked: &Picked) {
+    fn note_prompt(&mut self, picked: &PickedEndpoint) {
         if let Some(prompt) = &self.call.wish.prompt {
             self.record.prompt = PromptNote {
                 tokens: prompt.tokens,
@@ -185,8 +187,8 @@
         self.call.route.kind.repeatable()
     }
 
-    fn choose(&self) -> Result<Picked, Cause> {
-        let wish = Wish {
+    fn choose(&self) -> Result<PickedEndpoint, Cause> {
+        let wish = PickContext {
             service: self.call.service,
             avoid: &self.avoid,
             prompt: self.call.wish.prompt.as_ref(),
@@ -194,10 +196,10 @@
         };
         let now = self.shared.clock.now();
         match self.shared.fleet().choose(&wish, rand::random(), now) {
-            Choice::At(picked) => Ok(picked),
+            Choice::Endpoint(picked) => Ok(picked),
             Choice::Full => Err(Cause::Full),
-            Choice::Limited(after) => Err(Cause::Limited(after)),
-            Choice::Nowhere => Err(Cause::NoEndpoint),
+            Choice::RateLimited(after) => Err(Cause::Limited(after)),
+            Choice::Unavailable => Err(Cause::NoEndpoint),
         }
     }
 
@@ -211,7 +213,7 @@
             RetryDecision::GiveUp => false,
             RetryDecision::Retry => {
                 let now = self.shared.clock.now();
-                self.shared.fleet().another_attempt(self.call.service, now)
+                self.shared.fleet().try_retry(self.call.service, now)
             }
         }
     }
@@ -230,13 +232,13 @@
         Finish::Refused(cause, state)
     }
 
-    async fn attempt(&mut self, picked: &Picked) -> Attempted {
+    async fn attempt(&mut self, picked: &PickedEndpoint) -> Attempted {
         let mut flight = Flight::new(self.shared, picked);
         let link = match self.link(picked).await {
             Waited::Done(Ok(link)) => link,
             Waited::Done(Err(_)) => {
                 self.unreached += 1;
-                flight.outcome(Outcome::Unreached);
+                flight.outcome(Outcome::ConnectFailed);
                 return Attempted::Failed(Failure::NotSent);
             }
             Waited::CallerGone => return Attempted::Ended(self.gone()),
@@ -273,7 +275,7 @@
             }
             Waited::TimeOver => {
                 self.waited(flight.began);
-                flight.outcome(Outcome::Silent);
+                flight.outcome(Outcome::Timeout);
                 self.silent()
             }
         }
@@ -284,7 +286,7 @@
     /// drops the request.
     pub(super) async fn unbegun<T>(
         &self,
-        picked: &Picked,
+        picked: &PickedEndpoint,
         within: Duration,
         future: impl Future<Output = T>,
     ) -> Result<Waited<T>, Outdated> {
@@ -315,7 +317,7 @@
     }
 
     /// Whether the weights that an attempt names are too old to begin on by now.
-    fn outdated(&self, picked: &Picked) -> bool {
+    fn outdated(&self, picked: &PickedEndpoint) -> bool {
         let now = self.shared.clock.now();
         let prompt = self.call.wish.prompt.as_ref();
         prompt.is_some_and(|prompt| !self.shared.fleet().may_begin(&prompt.model, picked.weights, now))
@@ -328,11 +330,11 @@
     }
 
     /// Weights that an attempt names, and how far they are behind.
-    fn behind(&self, picked: &Picked) -> Option<(u64, Behind)> {
+    fn behind(&self, picked: &PickedEndpoint) -> Option<(u64, Staleness)> {
         let prompt = self.call.wish.prompt.as_ref()?;
         let weights = picked.weights?;
         let now = self.shared.clock.now();
-        Some((weights, self.shared.fleet().behind(&prompt.model, weights, now)))
+        Some((weights, self.shared.fleet().staleness(&prompt.model, weights, now)))
     }
 
     /// The endpoint has not answered in the time for this attempt.
@@ -355,7 +357,7 @@
         }
     }
 
-    async fn link(&self, picked: &Picked) -> Waited<Result<Link, ExchangeError>> {
+    async fn link(&self, picked: &PickedEndpoint) -> Waited<Result<Link, ExchangeError>> {
         if self.repeatable()
             && let Some(link) = self.shared.links.kept(&picked.endpoint)
         {
@@ -366,7 +368,7 @@
         wait(&self.call.caller.conn, left, open).await
     }
 
-    async fn exchange(&self, picked: &Picked, link: Link) -> Result<(Answer, Source), ExchangeError> {
+    async fn exchange(&self, picked: &PickedEndpoint, link: Link) -> Result<(Answer, Source), ExchangeError> {
         let request = self.bytes(picked);
         let method = &self.call.caller.head.method;
         let facts = self.shared.dialect.facts;
@@ -410,20 +412,20 @@
         self.whole(flight, answer, source, &facts).await
     }
 
-    fn learn(&self, picked: &Picked, facts: &AnswerFacts) {
+    fn learn(&self, picked: &PickedEndpoint, facts: &AnswerFacts) {
         let id = &picked.endpoint.id;
         let now = self.shared.clock.now();
         let mut fleet = self.shared.fleet();
         if let Some(load) = facts.load {
-            fleet.reported(id, load, now);
+            fleet.record_load(id, load, now);
         }
         if let (Some(prompt), Some(weights)) = (&self.call.wish.prompt, facts.weights) {
-            fleet.serves_weights(id, &prompt.model, weights);
+            fleet.record_weights(id, &prompt.model, weights);
         }
         // A refusal without a rate says nothing of the need.
         let tells = facts.rate.is_some() || !facts.not_run;
-        if tells && fleet.named_rate(id, facts.rate, now) {
-            let rated = fleet.rated();
+        if tells && fleet.record_rate(id, facts.rate, now) {
+            let rated = fleet.rate_limited_count();
             drop(fleet);
             self.shared.metrics.rated.set(rated as i64);
             log::info!(
@@ -442,14 +444,14 @@
         let meant = &flight.picked.endpoint.id;
         if status == 421 && facts.endpoint.as_ref().is_some_and(|other| other != meant) {
             // Another endpoint has the address now.
-            flight.outcome(Outcome::Unreached);
+            flight.outcome(Outcome::ConnectFailed);
             self.shared.links.forget(meant, None);
             return Attempted::Failed(Failure::Declined);
         }
         if status == 421
             && let Some(prompt) = &self.call.wish.prompt
         {
-            self.shared.fleet().other_weights(meant, &prompt.model);
+            self.shared.fleet().correct_weights(meant, &prompt.model);
             return Attempted::Failed(Failure::OtherWeights);
         }
         flight.outcome(Outcome::Declined);
--- a/crates/gateway/src/serve/flight.rs
+++ b/crates/gateway/src/serve/flight.rs
@@ -1,24 +1,24 @@
 //! One request in flight at one endpoint.
 
 use crate::shared::Shared;
-use dispatch::fleet::{Outcome, Picked};
+use dispatch::fleet::{Outcome, PickedEndpoint};
 use std::time::Duration;
 
 /// A request in flight at an endpoint; counted there until dropped.
 pub(super) struct Flight<'a> {
     shared: &'a Shared,
-    pub(super) picked: &'a Picked,
+    pub(super) picked: &'a PickedEndpoint,
     pub(super) began: Duration,
     read: bool,
 }
 
 impl<'a> Flight<'a> {
-    pub(super) fn new(shared: &'a Shared, picked: &'a Picked) -> Self {
+    pub(super) fn new(shared: &'a Shared, picked: &'a PickedEndpoint) -> Self {
         let entry = &picked.endpoint;
         let began = shared.clock.now();
         shared
             .fleet()
-            .begin(&entry.id, entry.incarnation, picked.prefill, began);
+            .request_started(&entry.id, entry.incarnation, picked.prefill, began);
         if picked.prefill > 0 {
             shared.waits_changed();
         }
@@ -35,7 +35,9 @@
         if !self.read {
             self.read = true;
             let entry = &self.picked.endpoint;
-            self.shared.fleet().prefilled(&entry.id, entry.incarnation, self.began);
+            self.shared
+                .fleet()
+                .prefill_finished(&entry.id, entry.incarnation, self.began);
             if self.picked.prefill > 0 {
                 self.shared.waits_changed();
             }
@@ -44,7 +46,9 @@
 
     pub(super) fn outcome(&self, outcome: Outcome) {
         let now = self.shared.clock.now();
-        self.shared.fleet().outcome(&self.picked.endpoint.id, outcome, now);
+        self.shared
+            .fleet()
+            .record_outcome(&self.picked.endpoint.id, outcome, now);
     }
 
     pub(super) fn answered(&self) {
@@ -57,6 +61,6 @@
     fn drop(&mut self) {
         self.prompt_read();
         let entry = &self.picked.endpoint;
-        self.shared.fleet().end(&entry.id, entry.incarnation);
+        self.shared.fleet().request_finished(&entry.id, entry.incarnation);
     }
 }
