--- a/crates/apricotfork/src/gateway_command.rs
+++ b/crates/apricotfork/src/gateway_command.rs
@@ -5,7 +5,7 @@
 use async_channel::Sender;
 use async_std::task;
 use futures::StreamExt;
-use gateway::{Addresses, RunError, Settings, Told, read_settings};
+use gateway::{Addresses, RunError, Settings, Signal, read_settings};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_async_std::Signals;
 use std::path::{Path, PathBuf};
@@ -41,11 +41,11 @@
 }
 
 /// Passes signals on, and settings that have changed.
-async fn watch(mut signals: Signals, told: Sender<Told>, file: PathBuf, mut known: String) {
+async fn watch(mut signals: Signals, told: Sender<Signal>, file: PathBuf, mut known: String) {
     loop {
         let next = async_std::future::timeout(LOOK, signals.next()).await;
         let message = match next {
-            Ok(Some(SIGTERM | SIGINT)) => Some(Told::Stop),
+            Ok(Some(SIGTERM | SIGINT)) => Some(Signal::Stop),
             Ok(None) => return,
             Ok(Some(_)) | Err(_) => reread(&file, &mut known),
         };
@@ -57,7 +57,7 @@
 }
 
 /// Settings that differ from those that are known; ones with errors leave the last ones in force.
-fn reread(file: &Path, known: &mut String) -> Option<Told> {
+fn reread(file: &Path, known: &mut String) -> Option<Signal> {
     let text = match std::fs::read_to_string(file) {
         Ok(text) => text,
         Err(err) => {
@@ -70,7 +70,7 @@
     }
     *known = text;
     match read_settings(known) {
-        Ok(settings) => Some(Told::Settings(Box::new(settings))),
+        Ok(settings) => Some(Signal::Reload(Box::new(settings))),
         Err(problems) => {
             for problem in problems {
                 log::error!("settings: {problem}");
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -19,5 +19,5 @@
 pub use dialect::{
     AnswerFacts, BadCall, CallerWish, Dialect, Forward, Holding, OrderAnswer, StoreKeys, WantedWeights, WeightsOrder,
 };
-pub use run::{Addresses, RunError, Told, run};
+pub use run::{Addresses, RunError, Signal, run};
 pub use settings::{Bounds, Settings, SettingsProblem, read_settings};
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -49,11 +49,11 @@
 
 /// What the process is told from outside.
 #[derive(Debug, Clone)]
-pub enum Told {
+pub enum Signal {
     /// Shut down gracefully; a second time: at once.
     Stop,
     /// Other settings.
-    Settings(Box<Settings>),
+    Reload(Box<Settings>),
 }
 
 /// Where a router listens.
@@ -77,7 +77,7 @@
     settings: Settings,
     dialect: Dialect,
     started: impl FnOnce(Addresses),
-    told: Receiver<Told>,
+    told: Receiver<Signal>,
 ) -> Result<(), RunError> {
     let callers = listen(settings.callers).await?;
     let readiness = listen(settings.readiness).await?;
@@ -151,8 +151,8 @@
     Ok(())
 }
 
-async fn wait_for_stop(shared: &Shared, told: &Receiver<Told>) {
-    while let Ok(Told::Settings(settings)) = told.recv().await {
+async fn wait_for_stop(shared: &Shared, told: &Receiver<Signal>) {
+    while let Ok(Signal::Reload(settings)) = told.recv().await {
         log::info!(store:% = settings.store; "settings reloaded");
         shared.reload(*settings);
     }
@@ -160,7 +160,7 @@
 
 /// Unready at once, so that the balancer sends nothing new; answers go on, each ending its connection; then the end of
 /// what is in flight.
-async fn shut_down(shared: &Shared, told: &Receiver<Told>) -> Result<(), RunError> {
+async fn shut_down(shared: &Shared, told: &Receiver<Signal>) -> Result<(), RunError> {
     let begun = Instant::now();
     shared.stopping.store(true, Ordering::SeqCst);
     log::info!(in_flight = shared.in_flight.load(Ordering::SeqCst); "stopping: not ready, still serving");
@@ -176,7 +176,7 @@
             log::info!("stopped");
             return Ok(());
         }
-        let again = matches!(told.try_recv(), Ok(Told::Stop));
+        let again = matches!(told.try_recv(), Ok(Signal::Stop));
         if again || begun.elapsed() >= end {
             log::error!(cut = left; "stopped with requests in flight");
             return if left == 0 { Ok(()) } else { Err(RunError::Cut(left)) };
