--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -65,7 +65,7 @@
 
 /// What an answer's head tells.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct AnswerFacts {
+pub struct ResponseInfo {
     /// The request's id, as the endpoint echoes it.
     pub id: Option<String>,
     /// The endpoint that answers, where it says so.
@@ -154,7 +154,7 @@
     /// Header lines for an endpoint: the caller's, without what concerns one connection or is the router's to set.
     pub forward: fn(&Headers, &Forward<'_>) -> Headers,
     /// An answer's head.
-    pub facts: fn(&ResponseHead) -> AnswerFacts,
+    pub facts: fn(&ResponseHead) -> ResponseInfo,
     /// Header lines of an answer for the caller.
     pub answer: fn(&Headers) -> Headers,
     /// Asks an endpoint for a report. Any answer shows that it is reached, without a slot, for which its health path would wait.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -17,7 +17,7 @@
 mod shared;
 
 pub use dialect::{
-    AnswerFacts, BadCall, CallerWish, Dialect, Forward, Holding, OrderAnswer, StoreKeys, WantedWeights, WeightsOrder,
+    BadCall, CallerWish, Dialect, Forward, Holding, OrderAnswer, ResponseInfo, StoreKeys, WantedWeights, WeightsOrder,
 };
 pub use run::{Addresses, RunError, Signal, run};
 pub use settings::{Bounds, Settings, SettingsProblem, read_settings};
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -5,7 +5,7 @@
 use super::record::{PromptNote, Record};
 use super::relay::Relay;
 use super::wait::{Outdated, Waited, wait};
-use crate::dialect::AnswerFacts;
+use crate::dialect::ResponseInfo;
 use crate::link::Link;
 use crate::shared::Shared;
 use dispatch::attempt::{self, Cause, Failure, Next, Tried, Unbegun, Wait};
@@ -410,7 +410,7 @@
         self.whole(flight, answer, source, &facts).await
     }
 
-    fn learn(&self, picked: &Picked, facts: &AnswerFacts) {
+    fn learn(&self, picked: &Picked, facts: &ResponseInfo) {
         let id = &picked.endpoint.id;
         let now = self.shared.clock.now();
         let mut fleet = self.shared.fleet();
@@ -437,7 +437,7 @@
         }
     }
 
-    fn refused(&mut self, flight: &Flight<'_>, status: u16, facts: &AnswerFacts) -> Attempted {
+    fn refused(&mut self, flight: &Flight<'_>, status: u16, facts: &ResponseInfo) -> Attempted {
         self.life.on(RequestEvent::EndpointRefused);
         let meant = &flight.picked.endpoint.id;
         if status == 421 && facts.endpoint.as_ref().is_some_and(|other| other != meant) {
@@ -469,7 +469,7 @@
         flight: &mut Flight<'_>,
         mut answer: Answer,
         mut source: Source,
-        facts: &AnswerFacts,
+        facts: &ResponseInfo,
     ) -> Attempted {
         let conn = self.call.caller.conn.clone();
         let reading = answer.body.whole(&mut source, ANSWER_BYTES);
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -4,7 +4,7 @@
 use super::flight::Flight;
 use super::wait::{Outdated, Waited, wait};
 use super::{closes, reply};
-use crate::dialect::AnswerFacts;
+use crate::dialect::ResponseInfo;
 use async_std::future::timeout;
 use async_std::io::WriteExt;
 use dispatch::attempt::{self, Cause, Failure};
@@ -40,7 +40,7 @@
         }
     }
 
-    pub(super) async fn run(mut self, mut answer: Answer, mut source: Source, facts: &AnswerFacts) -> Attempted {
+    pub(super) async fn run(mut self, mut answer: Answer, mut source: Source, facts: &ResponseInfo) -> Attempted {
         let conn = self.attempts.call.caller.conn.clone();
         // Whether this endpoint has begun: another one may have sent the events so far.
         let mut begun = false;
@@ -106,7 +106,7 @@
     }
 
     /// The endpoint's last byte has come.
-    async fn finish(mut self, answer: &Answer, source: Source, facts: &AnswerFacts) -> Attempted {
+    async fn finish(mut self, answer: &Answer, source: Source, facts: &ResponseInfo) -> Attempted {
         let rest = self.attempts.events.finish();
         if self.write(answer, &rest, true).await == Written::Gone {
             return Attempted::Ended(self.attempts.gone());
