--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -15,7 +15,7 @@
 quick_error! {
     /// Why a caller's head is refused.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum BadCall {
+    pub enum InvalidHead {
         /// A header that must stand once is missing or stands more than once.
         Header(name: &'static str) {
             display("header {name} must stand exactly once")
@@ -150,7 +150,7 @@
     /// An endpoint's entry, under its id.
     pub entry: fn(EndpointId, &[u8]) -> Result<EndpointEntry, Unreadable>,
     /// A caller's head.
-    pub wish: fn(&RequestHead) -> Result<CallerWish, BadCall>,
+    pub wish: fn(&RequestHead) -> Result<CallerWish, InvalidHead>,
     /// Header lines for an endpoint: the caller's, without what concerns one connection or is the router's to set.
     pub forward: fn(&Headers, &Forward<'_>) -> Headers,
     /// An answer's head.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -17,7 +17,8 @@
 mod shared;
 
 pub use dialect::{
-    BadCall, CallerWish, Dialect, Forward, Holding, OrderAnswer, ResponseInfo, StoreKeys, WantedWeights, WeightsOrder,
+    CallerWish, Dialect, Forward, Holding, InvalidHead, OrderAnswer, ResponseInfo, StoreKeys, WantedWeights,
+    WeightsOrder,
 };
 pub use run::{Addresses, RunError, Signal, run};
 pub use settings::{Bounds, Settings, SettingsProblem, read_settings};
