--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -29,7 +29,7 @@
 
 /// What a caller asks for.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CallerWish {
+pub struct RequestInfo {
     /// The caller's id of this attempt.
     pub id: String,
     /// Host it addressed.
@@ -37,7 +37,7 @@
     /// Key that names its workspace.
     pub key: Option<String>,
     /// How long it will wait.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The prompt, if it is for a model.
     pub prompt: Option<Prompt>,
 }
@@ -150,7 +150,7 @@
     /// An endpoint's entry, under its id.
     pub entry: fn(EndpointId, &[u8]) -> Result<EndpointEntry, Unreadable>,
     /// A caller's head.
-    pub wish: fn(&RequestHead) -> Result<CallerWish, InvalidHead>,
+    pub wish: fn(&RequestHead) -> Result<RequestInfo, InvalidHead>,
     /// Header lines for an endpoint: the caller's, without what concerns one connection or is the router's to set.
     pub forward: fn(&Headers, &Forward<'_>) -> Headers,
     /// An answer's head.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -17,7 +17,7 @@
 mod shared;
 
 pub use dialect::{
-    CallerWish, Dialect, Forward, Holding, InvalidHead, OrderAnswer, ResponseInfo, StoreKeys, WantedWeights,
+    Dialect, Forward, Holding, InvalidHead, OrderAnswer, RequestInfo, ResponseInfo, StoreKeys, WantedWeights,
     WeightsOrder,
 };
 pub use run::{Addresses, RunError, Signal, run};
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -8,7 +8,7 @@
 pub mod reply;
 mod wait;
 
-use crate::dialect::CallerWish;
+use crate::dialect::RequestInfo;
 use crate::shared::Shared;
 use attempts::{Attempts, Finish};
 use dispatch::attempt::{self, Cause};
@@ -50,7 +50,7 @@
     /// As it was read.
     pub caller: &'a Caller,
     /// What the caller asks for.
-    pub wish: CallerWish,
+    pub wish: RequestInfo,
     /// Its route.
     pub route: &'a Route,
     /// The service that its draw among the route's targets gave.
@@ -115,7 +115,7 @@
     shared: &Shared,
     site: Option<&'a Site>,
     caller: &'a Caller,
-    wish: CallerWish,
+    wish: RequestInfo,
     record: &mut Record,
 ) -> Result<Call<'a>, Cause> {
     let site = site.ok_or(Cause::NotReady)?;
@@ -134,7 +134,7 @@
     };
     record.workspace = owner.map(|spec| spec.id.clone());
     let service = route.target(rand::random()).ok_or(Cause::NoEndpoint)?;
-    let patience = wish.patience.unwrap_or(route.timeout).min(route.timeout);
+    let patience = wish.timeout.unwrap_or(route.timeout).min(route.timeout);
     Ok(Call {
         caller,
         wish,
