--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -44,11 +44,11 @@
 
 /// What the router adds to a request for one endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Forward<'a> {
+pub struct ForwardContext<'a> {
     /// The endpoint that is meant; any other one refuses it.
     pub endpoint: &'a EndpointId,
     /// Time until the caller stops waiting.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The caller's workspace.
     pub workspace: Option<&'a WorkspaceId>,
     /// Scope of cached prefixes.
@@ -60,7 +60,7 @@
     /// Urgency within the endpoint, 0 the most urgent.
     pub rank: Option<u8>,
     /// Last event of the stream that the caller has.
-    pub after: Option<u64>,
+    pub last_event: Option<u64>,
 }
 
 /// What an answer's head tells.
@@ -152,7 +152,7 @@
     /// A caller's head.
     pub wish: fn(&RequestHead) -> Result<RequestInfo, InvalidHead>,
     /// Header lines for an endpoint: the caller's, without what concerns one connection or is the router's to set.
-    pub forward: fn(&Headers, &Forward<'_>) -> Headers,
+    pub forward: fn(&Headers, &ForwardContext<'_>) -> Headers,
     /// An answer's head.
     pub facts: fn(&ResponseHead) -> ResponseInfo,
     /// Header lines of an answer for the caller.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -17,7 +17,7 @@
 mod shared;
 
 pub use dialect::{
-    Dialect, Forward, Holding, InvalidHead, OrderAnswer, RequestInfo, ResponseInfo, StoreKeys, WantedWeights,
+    Dialect, ForwardContext, Holding, InvalidHead, OrderAnswer, RequestInfo, ResponseInfo, StoreKeys, WantedWeights,
     WeightsOrder,
 };
 pub use run::{Addresses, RunError, Signal, run};
--- a/crates/gateway/src/serve/outgoing.rs
+++ b/crates/gateway/src/serve/outgoing.rs
@@ -1,7 +1,7 @@
 //! A request as it goes to an endpoint.
 
 use super::attempts::Attempts;
-use crate::dialect::Forward;
+use crate::dialect::ForwardContext;
 use dispatch::fleet::Picked;
 use dispatch::prefixes::Transfers;
 use ids::WorkspaceId;
@@ -17,15 +17,15 @@
             .as_ref()
             .map(|_| salt(picked.weights, self.call.isolated));
         let transfers = self.transfers(salt.as_deref(), picked);
-        let forward = Forward {
+        let forward = ForwardContext {
             endpoint: &picked.endpoint.id,
-            left: self.left(),
+            remaining: self.left(),
             workspace: self.call.workspace,
             salt: salt.as_deref(),
             weights: picked.weights.filter(|_| salt.is_some()),
             transfers,
             rank: self.call.wish.prompt.as_ref().map(|_| self.call.rank),
-            after: self.events.last(),
+            last_event: self.events.last(),
         };
         let headers = (self.shared.dialect.forward)(&caller.head.headers, &forward);
         let line = format!("{} {} HTTP/1.1\r\n", caller.head.method, caller.head.target);
