--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -114,11 +114,11 @@
 
 /// An endpoint's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// It is being carried out.
     Accepted,
     /// What it asks for already holds.
-    Holds,
+    AlreadyApplied,
     /// Another order is in progress or came first.
     Conflict,
     /// Refused for good.
@@ -164,7 +164,7 @@
     /// An order.
     pub order: fn(&WeightsOrder<'_>) -> (Call, Headers),
     /// Status of an order's answer.
-    pub ordered: fn(u16) -> OrderAnswer,
+    pub ordered: fn(u16) -> OrderResponse,
     /// Asks the store of cached prefixes for events from a number on, and how long it may wait for the first one.
     pub events: fn(u64, Duration) -> (Call, Headers),
     /// Its answer.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -17,7 +17,7 @@
 mod shared;
 
 pub use dialect::{
-    Dialect, ForwardContext, Holding, InvalidHead, OrderAnswer, RequestInfo, ResponseInfo, StoreKeys, WantedWeights,
+    Dialect, ForwardContext, Holding, InvalidHead, OrderResponse, RequestInfo, ResponseInfo, StoreKeys, WantedWeights,
     WeightsOrder,
 };
 pub use run::{Addresses, RunError, Signal, run};
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::control::orders::may_order;
 use crate::control::{Event, send};
-use crate::dialect::{Loaded, OrderAnswer, WeightsOrder};
+use crate::dialect::{Loaded, OrderResponse, WeightsOrder};
 use crate::link::{Line, ask};
 use crate::shared::Shared;
 use async_std::future::timeout;
@@ -169,10 +169,10 @@
         let answer = ask(self.entry.address, &call, &headers, ANSWER).await;
         let outcome = match &answer {
             Ok((status, _)) => match (self.shared.dialect.ordered)(*status) {
-                OrderAnswer::Accepted | OrderAnswer::Holds => OrderOutcome::Taken,
-                OrderAnswer::Conflict => OrderOutcome::Conflict,
+                OrderResponse::Accepted | OrderResponse::AlreadyApplied => OrderOutcome::Taken,
+                OrderResponse::Conflict => OrderOutcome::Conflict,
                 // Another endpoint has the address by now, or this one will never take the order.
-                OrderAnswer::Refused => OrderOutcome::Refused,
+                OrderResponse::Refused => OrderOutcome::Refused,
             },
             Err(ExchangeError::NotSent) => OrderOutcome::Conflict,
             Err(_) => OrderOutcome::Unanswered,
