--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -311,7 +311,7 @@
     /// The entry of an endpoint, if the item is one.
     fn listed(&self, item: &Item) -> Option<ListChange> {
         let id = endpoint_id(&item.key, self.shared.dialect.keys.endpoints)?;
-        match (self.shared.dialect.entry)(id.clone(), &item.value) {
+        match (self.shared.dialect.parse_entry)(id.clone(), &item.value) {
             Ok(entry) => Some(ListChange::Listed(entry)),
             Err(err) => {
                 log::warn!(endpoint = id.as_str(), why:% = err; "endpoint: its entry cannot be read");
@@ -379,7 +379,7 @@
     }
 
     fn document(&mut self, item: &Item) {
-        let read = (self.shared.dialect.document)(&item.value);
+        let read = (self.shared.dialect.parse_document)(&item.value);
         let old = self.shared.revision();
         self.shown = read.as_ref().ok().map(|parts| parts.revision);
         let parts = match read {
@@ -408,7 +408,7 @@
     }
 
     fn wanted(&self, item: &Item, now: Duration) {
-        match (self.shared.dialect.wanted)(&item.value) {
+        match (self.shared.dialect.parse_weights)(&item.value) {
             Ok(wanted) => {
                 // The store's last word without this name is how old it is at most; a router that has just started had none.
                 let unheard = self.shared.freshness().age(now);
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -144,31 +144,31 @@
     /// Calls to the store.
     pub store: Codec,
     /// The operators' document.
-    pub document: fn(&[u8]) -> Result<SiteParts, Unreadable>,
+    pub parse_document: fn(&[u8]) -> Result<SiteParts, Unreadable>,
     /// Wanted weights.
-    pub wanted: fn(&[u8]) -> Result<WantedWeights, Unreadable>,
+    pub parse_weights: fn(&[u8]) -> Result<WantedWeights, Unreadable>,
     /// An endpoint's entry, under its id.
-    pub entry: fn(EndpointId, &[u8]) -> Result<EndpointEntry, Unreadable>,
+    pub parse_entry: fn(EndpointId, &[u8]) -> Result<EndpointEntry, Unreadable>,
     /// A caller's head.
-    pub wish: fn(&RequestHead) -> Result<RequestInfo, InvalidHead>,
+    pub parse_request: fn(&RequestHead) -> Result<RequestInfo, InvalidHead>,
     /// Header lines for an endpoint: the caller's, without what concerns one connection or is the router's to set.
-    pub forward: fn(&Headers, &ForwardContext<'_>) -> Headers,
+    pub request_headers: fn(&Headers, &ForwardContext<'_>) -> Headers,
     /// An answer's head.
-    pub facts: fn(&ResponseHead) -> ResponseInfo,
+    pub parse_response: fn(&ResponseHead) -> ResponseInfo,
     /// Header lines of an answer for the caller.
-    pub answer: fn(&Headers) -> Headers,
+    pub response_headers: fn(&Headers) -> Headers,
     /// Asks an endpoint for a report. Any answer shows that it is reached, without a slot, for which its health path would wait.
-    pub report: fn() -> Call,
+    pub report_call: fn() -> Call,
     /// An engine's report on a model.
-    pub reported: fn(&[u8], &ModelId) -> Result<Report, Unreadable>,
+    pub parse_report: fn(&[u8], &ModelId) -> Result<Report, Unreadable>,
     /// An order.
-    pub order: fn(&WeightsOrder<'_>) -> (Call, Headers),
+    pub order_call: fn(&WeightsOrder<'_>) -> (Call, Headers),
     /// Status of an order's answer.
-    pub ordered: fn(u16) -> OrderResponse,
+    pub order_response: fn(u16) -> OrderResponse,
     /// Asks the store of cached prefixes for events from a number on, and how long it may wait for the first one.
-    pub events: fn(u64, Duration) -> (Call, Headers),
+    pub events_call: fn(u64, Duration) -> (Call, Headers),
     /// Its answer.
-    pub told: fn(&[u8]) -> Result<PrefixEvents, Unreadable>,
+    pub parse_events: fn(&[u8]) -> Result<PrefixEvents, Unreadable>,
 }
 
 /// What the holder tells all routers, as it lies in the store under the product's own key. It outlives the holder: its
--- a/crates/gateway/src/follow/prefixes.rs
+++ b/crates/gateway/src/follow/prefixes.rs
@@ -106,10 +106,10 @@
 
 /// A page of a store's; none if it answers too many at once.
 async fn ask_store(shared: &Shared, line: &mut Line, position: &PrefixFollow) -> Result<Option<PrefixEvents>, String> {
-    let (call, headers) = (shared.dialect.events)(position.next, WAIT);
+    let (call, headers) = (shared.dialect.events_call)(position.next, WAIT);
     match line.ask(&call, &headers, WAIT + GRACE).await {
         Ok((200, body)) => {
-            let told = (shared.dialect.told)(&body).map_err(|err| err.to_string())?;
+            let told = (shared.dialect.parse_events)(&body).map_err(|err| err.to_string())?;
             Ok(Some(told))
         }
         Ok((429, _)) => Ok(None),
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -139,12 +139,12 @@
     }
 
     async fn report(&self, line: &mut Line) -> Option<Report> {
-        let call = (self.shared.dialect.report)();
+        let call = (self.shared.dialect.report_call)();
         let (status, body) = line.ask(&call, &Headers::default(), CALL).await.ok()?;
         if status != 200 {
             return None;
         }
-        match (self.shared.dialect.reported)(&body, &self.model) {
+        match (self.shared.dialect.parse_report)(&body, &self.model) {
             Ok(report) => Some(report),
             Err(err) => {
                 log::warn!(endpoint = self.entry.id.as_str(), why:% = err; "orders: a report cannot be read");
@@ -165,10 +165,10 @@
             holder: &self.name,
             fence,
         };
-        let (call, headers) = (self.shared.dialect.order)(&order);
+        let (call, headers) = (self.shared.dialect.order_call)(&order);
         let answer = ask(self.entry.address, &call, &headers, ANSWER).await;
         let outcome = match &answer {
-            Ok((status, _)) => match (self.shared.dialect.ordered)(*status) {
+            Ok((status, _)) => match (self.shared.dialect.order_response)(*status) {
                 OrderResponse::Accepted | OrderResponse::AlreadyApplied => OrderOutcome::Taken,
                 OrderResponse::Conflict => OrderOutcome::Conflict,
                 // Another endpoint has the address by now, or this one will never take the order.
@@ -206,7 +206,7 @@
 /// Asks an endpoint that failed whether it is back.
 pub async fn probe(shared: Arc<Shared>, entry: Arc<EndpointEntry>) {
     let asked = shared.clock.now();
-    let call = (shared.dialect.report)();
+    let call = (shared.dialect.report_call)();
     let answer = ask(entry.address, &call, &Headers::default(), CALL).await;
     let now = shared.clock.now();
     let outcome = match answer {
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -369,7 +369,7 @@
     async fn exchange(&self, picked: &Picked, link: Link) -> Result<(Answer, Source), ExchangeError> {
         let request = self.bytes(picked);
         let method = &self.call.caller.head.method;
-        let facts = self.shared.dialect.facts;
+        let facts = self.shared.dialect.parse_response;
         let id = &self.call.wish.id;
         let ours = |head: &http::raw::ResponseHead| facts(head).id.is_none_or(|echoed| echoed == *id);
         let mut source = link.source;
@@ -388,7 +388,7 @@
     }
 
     async fn judge(&mut self, flight: &mut Flight<'_>, answer: Answer, source: Source) -> Attempted {
-        let facts = (self.shared.dialect.facts)(&answer.head);
+        let facts = (self.shared.dialect.parse_response)(&answer.head);
         self.learn(flight.picked, &facts);
         let status = answer.head.status;
         if facts.not_run || status == 421 {
@@ -480,7 +480,7 @@
             Waited::TimeOver => return Attempted::Ended(self.give_up(Cause::Deadline)),
         };
         let status = answer.head.status;
-        let headers = (self.shared.dialect.answer)(&answer.head.headers);
+        let headers = (self.shared.dialect.response_headers)(&answer.head.headers);
         if answer.clean && answer.head.keeps() {
             self.shared
                 .links
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -68,7 +68,7 @@
 /// Answers a request.
 pub async fn answer(shared: &Arc<Shared>, caller: &Caller) -> Ending {
     let mut record = Record::new(caller.arrived);
-    let wish = match (shared.dialect.wish)(&caller.head) {
+    let wish = match (shared.dialect.parse_request)(&caller.head) {
         Ok(wish) => wish,
         Err(err) => {
             log::info!(why:% = err; "request refused: its head is incomplete");
--- a/crates/gateway/src/serve/outgoing.rs
+++ b/crates/gateway/src/serve/outgoing.rs
@@ -27,7 +27,7 @@
             rank: self.call.wish.prompt.as_ref().map(|_| self.call.rank),
             last_event: self.events.last(),
         };
-        let headers = (self.shared.dialect.forward)(&caller.head.headers, &forward);
+        let headers = (self.shared.dialect.request_headers)(&caller.head.headers, &forward);
         let line = format!("{} {} HTTP/1.1\r\n", caller.head.method, caller.head.target);
         let mut bytes = line.into_bytes();
         headers.write(&mut bytes);
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -125,7 +125,7 @@
     async fn write(&mut self, answer: &Answer, part: &[u8], last: bool) -> Written {
         let mut bytes = Vec::with_capacity(part.len() + 64);
         if !self.attempts.begun {
-            let headers = (self.attempts.shared.dialect.answer)(&answer.head.headers);
+            let headers = (self.attempts.shared.dialect.response_headers)(&answer.head.headers);
             bytes = reply::stream_head(answer.head.status, &headers, self.close, self.chunked);
             self.attempts.begun = true;
         }
