--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -1,12 +1,12 @@
-//! Attempts of one request, one after the other.
-
-use super::Call;
-use super::flight::Flight;
-use super::record::{PromptNote, Record};
-use super::relay::Relay;
-use super::wait::{Outdated, Waited, wait};
+//! The attempts of one request, made one after the other.
+
+use super::RoutedRequest;
+use super::in_flight::InFlightAttempt;
+use super::record::{PromptRecord, Record};
+use super::relay::StreamRelay;
+use super::wait::{WaitOutcome, WeightsOutdated, wait};
+use crate::connections::PooledConnection;
 use crate::dialect::ResponseInfo;
-use crate::link::Link;
 use crate::shared::Shared;
 use dispatch::attempt::{self, Cause, Failure, Next, Tried, Unbegun, Wait};
 use dispatch::fleet::{Behind, Choice, Outcome, Picked, Wish};
@@ -20,91 +20,91 @@
 use std::time::Duration;
 use wire::caller::Ran;
 
-/// Longest answer that is not streamed, bytes.
-const ANSWER_BYTES: u64 = 8 << 20;
+/// Longest response without streaming, bytes.
+const MAX_RESPONSE_BYTES: u64 = 8 << 20;
 
 /// How a request ended.
 pub enum Finish {
-    /// With an endpoint's whole answer.
-    Whole(WholeAnswer),
-    /// With a whole stream, which the caller has.
+    /// A complete response of an endpoint.
+    Complete(CompleteResponse),
+    /// A complete stream, already sent to the client.
     Streamed {
-        /// Whether the caller's connection may be kept.
+        /// Whether the client's connection can be reused.
         keeps: bool,
     },
-    /// Within a stream that the caller has a part of.
+    /// A stream that broke after the client had received a part of it.
     Cut(&'static str),
-    /// The caller has gone.
-    Gone,
-    /// Without an answer; the state tells whether it may have run.
+    /// The client closed the connection.
+    ClientGone,
+    /// No response. The state tells whether the request may have been executed.
     Refused(Cause, RequestState),
 }
 
-/// An endpoint's answer with its body.
-pub struct WholeAnswer {
-    /// Status.
+/// A response with its body.
+pub struct CompleteResponse {
+    /// Status code.
     pub status: u16,
-    /// Header lines for the caller.
+    /// Headers for the client.
     pub headers: Headers,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// What one attempt came to.
-pub(super) enum Attempted {
-    /// A whole answer.
-    Whole(WholeAnswer),
-    /// The endpoint's own error, whole.
-    Error(WholeAnswer),
+/// The result of one attempt.
+pub(super) enum AttemptResult {
+    /// A complete response.
+    Complete(CompleteResponse),
+    /// A complete response with a server error.
+    ServerError(CompleteResponse),
     /// The request has ended.
     Ended(Finish),
-    /// It failed.
+    /// The attempt failed.
     Failed(Failure),
 }
 
-/// The attempts of one request.
+/// State of a request's attempts.
 pub(super) struct Attempts<'a> {
     pub(super) shared: &'a Arc<Shared>,
-    pub(super) call: &'a Call<'a>,
+    pub(super) request: &'a RoutedRequest<'a>,
     pub(super) record: &'a mut Record,
-    pub(super) life: Request,
+    pub(super) lifecycle: Request,
     pub(super) events: EventSplitter,
-    /// Whether the caller has the head of a stream.
-    pub(super) begun: bool,
-    avoid: Vec<EndpointId>,
+    /// Whether the head of a stream was sent to the client.
+    pub(super) head_sent: bool,
+    excluded: Vec<EndpointId>,
     sent: u32,
     unreached: u32,
-    /// Endpoints that served other weights than they were believed to.
+    /// Number of attempts that were rejected because the endpoint had other weights than expected.
     corrected: u32,
-    /// The last error that an endpoint answered with.
-    error: Option<WholeAnswer>,
+    /// The last server error that an endpoint returned.
+    last_error: Option<CompleteResponse>,
 }
 
 impl<'a> Attempts<'a> {
-    pub(super) fn new(shared: &'a Arc<Shared>, call: &'a Call<'a>, record: &'a mut Record) -> Self {
-        let repeat = if call.route.kind.repeatable() {
+    pub(super) fn new(shared: &'a Arc<Shared>, request: &'a RoutedRequest<'a>, record: &'a mut Record) -> Self {
+        let repeat = if request.route.kind.repeatable() {
             Repeat::Idempotent
         } else {
             Repeat::Once
         };
         Self {
             shared,
-            call,
+            request,
             record,
-            life: Request::new(repeat),
+            lifecycle: Request::new(repeat),
             events: EventSplitter::default(),
-            begun: false,
-            avoid: Vec::new(),
+            head_sent: false,
+            excluded: Vec::new(),
             sent: 0,
             unreached: 0,
             corrected: 0,
-            error: None,
+            last_error: None,
         }
     }
 
-    /// Tries until the request has ended.
+    /// Makes attempts until the request has ended.
     pub(super) async fn run(&mut self) -> Finish {
-        if self.too_many() {
+        if self.is_shed() {
             return self.give_up(Cause::Overloaded);
         }
         loop {
@@ -113,62 +113,62 @@
                 Err(cause) => return self.give_up(cause),
             };
             let failure = match self.attempt(&picked).await {
-                Attempted::Whole(answer) => {
-                    self.note(&picked, "whole");
-                    return Finish::Whole(answer);
+                AttemptResult::Complete(answer) => {
+                    self.record_attempt(&picked, "whole");
+                    return Finish::Complete(answer);
                 }
-                Attempted::Ended(finish) => {
-                    self.note(&picked, "ended");
+                AttemptResult::Ended(finish) => {
+                    self.record_attempt(&picked, "ended");
                     return finish;
                 }
-                Attempted::Error(answer) => {
-                    self.error = Some(answer);
+                AttemptResult::ServerError(answer) => {
+                    self.last_error = Some(answer);
                     Failure::Error
                 }
-                Attempted::Failed(failure) => failure,
+                AttemptResult::Failed(failure) => failure,
             };
-            self.note(&picked, failure.name());
+            self.record_attempt(&picked, failure.name());
             let failed = &self.shared.metrics.attempts;
             failed.with_label_values(&[failure.name()]).inc();
             if failure == Failure::OtherWeights {
                 self.corrected += 1;
                 self.sent -= 1;
             } else {
-                self.avoid.push(picked.endpoint.id.clone());
+                self.excluded.push(picked.endpoint.id.clone());
             }
-            if !self.again(failure) {
-                return self.give_up(cause(failure));
+            if !self.may_retry(failure) {
+                return self.give_up(final_cause(failure));
             }
         }
     }
 
-    /// Whether this request is one of those that are too many for first events to be in time.
-    fn too_many(&self) -> bool {
+    /// Whether this request must be rejected, because with more requests the first events would miss their objective.
+    fn is_shed(&self) -> bool {
         let now = self.shared.clock.now();
-        let (kind, objective) = (self.call.route.kind, self.call.route.objective);
+        let (kind, objective) = (self.request.route.kind, self.request.route.objective);
         let fleet = self.shared.fleet();
-        kind.streams() && fleet.refuses(self.call.service, objective, rand::random(), now)
+        kind.streams() && fleet.refuses(self.request.service, objective, rand::random(), now)
     }
 
-    /// The first event has come, or the wait for it has ended.
-    pub(super) fn waited(&self, began: Duration) {
-        if self.begun || !self.call.route.kind.streams() {
+    /// Records how long the request waited for its first event, or until it stopped waiting.
+    pub(super) fn record_wait(&self, began: Duration) {
+        if self.head_sent || !self.request.route.kind.streams() {
             return;
         }
         let now = self.shared.clock.now();
         let waited = now.saturating_sub(began);
-        let objective = self.call.route.objective;
-        self.shared.fleet().waited(self.call.service, objective, waited, now);
+        let objective = self.request.route.objective;
+        self.shared.fleet().waited(self.request.service, objective, waited, now);
     }
 
-    fn note(&mut self, picked: &Picked, outcome: &str) {
+    fn record_attempt(&mut self, picked: &Picked, outcome: &str) {
         let now = self.shared.clock.now();
-        self.record.tried(&picked.endpoint.id, picked.reason, outcome, now);
+        self.record.attempt(&picked.endpoint.id, picked.reason, outcome, now);
     }
 
-    fn note_prompt(&mut self, picked: &Picked) {
-        if let Some(prompt) = &self.call.wish.prompt {
-            self.record.prompt = PromptNote {
+    fn record_prompt(&mut self, picked: &Picked) {
+        if let Some(prompt) = &self.request.info.prompt {
+            self.record.prompt = PromptRecord {
                 tokens: prompt.tokens,
                 read: picked.prefill,
                 prefix: prompt.shared().last().map_or(0, |part| part.id),
@@ -177,20 +177,20 @@
     }
 
     /// Time until the deadline.
-    pub(super) fn left(&self) -> Duration {
-        self.call.deadline.saturating_sub(self.shared.clock.now())
+    pub(super) fn remaining(&self) -> Duration {
+        self.request.deadline.saturating_sub(self.shared.clock.now())
     }
 
     fn repeatable(&self) -> bool {
-        self.call.route.kind.repeatable()
+        self.request.route.kind.repeatable()
     }
 
     fn choose(&self) -> Result<Picked, Cause> {
         let wish = Wish {
-            service: self.call.service,
-            avoid: &self.avoid,
-            prompt: self.call.wish.prompt.as_ref(),
-            isolated: self.call.isolated,
+            service: self.request.service,
+            avoid: &self.excluded,
+            prompt: self.request.info.prompt.as_ref(),
+            isolated: self.request.isolated,
         };
         let now = self.shared.clock.now();
         match self.shared.fleet().choose(&wish, rand::random(), now) {
@@ -201,9 +201,9 @@
         }
     }
 
-    /// Whether another endpoint is to be tried.
-    fn again(&mut self, failure: Failure) -> bool {
-        if self.life.ended() {
+    /// Whether another attempt may be made.
+    fn may_retry(&mut self, failure: Failure) -> bool {
+        if self.lifecycle.ended() {
             return false;
         }
         match attempt::next(&self.tried(), failure) {
@@ -211,137 +211,141 @@
             Next::Stop => false,
             Next::Again => {
                 let now = self.shared.clock.now();
-                self.shared.fleet().another_attempt(self.call.service, now)
+                self.shared.fleet().another_attempt(self.request.service, now)
             }
         }
     }
 
     pub(super) fn give_up(&mut self, cause: Cause) -> Finish {
-        let state = self.life.state();
-        let exposed = self.life.ran() == Ran::Unknown;
-        self.life.on(RequestEvent::GiveUp);
-        if self.begun {
+        let state = self.lifecycle.state();
+        let exposed = self.lifecycle.ran() == Ran::Unknown;
+        self.lifecycle.on(RequestEvent::GiveUp);
+        if self.head_sent {
             return Finish::Cut(cause.name());
         }
-        if let Some(error) = self.error.take() {
-            return Finish::Whole(error);
+        if let Some(error) = self.last_error.take() {
+            return Finish::Complete(error);
         }
         let state = if exposed { RequestState::Unknown } else { state };
         Finish::Refused(cause, state)
     }
 
-    async fn attempt(&mut self, picked: &Picked) -> Attempted {
-        let mut flight = Flight::new(self.shared, picked);
-        let link = match self.link(picked).await {
-            Waited::Done(Ok(link)) => link,
-            Waited::Done(Err(_)) => {
+    async fn attempt(&mut self, picked: &Picked) -> AttemptResult {
+        let mut in_flight = InFlightAttempt::new(self.shared, picked);
+        let connection = match self.connect(picked).await {
+            WaitOutcome::Done(Ok(connection)) => connection,
+            WaitOutcome::Done(Err(_)) => {
                 self.unreached += 1;
-                flight.outcome(Outcome::Unreached);
-                return Attempted::Failed(Failure::NotSent);
+                in_flight.outcome(Outcome::Unreached);
+                return AttemptResult::Failed(Failure::NotSent);
             }
-            Waited::CallerGone => return Attempted::Ended(self.gone()),
-            Waited::TimeOver => return Attempted::Ended(self.give_up(Cause::Deadline)),
+            WaitOutcome::ClientGone => return AttemptResult::Ended(self.client_gone()),
+            WaitOutcome::TimedOut => return AttemptResult::Ended(self.give_up(Cause::Deadline)),
         };
-        if self.outdated(picked) {
-            // Connecting took longer than its weights are good for, and nothing was sent.
-            return Attempted::Failed(Failure::NotSent);
+        if self.weights_outdated(picked) {
+            // The weights became outdated while connecting. Nothing was sent.
+            return AttemptResult::Failed(Failure::NotSent);
         }
-        if self.life.on(RequestEvent::SendStarts) != RequestStep::Send {
-            return Attempted::Ended(self.give_up(Cause::EndpointFailed));
+        if self.lifecycle.on(RequestEvent::SendStarts) != RequestStep::Send {
+            return AttemptResult::Ended(self.give_up(Cause::EndpointFailed));
         }
         self.sent += 1;
-        self.record.weights = self.behind(picked);
-        self.note_prompt(picked);
-        let within = attempt::patience(self.call.route.kind, &self.tried());
-        let waited = match self.unbegun(picked, within, self.exchange(picked, link)).await {
+        self.record.weights = self.weights_age(picked);
+        self.record_prompt(picked);
+        let within = attempt::patience(self.request.route.kind, &self.tried());
+        let waited = match self
+            .wait_for_begin(picked, within, self.exchange(picked, connection))
+            .await
+        {
             Ok(waited) => waited,
-            Err(Outdated) => {
-                self.life.on(RequestEvent::SendFailed);
-                return self.taken_back(&flight);
+            Err(WeightsOutdated) => {
+                self.lifecycle.on(RequestEvent::SendFailed);
+                return self.cancelled(&in_flight);
             }
         };
         match waited {
-            Waited::Done(Ok((answer, source))) => self.judge(&mut flight, answer, source).await,
-            Waited::Done(Err(_)) => {
-                flight.outcome(Outcome::Broken);
-                self.life.on(RequestEvent::SendFailed);
-                Attempted::Failed(Failure::Broken)
+            WaitOutcome::Done(Ok((answer, source))) => self.handle_response(&mut in_flight, answer, source).await,
+            WaitOutcome::Done(Err(_)) => {
+                in_flight.outcome(Outcome::Broken);
+                self.lifecycle.on(RequestEvent::SendFailed);
+                AttemptResult::Failed(Failure::Broken)
             }
-            Waited::CallerGone => {
-                self.waited(flight.began);
-                Attempted::Ended(self.gone())
+            WaitOutcome::ClientGone => {
+                self.record_wait(in_flight.began);
+                AttemptResult::Ended(self.client_gone())
             }
-            Waited::TimeOver => {
-                self.waited(flight.began);
-                flight.outcome(Outcome::Silent);
-                self.silent()
+            WaitOutcome::TimedOut => {
+                self.record_wait(in_flight.began);
+                in_flight.outcome(Outcome::Silent);
+                self.timed_out()
             }
         }
     }
 
-    /// Waits for what an endpoint sends before its first event. A request must not stay in the queue of an engine whose weights have
-    /// become too old: the caller would wait for an answer that is worth nothing. Dropping the wait closes the connection, on which the engine
-    /// drops the request.
-    pub(super) async fn unbegun<T>(
+    /// Waits for what an endpoint sends before its first event. A request must not stay in the queue of an engine whose
+    /// weights are outdated, because its response would be useless. Dropping the future closes the connection, and the
+    /// engine then drops the request.
+    pub(super) async fn wait_for_begin<T>(
         &self,
         picked: &Picked,
         within: Duration,
         future: impl Future<Output = T>,
-    ) -> Result<Waited<T>, Outdated> {
-        let conn = self.call.caller.conn.clone();
+    ) -> Result<WaitOutcome<T>, WeightsOutdated> {
+        let conn = self.request.incoming.conn.clone();
         let mut future = pin!(future);
         let until = self.shared.clock.now() + within;
         loop {
             let attempt = Unbegun {
-                shows: self.shows_begin(),
-                may_begin: !self.outdated(picked),
+                shows: self.begin_is_visible(),
+                may_begin: !self.weights_outdated(picked),
                 left: until.saturating_sub(self.shared.clock.now()),
             };
             let pause = match attempt::unbegun(&attempt) {
                 Wait::For(pause) => pause,
-                Wait::Over => return Ok(Waited::TimeOver),
-                Wait::TakeBack => return Err(Outdated),
+                Wait::Over => return Ok(WaitOutcome::TimedOut),
+                Wait::TakeBack => return Err(WeightsOutdated),
             };
             match wait(&conn, pause, future.as_mut()).await {
-                Waited::TimeOver => {}
+                WaitOutcome::TimedOut => {}
                 ended => return Ok(ended),
             }
         }
     }
 
-    /// Whether the first event of an answer tells that the request has begun.
-    fn shows_begin(&self) -> bool {
-        self.call.route.kind.streams() && self.call.wish.prompt.is_some()
+    /// Whether the first event of a response shows that the request has begun.
+    fn begin_is_visible(&self) -> bool {
+        self.request.route.kind.streams() && self.request.info.prompt.is_some()
     }
 
-    /// Whether the weights that an attempt names are too old to begin on by now.
-    fn outdated(&self, picked: &Picked) -> bool {
+    /// Whether the weights that an attempt names are too old to begin with now.
+    fn weights_outdated(&self, picked: &Picked) -> bool {
         let now = self.shared.clock.now();
-        let prompt = self.call.wish.prompt.as_ref();
+        let prompt = self.request.info.prompt.as_ref();
         prompt.is_some_and(|prompt| !self.shared.fleet().may_begin(&prompt.model, picked.weights, now))
     }
 
-    /// The request was taken back from a queue. That tells of its endpoint that first events are late there, and nothing of its health.
-    pub(super) fn taken_back(&self, flight: &Flight<'_>) -> Attempted {
-        self.waited(flight.began);
-        Attempted::Failed(Failure::Outdated)
+    /// Handles a request that was cancelled while it waited in an endpoint's queue. The wait counts for the delay of
+    /// first events there, but not for the health of the endpoint.
+    pub(super) fn cancelled(&self, in_flight: &InFlightAttempt<'_>) -> AttemptResult {
+        self.record_wait(in_flight.began);
+        AttemptResult::Failed(Failure::Outdated)
     }
 
-    /// Weights that an attempt names, and how far they are behind.
-    fn behind(&self, picked: &Picked) -> Option<(u64, Behind)> {
-        let prompt = self.call.wish.prompt.as_ref()?;
+    /// The weights that an attempt names, and how long they have been outdated.
+    fn weights_age(&self, picked: &Picked) -> Option<(u64, Behind)> {
+        let prompt = self.request.info.prompt.as_ref()?;
         let weights = picked.weights?;
         let now = self.shared.clock.now();
         Some((weights, self.shared.fleet().behind(&prompt.model, weights, now)))
     }
 
-    /// The endpoint has not answered in the time for this attempt.
-    fn silent(&mut self) -> Attempted {
-        if self.left().is_zero() {
-            return Attempted::Ended(self.give_up(Cause::Deadline));
+    /// Handles an endpoint that did not respond within the attempt's timeout.
+    fn timed_out(&mut self) -> AttemptResult {
+        if self.remaining().is_zero() {
+            return AttemptResult::Ended(self.give_up(Cause::Deadline));
         }
-        self.life.on(RequestEvent::SendFailed);
-        Attempted::Failed(Failure::Silent)
+        self.lifecycle.on(RequestEvent::SendFailed);
+        AttemptResult::Failed(Failure::Silent)
     }
 
     fn tried(&self) -> Tried {
@@ -349,36 +353,42 @@
             sent: self.sent,
             unreached: self.unreached,
             corrected: self.corrected,
-            attempts: self.call.route.attempts,
+            attempts: self.request.route.attempts,
             repeatable: self.repeatable(),
-            left: self.left(),
+            left: self.remaining(),
         }
     }
 
-    async fn link(&self, picked: &Picked) -> Waited<Result<Link, ExchangeError>> {
+    async fn connect(&self, picked: &Picked) -> WaitOutcome<Result<PooledConnection, ExchangeError>> {
         if self.repeatable()
-            && let Some(link) = self.shared.links.kept(&picked.endpoint)
+            && let Some(connection) = self.shared.connections.take_idle(&picked.endpoint)
         {
-            return Waited::Done(Ok(link));
+            return WaitOutcome::Done(Ok(connection));
         }
-        let left = self.left();
-        let open = self.shared.links.open(&picked.endpoint, left, &self.shared.metrics);
-        wait(&self.call.caller.conn, left, open).await
+        let limit = self.remaining();
+        let open = self
+            .shared
+            .connections
+            .open(&picked.endpoint, limit, &self.shared.metrics);
+        wait(&self.request.incoming.conn, limit, open).await
     }
 
-    async fn exchange(&self, picked: &Picked, link: Link) -> Result<(Answer, Source), ExchangeError> {
-        let request = self.bytes(picked);
-        let method = &self.call.caller.head.method;
-        let facts = self.shared.dialect.parse_response;
-        let id = &self.call.wish.id;
-        let ours = |head: &http::raw::ResponseHead| facts(head).id.is_none_or(|echoed| echoed == *id);
-        let mut source = link.source;
+    async fn exchange(&self, picked: &Picked, connection: PooledConnection) -> Result<(Answer, Source), ExchangeError> {
+        let request = self.encode(picked);
+        let method = &self.request.incoming.head.method;
+        let parse = self.shared.dialect.parse_response;
+        let id = &self.request.info.id;
+        let ours = |head: &http::raw::ResponseHead| parse(head).id.is_none_or(|echoed| echoed == *id);
+        let mut source = connection.source;
         match exchange(&mut source, &request, method, ours).await {
             Ok(answer) => Ok((answer, source)),
-            // The endpoint closed the kept connection while the request was on its way, and may run twice.
-            Err(err) if link.used && err.closed() => {
-                let left = self.left();
-                let fresh = self.shared.links.open(&picked.endpoint, left, &self.shared.metrics);
+            // The endpoint closed the reused connection while the request was in transit, and may execute it twice.
+            Err(err) if connection.used && err.closed() => {
+                let limit = self.remaining();
+                let fresh = self
+                    .shared
+                    .connections
+                    .open(&picked.endpoint, limit, &self.shared.metrics);
                 source = fresh.await?.source;
                 let answer = exchange(&mut source, &request, method, ours).await?;
                 Ok((answer, source))
@@ -387,129 +397,134 @@
         }
     }
 
-    async fn judge(&mut self, flight: &mut Flight<'_>, answer: Answer, source: Source) -> Attempted {
-        let facts = (self.shared.dialect.parse_response)(&answer.head);
-        self.learn(flight.picked, &facts);
+    async fn handle_response(
+        &mut self,
+        in_flight: &mut InFlightAttempt<'_>,
+        answer: Answer,
+        source: Source,
+    ) -> AttemptResult {
+        let info = (self.shared.dialect.parse_response)(&answer.head);
+        self.record_info(in_flight.picked, &info);
         let status = answer.head.status;
-        if facts.not_run || status == 421 {
-            return self.refused(flight, status, &facts);
+        if info.not_run || status == 421 {
+            return self.handle_refusal(in_flight, status, &info);
         }
-        self.life.on(RequestEvent::HeadArrived);
+        self.lifecycle.on(RequestEvent::HeadArrived);
         let success = (200..300).contains(&status);
-        let own = facts.sealed && !facts.encoded && facts.id.is_some();
+        let own = info.sealed && !info.encoded && info.id.is_some();
         if success && !own {
-            return self.broke(flight);
+            return self.response_broken(in_flight);
         }
-        if success && self.call.route.kind.streams() {
-            return Relay::new(self, flight).run(answer, source, &facts).await;
+        if success && self.request.route.kind.streams() {
+            return StreamRelay::new(self, in_flight).run(answer, source, &info).await;
         }
-        if self.begun {
-            // A stream goes on with a stream or not at all.
-            return self.broke(flight);
+        if self.head_sent {
+            // Only another stream can continue a stream.
+            return self.response_broken(in_flight);
         }
-        self.whole(flight, answer, source, &facts).await
+        self.read_response(in_flight, answer, source, &info).await
     }
 
-    fn learn(&self, picked: &Picked, facts: &ResponseInfo) {
+    fn record_info(&self, picked: &Picked, info: &ResponseInfo) {
         let id = &picked.endpoint.id;
         let now = self.shared.clock.now();
         let mut fleet = self.shared.fleet();
-        if let Some(load) = facts.load {
+        if let Some(load) = info.load {
             fleet.reported(id, load, now);
         }
-        if let (Some(prompt), Some(weights)) = (&self.call.wish.prompt, facts.weights) {
+        if let (Some(prompt), Some(weights)) = (&self.request.info.prompt, info.weights) {
             fleet.serves_weights(id, &prompt.model, weights);
         }
-        // A refusal without a rate says nothing of the need.
-        let tells = facts.rate.is_some() || !facts.not_run;
-        if tells && fleet.named_rate(id, facts.rate, now) {
+        // A rejection without a rate does not mean that the limit was lifted.
+        let tells = info.rate.is_some() || !info.not_run;
+        if tells && fleet.named_rate(id, info.rate, now) {
             let rated = fleet.rated();
             drop(fleet);
             self.shared.metrics.rated.set(rated as i64);
             log::info!(
                 endpoint = id.as_str(),
-                // -1: it names none any more.
-                rate = facts.rate.unwrap_or(-1.0),
+                // -1: the endpoint has lifted its limit.
+                rate = info.rate.unwrap_or(-1.0),
                 rated = rated;
-                "endpoint: names a rate"
+                "endpoint: rate limit changed"
             );
-            self.shared.waits_changed();
+            self.shared.backlog_changed();
         }
     }
 
-    fn refused(&mut self, flight: &Flight<'_>, status: u16, facts: &ResponseInfo) -> Attempted {
-        self.life.on(RequestEvent::EndpointRefused);
-        let meant = &flight.picked.endpoint.id;
-        if status == 421 && facts.endpoint.as_ref().is_some_and(|other| other != meant) {
-            // Another endpoint has the address now.
-            flight.outcome(Outcome::Unreached);
-            self.shared.links.forget(meant, None);
-            return Attempted::Failed(Failure::Declined);
+    fn handle_refusal(&mut self, in_flight: &InFlightAttempt<'_>, status: u16, info: &ResponseInfo) -> AttemptResult {
+        self.lifecycle.on(RequestEvent::EndpointRefused);
+        let intended = &in_flight.picked.endpoint.id;
+        if status == 421 && info.endpoint.as_ref().is_some_and(|other| other != intended) {
+            // Another endpoint uses this address now.
+            in_flight.outcome(Outcome::Unreached);
+            self.shared.connections.remove(intended, None);
+            return AttemptResult::Failed(Failure::Declined);
         }
         if status == 421
-            && let Some(prompt) = &self.call.wish.prompt
+            && let Some(prompt) = &self.request.info.prompt
         {
-            self.shared.fleet().other_weights(meant, &prompt.model);
-            return Attempted::Failed(Failure::OtherWeights);
+            self.shared.fleet().other_weights(intended, &prompt.model);
+            return AttemptResult::Failed(Failure::OtherWeights);
         }
-        flight.outcome(Outcome::Declined);
+        in_flight.outcome(Outcome::Declined);
         let full = matches!(status, 429 | 503);
-        Attempted::Failed(if full { Failure::Full } else { Failure::Declined })
+        AttemptResult::Failed(if full { Failure::Full } else { Failure::Declined })
     }
 
-    pub(super) fn broke(&mut self, flight: &Flight<'_>) -> Attempted {
-        flight.outcome(Outcome::Broken);
+    pub(super) fn response_broken(&mut self, in_flight: &InFlightAttempt<'_>) -> AttemptResult {
+        in_flight.outcome(Outcome::Broken);
         self.events.broke();
-        self.life.on(RequestEvent::AnswerBroke);
-        Attempted::Failed(Failure::Broken)
+        self.lifecycle.on(RequestEvent::AnswerBroke);
+        AttemptResult::Failed(Failure::Broken)
     }
 
-    async fn whole(
+    async fn read_response(
         &mut self,
-        flight: &mut Flight<'_>,
+        in_flight: &mut InFlightAttempt<'_>,
         mut answer: Answer,
         mut source: Source,
-        facts: &ResponseInfo,
-    ) -> Attempted {
-        let conn = self.call.caller.conn.clone();
-        let reading = answer.body.whole(&mut source, ANSWER_BYTES);
-        let body = match wait(&conn, self.left(), reading).await {
-            Waited::Done(Ok(body)) => body,
-            Waited::Done(Err(_)) => return self.broke(flight),
-            Waited::CallerGone => return Attempted::Ended(self.gone()),
-            Waited::TimeOver => return Attempted::Ended(self.give_up(Cause::Deadline)),
+        info: &ResponseInfo,
+    ) -> AttemptResult {
+        let conn = self.request.incoming.conn.clone();
+        let reading = answer.body.whole(&mut source, MAX_RESPONSE_BYTES);
+        let body = match wait(&conn, self.remaining(), reading).await {
+            WaitOutcome::Done(Ok(body)) => body,
+            WaitOutcome::Done(Err(_)) => return self.response_broken(in_flight),
+            WaitOutcome::ClientGone => return AttemptResult::Ended(self.client_gone()),
+            WaitOutcome::TimedOut => return AttemptResult::Ended(self.give_up(Cause::Deadline)),
         };
         let status = answer.head.status;
         let headers = (self.shared.dialect.response_headers)(&answer.head.headers);
         if answer.clean && answer.head.keeps() {
             self.shared
-                .links
-                .give_back(&flight.picked.endpoint, source, facts.keep_alive);
+                .connections
+                .put_back(&in_flight.picked.endpoint, source, info.keep_alive);
         }
-        let whole = WholeAnswer { status, headers, body };
+        let response = CompleteResponse { status, headers, body };
         if status >= 500 && self.repeatable() {
-            flight.outcome(Outcome::Failed);
-            self.life.on(RequestEvent::AnswerBroke);
-            return Attempted::Error(whole);
+            in_flight.outcome(Outcome::Failed);
+            self.lifecycle.on(RequestEvent::AnswerBroke);
+            return AttemptResult::ServerError(response);
         }
         if status >= 500 {
-            flight.outcome(Outcome::Failed);
+            in_flight.outcome(Outcome::Failed);
         } else {
-            flight.answered();
+            in_flight.answered();
         }
-        self.life.on(RequestEvent::AnswerWhole);
-        Attempted::Whole(whole)
+        self.lifecycle.on(RequestEvent::AnswerWhole);
+        AttemptResult::Complete(response)
     }
 
-    /// The caller has gone: nobody reads an answer, but the state must be ended.
-    pub(super) fn gone(&mut self) -> Finish {
-        self.life.on(RequestEvent::GiveUp);
-        Finish::Gone
+    /// The client closed the connection. There is nobody to respond to, but the request's state must be ended.
+    pub(super) fn client_gone(&mut self) -> Finish {
+        self.lifecycle.on(RequestEvent::GiveUp);
+        Finish::ClientGone
     }
 }
 
-/// Why a request ends after its last attempt failed.
-fn cause(failure: Failure) -> Cause {
+/// Why a request is refused after its last attempt failed.
+fn final_cause(failure: Failure) -> Cause {
     match failure {
         Failure::NotSent | Failure::Declined | Failure::OtherWeights => Cause::NoEndpoint,
         Failure::Full => Cause::Full,
--- a/crates/gateway/src/serve/flight.rs
+++ b/crates/gateway/src/serve/in_flight.rs
@@ -1,18 +1,18 @@
-//! One request in flight at one endpoint.
+//! One attempt in flight at one endpoint.
 
 use crate::shared::Shared;
 use dispatch::fleet::{Outcome, Picked};
 use std::time::Duration;
 
-/// A request in flight at an endpoint; counted there until dropped.
-pub(super) struct Flight<'a> {
+/// An attempt in flight. It counts for the endpoint's load until dropped.
+pub(super) struct InFlightAttempt<'a> {
     shared: &'a Shared,
     pub(super) picked: &'a Picked,
     pub(super) began: Duration,
     read: bool,
 }
 
-impl<'a> Flight<'a> {
+impl<'a> InFlightAttempt<'a> {
     pub(super) fn new(shared: &'a Shared, picked: &'a Picked) -> Self {
         let entry = &picked.endpoint;
         let began = shared.clock.now();
@@ -20,7 +20,7 @@
             .fleet()
             .begin(&entry.id, entry.incarnation, picked.prefill, began);
         if picked.prefill > 0 {
-            shared.waits_changed();
+            shared.backlog_changed();
         }
         Self {
             shared,
@@ -30,14 +30,14 @@
         }
     }
 
-    /// The endpoint has read the prompt, or will never read it.
+    /// Records that the endpoint has read the prompt, or never will.
     pub(super) fn prompt_read(&mut self) {
         if !self.read {
             self.read = true;
             let entry = &self.picked.endpoint;
             self.shared.fleet().prefilled(&entry.id, entry.incarnation, self.began);
             if self.picked.prefill > 0 {
-                self.shared.waits_changed();
+                self.shared.backlog_changed();
             }
         }
     }
@@ -53,7 +53,7 @@
     }
 }
 
-impl Drop for Flight<'_> {
+impl Drop for InFlightAttempt<'_> {
     fn drop(&mut self) {
         self.prompt_read();
         let entry = &self.picked.endpoint;
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -1,7 +1,7 @@
-//! One request: whose it is, where it goes, and what the caller gets.
+//! Serving one request: authorization, routing, and the response to the client.
 
 mod attempts;
-mod flight;
+mod in_flight;
 mod outgoing;
 mod record;
 mod relay;
@@ -22,111 +22,111 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// What becomes of a caller's connection.
+/// What happens to a client's connection after a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
-    /// It may carry another request.
+pub enum ConnectionAction {
+    /// It can carry another request.
     Keep,
-    /// It ends after what was written.
+    /// It is closed after the written data was delivered.
     Close,
-    /// It is cut: the answer is not whole, and must not look so.
+    /// It is closed at once, because the response is incomplete and must not look complete.
     Abort,
 }
 
-/// A whole request as it was read.
-pub struct Caller {
-    /// Its connection.
+/// A complete request as read from the client.
+pub struct IncomingRequest {
+    /// The client's connection.
     pub conn: Conn,
-    /// Its head.
+    /// The request's head.
     pub head: RequestHead,
-    /// Its body.
+    /// The request's body.
     pub body: Vec<u8>,
     /// When its first byte was read.
     pub arrived: Duration,
 }
 
-/// A request of which it is known whose it is and where it goes.
-pub struct Call<'a> {
-    /// As it was read.
-    pub caller: &'a Caller,
-    /// What the caller asks for.
-    pub wish: RequestInfo,
+/// A request whose workspace and route are known.
+pub struct RoutedRequest<'a> {
+    /// The request as it was read.
+    pub incoming: &'a IncomingRequest,
+    /// Information parsed from its head.
+    pub info: RequestInfo,
     /// Its route.
     pub route: &'a Route,
-    /// The service that its draw among the route's targets gave.
+    /// The service that was drawn from the route's targets.
     pub service: &'a ServiceId,
     /// Its workspace.
     pub workspace: Option<&'a WorkspaceId>,
-    /// The same, if it shares no cached prefix.
+    /// Its workspace, if that shares no cached prefixes with others.
     pub isolated: Option<&'a WorkspaceId>,
-    /// Urgency, 0 the most urgent.
+    /// Priority; 0 is the highest.
     pub rank: u8,
-    /// When it must be answered.
+    /// When the response must be complete.
     pub deadline: Duration,
 }
 
-/// Answers a request.
-pub async fn answer(shared: &Arc<Shared>, caller: &Caller) -> Ending {
-    let mut record = Record::new(caller.arrived);
-    let wish = match (shared.dialect.parse_request)(&caller.head) {
-        Ok(wish) => wish,
+/// Responds to a request.
+pub async fn answer(shared: &Arc<Shared>, incoming: &IncomingRequest) -> ConnectionAction {
+    let mut record = Record::new(incoming.arrived);
+    let info = match (shared.dialect.parse_request)(&incoming.head) {
+        Ok(info) => info,
         Err(err) => {
-            log::info!(why:% = err; "request refused: its head is incomplete");
-            return refuse(shared, caller, Cause::Malformed, RequestState::Queued, &mut record).await;
+            log::info!(why:% = err; "request refused: invalid head");
+            return refuse(shared, incoming, Cause::Malformed, RequestState::Queued, &mut record).await;
         }
     };
-    record.id.clone_from(&wish.id);
+    record.id.clone_from(&info.id);
     let site = shared.site.load_full();
-    let call = match resolve(shared, site.as_deref(), caller, wish, &mut record) {
-        Ok(call) => call,
-        Err(cause) => return refuse(shared, caller, cause, RequestState::Queued, &mut record).await,
+    let request = match resolve(shared, site.as_deref(), incoming, info, &mut record) {
+        Ok(request) => request,
+        Err(cause) => return refuse(shared, incoming, cause, RequestState::Queued, &mut record).await,
     };
-    shared.fleet().first_attempt(call.service, shared.clock.now());
-    let mut attempts = Attempts::new(shared, &call, &mut record);
+    shared.fleet().first_attempt(request.service, shared.clock.now());
+    let mut attempts = Attempts::new(shared, &request, &mut record);
     let finish = attempts.run().await;
     match finish {
-        Finish::Whole(answer) => {
-            let close = closes(shared, caller);
+        Finish::Complete(answer) => {
+            let close = closes_connection(shared, incoming);
             record.end(shared, answer.status, "answered");
-            if reply::whole(&caller.conn, answer.status, &answer.headers, &answer.body, close).await {
-                ending(close)
+            if reply::response(&incoming.conn, answer.status, &answer.headers, &answer.body, close).await {
+                connection_action(close)
             } else {
-                Ending::Abort
+                ConnectionAction::Abort
             }
         }
         Finish::Streamed { keeps } => {
             record.end(shared, 200, "streamed");
-            ending(!keeps)
+            connection_action(!keeps)
         }
         Finish::Cut(why) => {
             record.end(shared, 200, why);
-            Ending::Abort
+            ConnectionAction::Abort
         }
-        Finish::Gone => {
+        Finish::ClientGone => {
             record.end(shared, 0, "caller_gone");
-            Ending::Abort
+            ConnectionAction::Abort
         }
-        Finish::Refused(cause, state) => refuse(shared, caller, cause, state, &mut record).await,
+        Finish::Refused(cause, state) => refuse(shared, incoming, cause, state, &mut record).await,
     }
 }
 
-/// Whose the request is and where it goes.
+/// Determines the workspace and the route of a request.
 fn resolve<'a>(
     shared: &Shared,
     site: Option<&'a Site>,
-    caller: &'a Caller,
-    wish: RequestInfo,
+    incoming: &'a IncomingRequest,
+    info: RequestInfo,
     record: &mut Record,
-) -> Result<Call<'a>, Cause> {
+) -> Result<RoutedRequest<'a>, Cause> {
     let site = site.ok_or(Cause::NotReady)?;
     record.revision = site.revision();
     record.age = shared.freshness().age(shared.clock.now());
-    let fresh = shared.fresh();
-    let route = site.route(&wish.host, caller.head.path());
-    // A router that may have missed a change doesn't deny what may be there by now.
+    let fresh = shared.is_fresh();
+    let route = site.route(&info.host, incoming.head.path());
+    // A router with an outdated document must not deny that a route exists: the route may have been added since.
     let route = route.ok_or(if fresh { Cause::NoRoute } else { Cause::Stale })?;
     record.route.clone_from(&route.name);
-    let owner = match site.owner(route, wish.key.as_deref()) {
+    let owner = match site.owner(route, info.key.as_deref()) {
         Owner::Nobody => None,
         _ if !fresh => return Err(Cause::Stale),
         Owner::Unknown => return Err(Cause::Unauthorized),
@@ -134,34 +134,44 @@
     };
     record.workspace = owner.map(|spec| spec.id.clone());
     let service = route.target(rand::random()).ok_or(Cause::NoEndpoint)?;
-    let patience = wish.timeout.unwrap_or(route.timeout).min(route.timeout);
-    Ok(Call {
-        caller,
-        wish,
+    let timeout = info.timeout.unwrap_or(route.timeout).min(route.timeout);
+    Ok(RoutedRequest {
+        incoming,
+        info,
         route,
         service,
         workspace: owner.map(|spec| &spec.id),
         isolated: owner.filter(|spec| spec.isolated).map(|spec| &spec.id),
         rank: owner.and_then(|spec| spec.rank).unwrap_or(route.rank),
-        deadline: caller.arrived + patience,
+        deadline: incoming.arrived + timeout,
     })
 }
 
-async fn refuse(shared: &Shared, caller: &Caller, cause: Cause, state: RequestState, record: &mut Record) -> Ending {
+async fn refuse(
+    shared: &Shared,
+    incoming: &IncomingRequest,
+    cause: Cause,
+    state: RequestState,
+    record: &mut Record,
+) -> ConnectionAction {
     let refusal = attempt::refusal(cause, state);
     record.end(shared, refusal.status, cause.name());
-    let close = closes(shared, caller);
-    if reply::refusal(&caller.conn, &refusal, close).await {
-        return ending(close);
+    let close = closes_connection(shared, incoming);
+    if reply::refusal(&incoming.conn, &refusal, close).await {
+        return connection_action(close);
     }
-    Ending::Abort
+    ConnectionAction::Abort
 }
 
-/// Whether the connection ends with this answer.
-fn closes(shared: &Shared, caller: &Caller) -> bool {
-    !caller.head.keeps() || shared.stopping.load(Ordering::SeqCst)
+/// Whether the connection is closed after this response.
+fn closes_connection(shared: &Shared, incoming: &IncomingRequest) -> bool {
+    !incoming.head.keeps() || shared.stopping.load(Ordering::SeqCst)
 }
 
-fn ending(close: bool) -> Ending {
-    if close { Ending::Close } else { Ending::Keep }
+fn connection_action(close: bool) -> ConnectionAction {
+    if close {
+        ConnectionAction::Close
+    } else {
+        ConnectionAction::Keep
+    }
 }
--- a/crates/gateway/src/serve/outgoing.rs
+++ b/crates/gateway/src/serve/outgoing.rs
@@ -1,4 +1,4 @@
-//! A request as it goes to an endpoint.
+//! Encoding of requests to endpoints.
 
 use super::attempts::Attempts;
 use crate::dialect::ForwardContext;
@@ -7,47 +7,47 @@
 use ids::WorkspaceId;
 
 impl Attempts<'_> {
-    /// The request as it goes to the endpoint.
-    pub(super) fn bytes(&self, picked: &Picked) -> Vec<u8> {
-        let caller = self.call.caller;
+    /// The request as sent to the endpoint.
+    pub(super) fn encode(&self, picked: &Picked) -> Vec<u8> {
+        let incoming = self.request.incoming;
         let salt = self
-            .call
-            .wish
+            .request
+            .info
             .prompt
             .as_ref()
-            .map(|_| salt(picked.weights, self.call.isolated));
+            .map(|_| salt(picked.weights, self.request.isolated));
         let transfers = self.transfers(salt.as_deref(), picked);
         let forward = ForwardContext {
             endpoint: &picked.endpoint.id,
-            remaining: self.left(),
-            workspace: self.call.workspace,
+            remaining: self.remaining(),
+            workspace: self.request.workspace,
             salt: salt.as_deref(),
             weights: picked.weights.filter(|_| salt.is_some()),
             transfers,
-            rank: self.call.wish.prompt.as_ref().map(|_| self.call.rank),
+            rank: self.request.info.prompt.as_ref().map(|_| self.request.rank),
             last_event: self.events.last(),
         };
-        let headers = (self.shared.dialect.request_headers)(&caller.head.headers, &forward);
-        let line = format!("{} {} HTTP/1.1\r\n", caller.head.method, caller.head.target);
+        let headers = (self.shared.dialect.request_headers)(&incoming.head.headers, &forward);
+        let line = format!("{} {} HTTP/1.1\r\n", incoming.head.method, incoming.head.target);
         let mut bytes = line.into_bytes();
         headers.write(&mut bytes);
-        let bodied = !caller.body.is_empty() || !matches!(caller.head.method.as_str(), "GET" | "HEAD" | "DELETE");
+        let bodied = !incoming.body.is_empty() || !matches!(incoming.head.method.as_str(), "GET" | "HEAD" | "DELETE");
         if bodied {
-            bytes.extend_from_slice(format!("Content-Length: {}\r\n", caller.body.len()).as_bytes());
+            bytes.extend_from_slice(format!("Content-Length: {}\r\n", incoming.body.len()).as_bytes());
         }
         bytes.extend_from_slice(b"\r\n");
-        bytes.extend_from_slice(&caller.body);
+        bytes.extend_from_slice(&incoming.body);
         bytes
     }
 
-    /// What the engine exchanges with the store of cached prefixes. Without known weights nothing: parts made under others
-    /// must not get into the same scope.
+    /// Prefix transfers between the engine and the prefix cache stores. None if the weights are unknown, because
+    /// prefixes computed with different weights must not share a scope.
     fn transfers(&self, salt: Option<&str>, picked: &Picked) -> Transfers {
-        let (Some(salt), Some(prompt), Some(_)) = (salt, &self.call.wish.prompt, picked.weights) else {
+        let (Some(salt), Some(prompt), Some(_)) = (salt, &self.request.info.prompt, picked.weights) else {
             return Transfers::default();
         };
         let now = self.shared.clock.now();
-        let isolated = self.call.isolated;
+        let isolated = self.request.isolated;
         let own = prompt.parts.last().map_or(0, |part| part.tokens);
         self.shared
             .prefixes()
@@ -55,7 +55,8 @@
     }
 }
 
-/// Scope of cached prefixes: weights must not mix, and an isolated workspace's prefixes are its own.
+/// Scope of cached prefixes. Prefixes of different weights must not mix, and an isolated workspace does not share its
+/// prefixes.
 fn salt(weights: Option<u64>, isolated: Option<&WorkspaceId>) -> String {
     let weights = weights.map_or_else(|| "any".to_owned(), |weights| weights.to_string());
     match isolated {
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -1,4 +1,4 @@
-//! What is written down of a request: one line, and counters.
+//! The log line and the metrics of a request.
 
 use crate::shared::Shared;
 use dispatch::fleet::Behind;
@@ -6,38 +6,38 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// What is known of a request so far.
+/// Data collected about a request.
 pub struct Record {
-    /// The caller's id.
+    /// The client's id of the request.
     pub id: String,
     /// Name of its route.
     pub route: String,
     /// Its workspace.
     pub workspace: Option<WorkspaceId>,
-    /// Revision of the document that decided.
+    /// Revision of the document that was used to route it.
     pub revision: Revision,
-    /// Age of that document's last confirmation.
+    /// Time since that document was last confirmed to be current.
     pub age: Option<Duration>,
-    /// Weights that the last attempt named, and how far they were behind when it was sent.
+    /// Weights that the last attempt named, and how long they had been outdated when it was sent.
     pub weights: Option<(u64, Behind)>,
-    /// Its prompt, if it has one.
-    pub prompt: PromptNote,
+    /// Its prompt; all zero if it has none.
+    pub prompt: PromptRecord,
     arrived: Duration,
     first: Option<Duration>,
-    /// When the last part of a streamed answer came, and the longest pause between two.
+    /// When the last part of a streamed response arrived, followed by the longest pause between two parts.
     part: Option<Duration>,
     pause: Duration,
-    tries: String,
+    attempts: String,
 }
 
-/// What tells how long an endpoint reads a prompt, in tokens.
+/// Data that explains how long an endpoint takes to read a prompt, in tokens.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct PromptNote {
-    /// The prompt.
+pub struct PromptRecord {
+    /// Length of the prompt.
     pub tokens: u64,
-    /// What the last attempt's endpoint was expected to read of it.
+    /// Part of it that the last attempt's endpoint was expected to compute.
     pub read: u64,
-    /// Id of its innermost part that others share; 0 if there is none.
+    /// Id of the longest prefix that other requests share; 0 if there is none.
     pub prefix: u64,
 }
 
@@ -51,24 +51,25 @@
             revision: Revision(0),
             age: None,
             weights: None,
-            prompt: PromptNote::default(),
+            prompt: PromptRecord::default(),
             arrived,
             first: None,
             part: None,
             pause: Duration::ZERO,
-            tries: String::new(),
+            attempts: String::new(),
         }
     }
 
-    /// An attempt at an endpoint, why it was chosen, and how it ended, this long after the request's arrival.
-    pub fn tried(&mut self, endpoint: &EndpointId, reason: &str, outcome: &str, now: Duration) {
+    /// Adds an attempt: the endpoint, why it was chosen, how the attempt ended, and the milliseconds since the request
+    /// arrived.
+    pub fn attempt(&mut self, endpoint: &EndpointId, reason: &str, outcome: &str, now: Duration) {
         let after = now.saturating_sub(self.arrived).as_millis();
-        let comma = if self.tries.is_empty() { "" } else { "," };
-        // Writing to a string doesn't fail.
-        let _ = write!(self.tries, "{comma}{endpoint}:{reason}:{outcome}@{after}");
+        let comma = if self.attempts.is_empty() { "" } else { "," };
+        // Writing to a string does not fail.
+        let _ = write!(self.attempts, "{comma}{endpoint}:{reason}:{outcome}@{after}");
     }
 
-    /// The first byte of the answer goes to the caller.
+    /// Records that the first byte of the response is sent to the client.
     pub fn first_byte(&mut self, shared: &Shared) {
         let after = shared.clock.now().saturating_sub(self.arrived);
         if self.first.is_none() {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// A part of a streamed answer came.
+    /// Records that a part of a streamed response arrived.
     pub fn part(&mut self, shared: &Shared) {
         let now = shared.clock.now();
         let last = self.part.replace(now);
@@ -86,7 +87,7 @@
         self.pause = self.pause.max(pause);
     }
 
-    /// The request has ended.
+    /// Records the end of the request and writes the log line.
     pub fn end(&mut self, shared: &Shared, status: u16, outcome: &str) {
         if status < 300 || self.first.is_none() {
             self.first_byte(shared);
@@ -103,7 +104,7 @@
             first_ms = self.first.unwrap_or_default().as_millis() as u64,
             pause_ms = self.pause.as_millis() as u64,
             total_ms = total.as_millis() as u64,
-            tries = self.tries.as_str(),
+            tries = self.attempts.as_str(),
             prompt = self.prompt.tokens,
             read = self.prompt.read,
             prefix = format!("{:x}", self.prompt.prefix).as_str(),
@@ -116,7 +117,7 @@
     }
 }
 
-/// How far weights are behind, in a log line: -1 stands for an unknown time.
+/// How long weights have been outdated, in milliseconds; -1 if that is unknown.
 fn behind_ms(behind: Behind) -> i64 {
     match behind {
         Behind::No => 0,
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -1,9 +1,9 @@
-//! A stream on its way from an endpoint to the caller, event by event.
+//! Relays a stream from an endpoint to the client, event by event.
 
-use super::attempts::{Attempted, Attempts, Finish};
-use super::flight::Flight;
-use super::wait::{Outdated, Waited, wait};
-use super::{closes, reply};
+use super::attempts::{AttemptResult, Attempts, Finish};
+use super::in_flight::InFlightAttempt;
+use super::wait::{WaitOutcome, WeightsOutdated, wait};
+use super::{closes_connection, reply};
 use crate::dialect::ResponseInfo;
 use async_std::future::timeout;
 use async_std::io::WriteExt;
@@ -12,51 +12,51 @@
 use http::raw::{Answer, Source};
 use lifecycle::request::RequestEvent;
 
-/// Passes one endpoint's part of a stream on.
-pub(super) struct Relay<'r, 'a, 'f> {
+/// Relays the part of a stream that one endpoint sends.
+pub(super) struct StreamRelay<'r, 'a, 'f> {
     attempts: &'r mut Attempts<'a>,
-    flight: &'r mut Flight<'f>,
+    in_flight: &'r mut InFlightAttempt<'f>,
     close: bool,
     chunked: bool,
 }
 
-/// What became of a write to the caller.
+/// Result of a write to the client.
 #[derive(PartialEq, Eq)]
-enum Written {
+enum WriteResult {
     Done,
-    Gone,
+    ClientGone,
 }
 
-impl<'r, 'a, 'f> Relay<'r, 'a, 'f> {
-    pub(super) fn new(attempts: &'r mut Attempts<'a>, flight: &'r mut Flight<'f>) -> Self {
-        let caller = attempts.call.caller;
-        let close = closes(attempts.shared, caller);
-        let chunked = !caller.head.old;
+impl<'r, 'a, 'f> StreamRelay<'r, 'a, 'f> {
+    pub(super) fn new(attempts: &'r mut Attempts<'a>, in_flight: &'r mut InFlightAttempt<'f>) -> Self {
+        let incoming = attempts.request.incoming;
+        let close = closes_connection(attempts.shared, incoming);
+        let chunked = !incoming.head.old;
         Self {
             attempts,
-            flight,
+            in_flight,
             close,
             chunked,
         }
     }
 
-    pub(super) async fn run(mut self, mut answer: Answer, mut source: Source, facts: &ResponseInfo) -> Attempted {
-        let conn = self.attempts.call.caller.conn.clone();
-        // Whether this endpoint has begun: another one may have sent the events so far.
+    pub(super) async fn run(mut self, mut answer: Answer, mut source: Source, info: &ResponseInfo) -> AttemptResult {
+        let conn = self.attempts.request.incoming.conn.clone();
+        // Whether this endpoint has sent an event. Earlier events may have come from another endpoint.
         let mut begun = false;
         loop {
-            let within = attempt::silence(self.attempts.call.route.kind, self.attempts.left());
+            let within = attempt::silence(self.attempts.request.route.kind, self.attempts.remaining());
             let part = answer.body.part(&mut source);
             let waited = if begun {
                 wait(&conn, within, part).await
             } else {
-                match self.attempts.unbegun(self.flight.picked, within, part).await {
+                match self.attempts.wait_for_begin(self.in_flight.picked, within, part).await {
                     Ok(waited) => waited,
-                    Err(Outdated) => return self.taken_back(),
+                    Err(WeightsOutdated) => return self.cancelled(),
                 }
             };
             match waited {
-                Waited::Done(Ok(Some(part))) => {
+                WaitOutcome::Done(Ok(Some(part))) => {
                     let whole = self.attempts.events.push(&part);
                     if whole.count == 0 {
                         continue;
@@ -64,81 +64,81 @@
                     begun = true;
                     self.first_event();
                     self.attempts.record.part(self.attempts.shared);
-                    if self.write(&answer, &whole.bytes, false).await == Written::Gone {
-                        return Attempted::Ended(self.attempts.gone());
+                    if self.write(&answer, &whole.bytes, false).await == WriteResult::ClientGone {
+                        return AttemptResult::Ended(self.attempts.client_gone());
                     }
                 }
-                Waited::Done(Ok(None)) => return self.finish(&answer, source, facts).await,
-                Waited::Done(Err(_)) => return self.attempts.broke(self.flight),
-                Waited::CallerGone => {
-                    self.attempts.waited(self.flight.began);
-                    return Attempted::Ended(self.attempts.gone());
+                WaitOutcome::Done(Ok(None)) => return self.finish(&answer, source, info).await,
+                WaitOutcome::Done(Err(_)) => return self.attempts.response_broken(self.in_flight),
+                WaitOutcome::ClientGone => {
+                    self.attempts.record_wait(self.in_flight.began);
+                    return AttemptResult::Ended(self.attempts.client_gone());
                 }
-                Waited::TimeOver if self.attempts.left().is_zero() => {
-                    return Attempted::Ended(self.attempts.give_up(Cause::Deadline));
+                WaitOutcome::TimedOut if self.attempts.remaining().is_zero() => {
+                    return AttemptResult::Ended(self.attempts.give_up(Cause::Deadline));
                 }
-                Waited::TimeOver => return self.silent(),
+                WaitOutcome::TimedOut => return self.timed_out(),
             }
         }
     }
 
-    fn silent(self) -> Attempted {
-        self.flight.outcome(Outcome::Silent);
+    fn timed_out(self) -> AttemptResult {
+        self.in_flight.outcome(Outcome::Silent);
         self.attempts.events.broke();
-        self.attempts.life.on(RequestEvent::AnswerBroke);
-        Attempted::Failed(Failure::Silent)
+        self.attempts.lifecycle.on(RequestEvent::AnswerBroke);
+        AttemptResult::Failed(Failure::Silent)
     }
 
-    fn taken_back(self) -> Attempted {
+    fn cancelled(self) -> AttemptResult {
         self.attempts.events.broke();
-        self.attempts.life.on(RequestEvent::AnswerBroke);
-        self.attempts.taken_back(self.flight)
+        self.attempts.lifecycle.on(RequestEvent::AnswerBroke);
+        self.attempts.cancelled(self.in_flight)
     }
 
     fn first_event(&mut self) {
-        if self.attempts.begun {
+        if self.attempts.head_sent {
             return;
         }
-        self.attempts.waited(self.flight.began);
-        self.flight.prompt_read();
-        self.flight.answered();
+        self.attempts.record_wait(self.in_flight.began);
+        self.in_flight.prompt_read();
+        self.in_flight.answered();
         self.attempts.record.first_byte(self.attempts.shared);
     }
 
-    /// The endpoint's last byte has come.
-    async fn finish(mut self, answer: &Answer, source: Source, facts: &ResponseInfo) -> Attempted {
+    /// Handles the end of the endpoint's response.
+    async fn finish(mut self, answer: &Answer, source: Source, info: &ResponseInfo) -> AttemptResult {
         let rest = self.attempts.events.finish();
-        if self.write(answer, &rest, true).await == Written::Gone {
-            return Attempted::Ended(self.attempts.gone());
+        if self.write(answer, &rest, true).await == WriteResult::ClientGone {
+            return AttemptResult::Ended(self.attempts.client_gone());
         }
-        self.attempts.life.on(RequestEvent::AnswerWhole);
+        self.attempts.lifecycle.on(RequestEvent::AnswerWhole);
         if answer.clean && answer.head.keeps() {
-            let links = &self.attempts.shared.links;
-            links.give_back(&self.flight.picked.endpoint, source, facts.keep_alive);
+            let connections = &self.attempts.shared.connections;
+            connections.put_back(&self.in_flight.picked.endpoint, source, info.keep_alive);
         }
-        Attempted::Ended(Finish::Streamed {
+        AttemptResult::Ended(Finish::Streamed {
             keeps: !self.close && self.chunked,
         })
     }
 
-    /// Writes events, after the head if they are the first, and the end of the stream after the last.
-    async fn write(&mut self, answer: &Answer, part: &[u8], last: bool) -> Written {
+    /// Writes events. The first write includes the response head, the last one the end of the stream.
+    async fn write(&mut self, answer: &Answer, part: &[u8], last: bool) -> WriteResult {
         let mut bytes = Vec::with_capacity(part.len() + 64);
-        if !self.attempts.begun {
+        if !self.attempts.head_sent {
             let headers = (self.attempts.shared.dialect.response_headers)(&answer.head.headers);
             bytes = reply::stream_head(answer.head.status, &headers, self.close, self.chunked);
-            self.attempts.begun = true;
+            self.attempts.head_sent = true;
         }
-        reply::push_part(&mut bytes, part, self.chunked);
+        reply::push_chunk(&mut bytes, part, self.chunked);
         if last {
             reply::push_end(&mut bytes, self.chunked);
         }
-        self.attempts.life.on(RequestEvent::PartArrived);
-        let mut conn = self.attempts.call.caller.conn.clone();
-        let written = timeout(self.attempts.left(), conn.write_all(&bytes)).await;
+        self.attempts.lifecycle.on(RequestEvent::PartArrived);
+        let mut conn = self.attempts.request.incoming.conn.clone();
+        let written = timeout(self.attempts.remaining(), conn.write_all(&bytes)).await;
         if matches!(written, Ok(Ok(()))) {
-            return Written::Done;
+            return WriteResult::Done;
         }
-        Written::Gone
+        WriteResult::ClientGone
     }
 }
--- a/crates/gateway/src/serve/reply.rs
+++ b/crates/gateway/src/serve/reply.rs
@@ -1,4 +1,4 @@
-//! Answers as they go to callers.
+//! Writes responses to clients.
 
 use async_std::io::WriteExt;
 use dispatch::attempt::Refusal;
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use http::raw::Headers;
 
-/// Writes a refusal of this router; false if the caller has gone.
+/// Writes a refusal of this router. Returns false if the client closed the connection.
 pub async fn refusal(conn: &Conn, refusal: &Refusal, close: bool) -> bool {
     let code = refusal.cause.name();
     let body = format!("{{\"error\":{{\"code\":\"{code}\"}}}}");
@@ -15,11 +15,11 @@
     if let Some(after) = refusal.retry_after {
         headers.push("Retry-After", format!("{:.3}", after.as_secs_f64()));
     }
-    whole(conn, refusal.status, &headers, body.as_bytes(), close).await
+    response(conn, refusal.status, &headers, body.as_bytes(), close).await
 }
 
-/// Writes an answer with its body; false if the caller has gone.
-pub async fn whole(conn: &Conn, status: u16, headers: &Headers, body: &[u8], close: bool) -> bool {
+/// Writes a response with its body. Returns false if the client closed the connection.
+pub async fn response(conn: &Conn, status: u16, headers: &Headers, body: &[u8], close: bool) -> bool {
     let mut bytes = head(status, headers, close);
     let length = format!("Content-Length: {}\r\n\r\n", body.len());
     bytes.extend_from_slice(length.as_bytes());
@@ -27,8 +27,8 @@
     conn.clone().write_all(&bytes).await.is_ok()
 }
 
-/// The head of a streamed answer, up to the empty line. A caller of HTTP/1.0 knows no chunks: its answer ends with the
-/// connection.
+/// The head of a streamed response, including the empty line. HTTP/1.0 has no chunked encoding, so there the end of the
+/// connection ends the response.
 pub fn stream_head(status: u16, headers: &Headers, close: bool, chunked: bool) -> Vec<u8> {
     let mut bytes = head(status, headers, close || !chunked);
     if chunked {
@@ -38,8 +38,8 @@
     bytes
 }
 
-/// Appends bytes of a stream.
-pub fn push_part(out: &mut Vec<u8>, part: &[u8], chunked: bool) {
+/// Appends a part of a stream.
+pub fn push_chunk(out: &mut Vec<u8>, part: &[u8], chunked: bool) {
     if part.is_empty() {
         return;
     }
--- a/crates/gateway/src/serve/wait.rs
+++ b/crates/gateway/src/serve/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for an endpoint while the caller may go away.
+//! Waiting for an endpoint while the client may close its connection.
 
 use async_std::future::timeout;
 use futures::future::{Either, select};
@@ -8,23 +8,23 @@
 use std::time::Duration;
 
 /// How a wait ended.
-pub(super) enum Waited<T> {
+pub(super) enum WaitOutcome<T> {
     Done(T),
-    CallerGone,
-    TimeOver,
+    ClientGone,
+    TimedOut,
 }
 
-/// The wait was ended since the weights that the request names became too old to begin on.
+/// The wait ended because the weights that the request names became too old to begin with.
 #[derive(Debug)]
-pub(super) struct Outdated;
+pub(super) struct WeightsOutdated;
 
-/// Waits for `future`, for the caller to go, or for the time to be over.
-pub(super) async fn wait<T>(conn: &Conn, within: Duration, future: impl Future<Output = T>) -> Waited<T> {
+/// Waits until `future` completes, the client closes its connection, or the time is over.
+pub(super) async fn wait<T>(conn: &Conn, within: Duration, future: impl Future<Output = T>) -> WaitOutcome<T> {
     let gone = pin!(conn.peer_gone());
     let future = pin!(future);
     match timeout(within, select(future, gone)).await {
-        Ok(Either::Left((done, _))) => Waited::Done(done),
-        Ok(Either::Right(_)) => Waited::CallerGone,
-        Err(_) => Waited::TimeOver,
+        Ok(Either::Left((done, _))) => WaitOutcome::Done(done),
+        Ok(Either::Right(_)) => WaitOutcome::ClientGone,
+        Err(_) => WaitOutcome::TimedOut,
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -10,66 +10,67 @@
     /// An error in the settings.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SettingsProblem {
-        /// The text is no JSON, or a field has the wrong type.
+        /// The text is not JSON, or a field is missing or has the wrong type.
         Field(path: String, why: String) {
             display("{path}: {why}")
         }
-        /// A value is out of its range.
+        /// A value is outside its valid range.
         Range(path: &'static str, why: &'static str) {
             display("{path}: {why}")
         }
     }
 }
 
-/// Settings of one router. Fields that it doesn't know are ignored: the file is made by whoever runs the VM.
+/// Settings of one router. Unknown fields are ignored, because the operator of the VM writes the file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// This VM's id.
+    /// Id of this VM.
     pub vm: VmId,
-    /// Its failure domain.
+    /// Failure domain of this VM.
     pub domain: DomainId,
-    /// Where callers connect.
+    /// Listening address for clients.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether callers should be sent here.
+    /// Listening address for the load balancer's readiness checks.
     pub readiness: SocketAddr,
-    /// Where other routers follow this one.
+    /// Listening address for other routers.
     pub peers: SocketAddr,
-    /// Where counters are read.
+    /// Listening address for metrics; no metrics are served if absent.
     pub metrics: Option<SocketAddr>,
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// This VM's link, Mbit/s; absent where all VMs are alike.
+    /// Bandwidth of this VM's network link, Mbit/s; absent where all VMs have the same.
     pub link_mbps: Option<f64>,
-    /// Bounds that the site promises its users.
+    /// Service level bounds that the site guarantees to its users.
     #[serde(default)]
     pub bounds: Bounds,
-    /// Least urgent lines that are logged: `error`, `warn`, `info` or `debug`.
+    /// Least severe level that is logged: `error`, `warn`, `info` or `debug`.
     #[serde(default = "default_level")]
     pub log_level: String,
 }
 
-/// Bounds that the site promises its users. Times are milliseconds in fields that end in `_ms`, seconds in `_s`.
+/// Service level bounds that the site guarantees to its users. Fields ending in `_ms` are milliseconds, fields ending
+/// in `_s` are seconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// A key that was taken away is refused after this time, everywhere. Absent: no such bound.
+    /// Time after which every router rejects a revoked API key; no bound if absent.
     pub revoke_ms: Option<u64>,
-    /// Requests begin on the newest weights after this time.
+    /// Time after which requests start only on the newest weights.
     pub weights_ms: u64,
-    /// Holders of the right to give orders don't take turns within this time.
+    /// Minimum time between orders of two successive lease holders to one endpoint.
     pub turn_ms: u64,
-    /// The process is killed this long after it was told to stop.
+    /// Time between the stop signal and the forced end of the process.
     pub grace_s: f64,
-    /// Attempts beyond the first, as a share of requests, over all routers.
+    /// Attempts after the first one, as a fraction of requests, over all routers.
     pub retry_ratio: f64,
-    /// Attempts beyond that share in one window, over all routers.
+    /// Additional attempts per window beyond `retry_ratio`, over all routers.
     pub retry_extra: u32,
-    /// The window.
+    /// Length of the window for `retry_ratio` and `retry_extra`.
     pub retry_window_s: f64,
 }
 
 impl Default for Bounds {
-    /// Cautious values for a site that states none.
+    /// Conservative values for a site that states none.
     fn default() -> Self {
         Self {
             revoke_ms: None,
@@ -84,27 +85,27 @@
 }
 
 impl Bounds {
-    /// See the field.
+    /// [`Self::revoke_ms`] as a duration.
     pub fn revoke(&self) -> Option<Duration> {
         self.revoke_ms.map(Duration::from_millis)
     }
 
-    /// See the field.
+    /// [`Self::weights_ms`] as a duration.
     pub fn weights(&self) -> Duration {
         Duration::from_millis(self.weights_ms)
     }
 
-    /// See the field.
+    /// [`Self::turn_ms`] as a duration.
     pub fn turn(&self) -> Duration {
         Duration::from_millis(self.turn_ms)
     }
 
-    /// See the field.
+    /// [`Self::grace_s`] as a duration.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s)
     }
 
-    /// See the field.
+    /// [`Self::retry_window_s`] as a duration.
     pub fn retry_window(&self) -> Duration {
         Duration::from_secs_f64(self.retry_window_s)
     }
@@ -114,7 +115,7 @@
     "info".to_owned()
 }
 
-/// Reads and checks settings.
+/// Parses and validates settings.
 ///
 /// # Errors
 /// Every error that was found.
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,9 +1,9 @@
-//! What all tasks of a router share.
+//! State shared by all tasks of a router.
 
+use crate::connections::ConnectionPool;
 use crate::control::Event;
 use crate::dialect::Dialect;
 use crate::follow::relay::Relay;
-use crate::link::Links;
 use crate::metrics::Metrics;
 use crate::settings::Settings;
 use arc_swap::{ArcSwap, ArcSwapOption};
@@ -19,57 +19,57 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Share of the bound on old weights after which none are begun on: routers hear of new weights later than they were
-/// named, and a request may wait inside an endpoint before it begins.
-const OLD_WEIGHTS: f64 = 0.75;
+/// Part of the bound on old weights after which requests avoid them. The margin covers the delay until routers learn of
+/// new weights, and the time that a request may wait in an endpoint before it starts.
+const AVOID_WEIGHTS_SHARE: f64 = 0.75;
 
-/// Share of that bound after which a request is refused rather than begun on old weights: a request takes up to a few hundred
-/// milliseconds to begin, and the router learned of the new ones after they were named.
-const LAST_WEIGHTS: f64 = 0.95;
+/// Part of that bound after which a request is refused rather than started on old weights. A request takes up to a few
+/// hundred milliseconds to start, and the router learns of new weights some time after they are announced.
+const REFUSE_WEIGHTS_SHARE: f64 = 0.95;
 
 /// Shared by all tasks.
 pub struct Shared {
-    /// Settings in force; they may be reloaded.
+    /// Current settings; they may be reloaded.
     pub settings: ArcSwap<Settings>,
-    /// The site's wire.
+    /// Protocol of the site.
     pub dialect: Dialect,
     /// Time since the start.
     pub clock: Clock,
-    /// The document in force, absent until one was read.
+    /// The configuration document in force; absent until one was read.
     pub site: ArcSwapOption<Site>,
-    /// What is believed of endpoints; never locked across an await.
+    /// State of the endpoints. Never locked across an await.
     fleet: Mutex<Fleet>,
     freshness: Mutex<Freshness>,
     uptime: Mutex<Uptime>,
     prefixes: Mutex<PrefixStores>,
     /// Connections to endpoints.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// Counters.
     pub metrics: Metrics,
-    /// To the control thread.
+    /// Sends events to the control thread.
     pub events: Sender<Event>,
-    /// What is known of the store, for routers that follow this one.
+    /// Copy of the store's contents, for routers that follow this one.
     pub relay: Relay,
-    /// Whether this router watches the store itself.
-    pub watches: AtomicBool,
-    /// Set once a signal to stop has come.
+    /// Whether this router watches the store directly.
+    pub watches_store: AtomicBool,
+    /// Set when a stop signal was received.
     pub stopping: AtomicBool,
-    /// Closed when no new request is taken any more; nothing is ever sent through it.
-    pub taking: (Sender<()>, Receiver<()>),
-    /// Whether endpoints are in service whose entries are missing.
+    /// Closed when the router stops accepting requests. Nothing is ever sent through it.
+    pub accepting: (Sender<()>, Receiver<()>),
+    /// Whether endpoints remain in service although their entries are missing from the store.
     missing: AtomicBool,
-    /// Signals that entries are missing; it has room for one signal.
-    pub missed: (Sender<()>, Receiver<()>),
-    /// Signals that the store came back from a copy, without this router's entry; it has room for one signal.
-    pub restored: (Sender<()>, Receiver<()>),
-    /// Signals that requests wait for an endpoint, or no more; it has room for one signal.
-    pub waits: (Sender<()>, Receiver<()>),
-    /// Whether the list of endpoints was read once.
-    pub listed: AtomicBool,
-    /// Requests of which a byte was read and that have not been answered.
+    /// Signals that entries are missing. Holds at most one signal.
+    pub missing_signal: (Sender<()>, Receiver<()>),
+    /// Signals that the store was restored from a backup that lacks this router's entry. Holds at most one signal.
+    pub restored_signal: (Sender<()>, Receiver<()>),
+    /// Signals that the backlog of an endpoint changed. Holds at most one signal.
+    pub backlog_signal: (Sender<()>, Receiver<()>),
+    /// Whether the list of endpoints has been read at least once.
+    pub endpoints_read: AtomicBool,
+    /// Requests of which at least one byte was read and whose response is not finished.
     pub in_flight: AtomicUsize,
-    /// Bytes of bodies held in memory.
-    pub held: AtomicUsize,
+    /// Bytes of request bodies held in memory.
+    pub body_bytes: AtomicUsize,
 }
 
 impl Shared {
@@ -85,71 +85,71 @@
             freshness: Mutex::default(),
             uptime: Mutex::default(),
             prefixes: Mutex::default(),
-            links: Links::default(),
+            connections: ConnectionPool::default(),
             metrics: Metrics::new(),
             events,
             relay: Relay::default(),
-            watches: AtomicBool::new(false),
+            watches_store: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
-            taking: async_channel::bounded(1),
+            accepting: async_channel::bounded(1),
             missing: AtomicBool::new(false),
-            missed: async_channel::bounded(1),
-            restored: async_channel::bounded(1),
-            waits: async_channel::bounded(1),
-            listed: AtomicBool::new(false),
+            missing_signal: async_channel::bounded(1),
+            restored_signal: async_channel::bounded(1),
+            backlog_signal: async_channel::bounded(1),
+            endpoints_read: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
-            held: AtomicUsize::new(0),
+            body_bytes: AtomicUsize::new(0),
         }
     }
 
-    /// Other settings are in force. Addresses to listen on stay as they are.
+    /// Replaces the settings. The listening addresses do not change.
     pub fn reload(&self, settings: Settings) {
         self.fleet().reload(fleet_settings(&settings));
         self.settings.store(Arc::new(settings));
     }
 
-    /// What is believed of endpoints.
+    /// State of the endpoints.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
         self.fleet.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How fresh the document is.
+    /// How recently the document was confirmed to be current.
     pub fn freshness(&self) -> MutexGuard<'_, Freshness> {
         self.freshness.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Since when the store is known to answer; written by the control thread.
+    /// Period in which the store is known to have answered; written by the control thread.
     pub fn uptime(&self) -> MutexGuard<'_, Uptime> {
         self.uptime.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes whether endpoints are in service whose entries are missing.
-    pub fn unproven(&self, missing: bool) {
+    /// Records whether endpoints remain in service although their entries are missing.
+    pub fn set_missing(&self, missing: bool) {
         self.missing.store(missing, Ordering::SeqCst);
         if missing {
-            // A signal that is there already is enough.
-            let _ = self.missed.0.try_send(());
+            // A pending signal is sufficient.
+            let _ = self.missing_signal.0.try_send(());
         }
     }
 
-    /// Notes that what requests wait for at endpoints has changed.
-    pub fn waits_changed(&self) {
-        // A signal that is there already is enough.
-        let _ = self.waits.0.try_send(());
+    /// Signals that the backlog of an endpoint changed.
+    pub fn backlog_changed(&self) {
+        // A pending signal is sufficient.
+        let _ = self.backlog_signal.0.try_send(());
     }
 
-    /// Whether endpoints are in service whose entries are missing.
+    /// Whether endpoints remain in service although their entries are missing.
     pub fn has_missing(&self) -> bool {
         self.missing.load(Ordering::SeqCst)
     }
 
-    /// What the stores of cached prefixes are believed to hold.
+    /// State of the prefix cache stores.
     pub fn prefixes(&self) -> MutexGuard<'_, PrefixStores> {
         self.prefixes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the document may be relied on to say whose key is good.
-    pub fn fresh(&self) -> bool {
+    /// Whether the document is recent enough to authorize keys.
+    pub fn is_fresh(&self) -> bool {
         let Some(bound) = self.settings.load().bounds.revoke() else {
             return true;
         };
@@ -157,19 +157,19 @@
         self.freshness().holds(bound, now)
     }
 
-    /// Resolves once no new request is taken any more.
-    pub async fn closed(&self) {
-        // Nothing is ever sent: the only outcome is that the channel was closed.
-        let _ = self.taking.1.recv().await;
+    /// Resolves when the router stops accepting requests.
+    pub async fn stopped_accepting(&self) {
+        // Nothing is ever sent, so this returns only when the channel is closed.
+        let _ = self.accepting.1.recv().await;
     }
 
-    /// Whether callers should be sent here.
-    pub fn ready(&self) -> bool {
-        let known = self.site.load().is_some() && self.listed.load(Ordering::SeqCst);
-        known && self.fresh() && !self.stopping.load(Ordering::SeqCst)
+    /// Whether the load balancer should send clients here.
+    pub fn is_ready(&self) -> bool {
+        let known = self.site.load().is_some() && self.endpoints_read.load(Ordering::SeqCst);
+        known && self.is_fresh() && !self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Revision in force, 0 without a document.
+    /// Revision of the document in force; 0 without a document.
     pub fn revision(&self) -> Revision {
         self.site.load().as_ref().map_or(Revision(0), |site| site.revision())
     }
@@ -185,7 +185,7 @@
             window: bounds.retry_window(),
             routers: 0,
         },
-        old_weights: bounds.weights().mul_f64(OLD_WEIGHTS),
-        last_weights: bounds.weights().mul_f64(LAST_WEIGHTS),
+        old_weights: bounds.weights().mul_f64(AVOID_WEIGHTS_SHARE),
+        last_weights: bounds.weights().mul_f64(REFUSE_WEIGHTS_SHARE),
     }
 }
