--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -375,7 +375,11 @@
         wait(&self.request.incoming.conn, limit, open).await
     }
 
-    async fn exchange(&self, picked: &PickedEndpoint, connection: PooledConnection) -> Result<(Answer, Source), ExchangeError> {
+    async fn exchange(
+        &self,
+        picked: &PickedEndpoint,
+        connection: PooledConnection,
+    ) -> Result<(Answer, Source), ExchangeError> {
         let request = self.encode(picked);
         let method = &self.request.incoming.head.method;
         let parse = self.shared.dialect.parse_response;
