--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -89,7 +89,7 @@
 
 /// Weights that a model should be served with.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WantedWeights {
+pub struct TargetWeights {
     /// The model.
     pub model: ModelId,
     /// Number of the weights; it only increases.
@@ -147,7 +147,7 @@
     /// Parses the configuration document.
     pub parse_document: fn(&[u8]) -> Result<SiteParts, Unreadable>,
     /// Parses wanted weights.
-    pub parse_weights: fn(&[u8]) -> Result<WantedWeights, Unreadable>,
+    pub parse_weights: fn(&[u8]) -> Result<TargetWeights, Unreadable>,
     /// Parses the entry of the endpoint with this id.
     pub parse_entry: fn(EndpointId, &[u8]) -> Result<EndpointEntry, Unreadable>,
     /// Parses the head of a client's request.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -17,7 +17,7 @@
 mod shared;
 
 pub use dialect::{
-    Dialect, ForwardContext, InvalidHead, LoadList, OrderResponse, RequestInfo, ResponseInfo, StoreKeys, WantedWeights,
+    Dialect, ForwardContext, InvalidHead, LoadList, OrderResponse, RequestInfo, ResponseInfo, StoreKeys, TargetWeights,
     WeightsOrder,
 };
 pub use run::{Addresses, RunError, Signal, run};
