--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -56,7 +56,7 @@
         /// When the store was known to hold nothing newer.
         confirmed: Option<Duration>,
         /// Period in which the store answered this router or the one that it follows.
-        answers: Span,
+        uptime: Span,
     },
     /// Changes in the store.
     Changes {
@@ -67,7 +67,7 @@
         /// When the store was known to hold nothing newer.
         confirmed: Option<Duration>,
         /// Period in which the store answered this router or the one that it follows.
-        answers: Span,
+        uptime: Span,
     },
     /// Response of other routers to the question which document is in force there.
     PeerDocument {
@@ -115,7 +115,7 @@
     holder: Arc<Mutex<Holder>>,
     holder_name: String,
     loading: BTreeSet<EndpointId>,
-    /// When loads ended. The next lease holder reads these times from the load list.
+    /// When loads ended. The load list names these endpoints for the next lease holder.
     load_ends: BTreeMap<EndpointId, Duration>,
     own_list: LoadList,
     list_write: ListWrite,
@@ -127,7 +127,8 @@
     holder_fence: Option<Fence>,
     /// Last load list that a lease holder wrote. Once the holder is gone, only the endpoints that it ordered matter.
     holder_list: LoadList,
-    /// Revision of the document in the store. None if the document could not be parsed, because it may revoke keys.
+    /// Revision of the document in the store. None if it could not be parsed: such a document may revoke keys, so it
+    /// confirms nothing.
     stored_revision: Option<Revision>,
     /// Newest revision that other routers reported.
     peer_revision: Option<Revision>,
@@ -176,28 +177,28 @@
                 self.roster.store_failed(due);
                 self.store_reachable = false;
             }
-            Event::PeerUptime(answers) => {
-                let gone = self.roster.store_witnessed(answers, now);
+            Event::PeerUptime(uptime) => {
+                let removed = self.roster.store_witnessed(uptime, now);
                 *self.shared.uptime() = *self.roster.uptime();
-                if !gone.is_empty() {
+                if !removed.is_empty() {
                     log::info!(
-                        endpoints = gone.len(),
-                        from_ms = now.saturating_sub(answers.from).as_millis() as u64;
+                        endpoints = removed.len(),
+                        from_ms = now.saturating_sub(uptime.from).as_millis() as u64;
                         "store: reachable from another router without a break, removing missing endpoints"
                     );
-                    self.apply_roster(gone, now);
+                    self.apply_roster(removed, now);
                 }
             }
             Event::Snapshot {
                 items,
                 position,
                 confirmed,
-                answers,
+                uptime,
             } => {
                 let before = self.shared.relay.lock().log.position();
                 match before.filter(|before| before.era != position.era) {
-                    Some(before) => self.store_restored(before, position, answers),
-                    None => self.store_answered(answers),
+                    Some(before) => self.store_restored(before, position, uptime),
+                    None => self.store_answered(uptime),
                 }
                 self.shared.relay.replace(&items, position);
                 self.apply_snapshot(items, now);
@@ -207,9 +208,9 @@
                 changes,
                 position,
                 confirmed,
-                answers,
+                uptime,
             } => {
-                self.store_answered(answers);
+                self.store_answered(uptime);
                 for change in &changes {
                     self.apply_change(change, now);
                 }
@@ -239,8 +240,8 @@
         }
     }
 
-    fn store_answered(&mut self, answers: Span) {
-        self.roster.store_answered(answers);
+    fn store_answered(&mut self, uptime: Span) {
+        self.roster.store_answered(uptime);
         if !self.store_reachable {
             self.store_reachable = true;
             log::info!("store: reachable");
@@ -248,8 +249,8 @@
     }
 
     /// The store was restored from a backup: its contents may be older than this router's copy.
-    fn store_restored(&mut self, before: Position, now: Position, answers: Span) {
-        self.roster.store_restored(answers);
+    fn store_restored(&mut self, before: Position, now: Position, uptime: Span) {
+        self.roster.store_restored(uptime);
         self.store_reachable = true;
         self.shared.metrics.restored.inc();
         // A pending signal is sufficient.
@@ -343,11 +344,11 @@
                 }
                 RosterChange::Missing { id, until } => {
                     let gap = self.roster.uptime().last_break();
-                    let silent = gap.map(|gap| gap.until.saturating_sub(gap.from));
+                    let outage = gap.map(|gap| gap.until.saturating_sub(gap.from));
                     log::warn!(
                         endpoint = id.as_str(),
                         kept_ms = until.saturating_sub(now).as_millis() as u64,
-                        silent_ms = silent.unwrap_or_default().as_millis() as u64;
+                        silent_ms = outage.unwrap_or_default().as_millis() as u64;
                         "endpoint: entry missing, kept because its lease may have expired in an outage"
                     );
                 }
@@ -395,8 +396,8 @@
                 return;
             }
         };
-        let none = self.shared.site.load().is_none();
-        if !none && parts.revision <= old {
+        let is_first = self.shared.site.load().is_none();
+        if !is_first && parts.revision <= old {
             if !self.document_is_current() {
                 log::warn!(revision = parts.revision.0, in_force = old.0; "configuration: the store holds an older revision");
             }
@@ -416,72 +417,68 @@
     fn read_weights(&self, item: &Item, now: Duration) {
         match (self.shared.dialect.parse_weights)(&item.value) {
             Ok(wanted) => {
-                // The weights were announced after the store's last response without them, so the age of that response
-                // is an upper limit. A router that has just started has no such response.
-                let unheard = self.shared.freshness().age(now);
+                // These weights became the target after the store's last response without them, so the age of that
+                // response is an upper limit. A router that has just started has no such response.
+                let max_age = self.shared.freshness().age(now);
                 log::info!(
                     model = wanted.model.as_str(),
                     weights = wanted.weights,
-                    unheard_ms = unheard.map_or(-1, |age| age.as_millis() as i64);
+                    unheard_ms = max_age.map_or(-1, |age| age.as_millis() as i64);
                     "weights: wanted"
                 );
                 let age = NameAge {
                     least: Duration::ZERO,
-                    most: unheard,
+                    most: max_age,
                 };
                 self.shared.fleet().want(&wanted.model, wanted.weights, age, now);
             }
-            Err(err) => log::error!(key = item.key.as_str(), why:% = err; "weights: cannot parse the wanted weights"),
+            Err(err) => log::error!(key = item.key.as_str(), why:% = err; "weights: cannot parse the target weights"),
         }
     }
 
     fn read_holder(&mut self, item: &Item) {
         let position = self.shared.relay.lock().log.position();
         let era = position.map_or(0, |position| position.era);
-        let holder_fence = Occupant {
+        let record = Occupant {
             name: String::from_utf8_lossy(&item.value).into_owned(),
             created: fence(era, item.created),
             lease: item.lease,
         };
-        self.holder_fence = Some(holder_fence.created);
+        self.holder_fence = Some(record.created);
         self.update_loading();
-        self.on_holder_event(dispatch::holder::Event::Seen(Some(holder_fence)));
+        self.on_holder_event(dispatch::holder::Event::Seen(Some(record)));
     }
 
     /// Reads a load list that a lease holder wrote.
     fn read_load_list(&mut self, item: &Item, now: Duration) {
-        let own_list: LoadList = match serde_json::from_slice(&item.value) {
-            Ok(own_list) => own_list,
+        let list: LoadList = match serde_json::from_slice(&item.value) {
+            Ok(list) => list,
             Err(err) => {
                 log::error!(why:% = err; "orders: cannot parse the load list");
                 return;
             }
         };
-        if self.lock_holder().fence() == Some(own_list.fence) {
+        if self.lock_holder().fence() == Some(list.fence) {
             return;
         }
-        for endpoint in own_list.loading.iter().chain(&own_list.recent) {
+        for endpoint in list.loading.iter().chain(&list.recent) {
             self.turns.other(endpoint, now);
         }
-        for (endpoint, age) in &own_list.foreign {
+        for (endpoint, age) in &list.foreign {
             self.turns
                 .other(endpoint, now.saturating_sub(Duration::from_millis(*age)));
         }
-        self.apply_load_list(own_list);
+        self.apply_load_list(list);
     }
 
-    fn apply_load_list(&mut self, own_list: LoadList) {
+    fn apply_load_list(&mut self, list: LoadList) {
         {
             let mut fleet = self.shared.fleet();
-            for loaded in own_list
-                .loaded
-                .iter()
-                .filter(|loaded| self.is_current_incarnation(loaded))
-            {
+            for loaded in list.loaded.iter().filter(|loaded| self.is_current_incarnation(loaded)) {
                 fleet.serves_weights(&loaded.endpoint, &loaded.model, loaded.weights);
             }
         }
-        self.holder_list = own_list;
+        self.holder_list = list;
         self.update_loading();
     }
 
@@ -493,15 +490,15 @@
         entry.is_some_and(|entry| entry.incarnation == loaded.incarnation)
     }
 
-    /// Applies the load list while its holder has the lease and the store answers. The list remains in the store when
-    /// its holder fails, and routers that start later read it. If they used it, they would send no requests to working
-    /// engines until another holder writes a list. Endpoints that are still loading reject requests themselves. The
-    /// same holds while the store does not answer, because the end of a load would go unnoticed.
+    /// Marks the endpoints of the load list as loading, but only while its holder has the lease and the store responds.
+    /// The list remains in the store when its holder fails, and routers that start later read it. If they used it, they
+    /// would avoid working engines until another holder writes a list. While the store does not respond, the end of a
+    /// load would go unnoticed. Ignoring the list is safe, because endpoints that are still loading reject requests.
     fn update_loading(&self) {
         let age = self.roster.uptime().age(self.shared.clock.now());
-        let known = age.is_some_and(|age| age < LIST_MAX_AGE);
+        let is_recent = age.is_some_and(|age| age < LIST_MAX_AGE);
         let mut fleet = self.shared.fleet();
-        if known && self.holder_fence == Some(self.holder_list.fence) {
+        if is_recent && self.holder_fence == Some(self.holder_list.fence) {
             let set = |ids: &[EndpointId]| ids.iter().cloned().collect();
             fleet.loads(set(&self.holder_list.loading), set(&self.holder_list.upcoming));
         } else {
@@ -510,9 +507,9 @@
     }
 
     fn tick(&mut self, now: Duration) {
-        let gone = self.roster.tick(now);
-        if !gone.is_empty() {
-            self.apply_roster(gone, now);
+        let removed = self.roster.tick(now);
+        if !removed.is_empty() {
+            self.apply_roster(removed, now);
         }
         self.update_loading();
         self.shared.connections.remove_expired();
--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -85,15 +85,15 @@
         self.list_write.upcoming.clear();
         for (model, weights) in wanted {
             let runners = self.load_candidates(&model);
-            let turn = self.shared.settings.load().bounds.turn() + TURN_SLACK;
+            let delay = self.shared.settings.load().bounds.turn() + TURN_SLACK;
             let free: Vec<Runner> = runners
                 .into_iter()
-                .filter(|runner| self.turns.may_order(&runner.endpoint, turn, now))
+                .filter(|runner| self.turns.may_order(&runner.endpoint, delay, now))
                 .filter(|runner| self.load_backoff.may_load(&runner.endpoint, now))
                 .collect();
-            let turn = next_loads(&free, weights, &self.loading);
-            self.list_write.upcoming.extend(turn.coming);
-            for endpoint in turn.begin {
+            let plan = next_loads(&free, weights, &self.loading);
+            self.list_write.upcoming.extend(plan.coming);
+            for endpoint in plan.begin {
                 self.loading.insert(endpoint.clone());
                 self.list_write.next.push((endpoint, model.clone()));
             }
@@ -171,10 +171,10 @@
 
     /// Drops loads of endpoints that another holder may have ordered, according to load lists that arrived after the
     /// endpoints were selected. Two orders within the handover delay could undo each other.
-    fn drop_foreign_ordered(&mut self, turn: Duration, now: Duration) {
+    fn drop_foreign_ordered(&mut self, delay: Duration, now: Duration) {
         let (turns, loading) = (&self.turns, &mut self.loading);
         self.list_write.next.retain(|(endpoint, _)| {
-            let free = turns.may_order(endpoint, turn, now);
+            let free = turns.may_order(endpoint, delay, now);
             if !free {
                 loading.remove(endpoint);
             }
@@ -196,14 +196,14 @@
             }
             return;
         };
-        let turn = self.shared.settings.load().bounds.turn() + TURN_SLACK;
-        self.drop_foreign_ordered(turn, now);
-        self.load_ends.retain(|_, at| now.saturating_sub(*at) < turn);
+        let delay = self.shared.settings.load().bounds.turn() + TURN_SLACK;
+        self.drop_foreign_ordered(delay, now);
+        self.load_ends.retain(|_, at| now.saturating_sub(*at) < delay);
         self.own_list.fence = fence;
         self.own_list.loading = self.loading.iter().cloned().collect();
         self.own_list.upcoming.clone_from(&self.list_write.upcoming);
         self.own_list.recent = self.load_ends.keys().cloned().collect();
-        let before = self.turns.lately(turn, now);
+        let before = self.turns.lately(delay, now);
         self.own_list.foreign = before.map(|(id, age)| (id.clone(), age.as_millis() as u64)).collect();
         let mut loaded = std::mem::take(&mut self.own_list.loaded);
         loaded.retain(|loaded| self.is_current_incarnation(loaded));
@@ -224,12 +224,12 @@
         let shared = self.shared.clone();
         task::spawn(async move {
             let client = Client::new(shared.settings.load().store, shared.dialect.store);
-            let told = client.commit(&transaction, CALL_TIMEOUT).await;
-            count(&shared, "tell", told.is_ok());
-            if let Err(err) = &told {
+            let committed = client.commit(&transaction, CALL_TIMEOUT).await;
+            count(&shared, "tell", committed.is_ok());
+            if let Err(err) = &committed {
                 log::warn!(why:% = err; "orders: cannot write the load list");
             }
-            let done = matches!(told, Ok(Committed::Done(_)));
+            let done = matches!(committed, Ok(Committed::Done(_)));
             send(&shared, Event::LoadListWritten { fence, done }).await;
         });
     }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -87,7 +87,7 @@
     pub rate: Option<f64>,
 }
 
-/// Weights that a model should be served with.
+/// The weights that a model should be served with.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetWeights {
     /// The model.
@@ -131,7 +131,7 @@
 pub struct StoreKeys {
     /// The configuration document.
     pub document: &'static str,
-    /// Key prefix of the wanted weights.
+    /// Key prefix of the target weights.
     pub weights: &'static str,
     /// Key prefix of the endpoints' entries.
     pub endpoints: &'static str,
@@ -146,7 +146,7 @@
     pub store: Codec,
     /// Parses the configuration document.
     pub parse_document: fn(&[u8]) -> Result<SiteParts, Unreadable>,
-    /// Parses wanted weights.
+    /// Parses target weights.
     pub parse_weights: fn(&[u8]) -> Result<TargetWeights, Unreadable>,
     /// Parses the entry of the endpoint with this id.
     pub parse_entry: fn(EndpointId, &[u8]) -> Result<EndpointEntry, Unreadable>,
@@ -183,7 +183,7 @@
     pub fence: Fence,
     /// Endpoints that load weights or are about to. No other endpoint receives an order.
     pub loading: Vec<EndpointId>,
-    /// Endpoints that load next. They receive no long requests.
+    /// Endpoints that load next. They receive no requests with long responses.
     #[serde(default)]
     #[serde(rename = "coming")]
     pub upcoming: Vec<EndpointId>,
--- a/crates/gateway/src/follow/documents.rs
+++ b/crates/gateway/src/follow/documents.rs
@@ -10,7 +10,7 @@
 use peers::Leader;
 
 /// This router's response to another router.
-pub fn answer(shared: &Shared) -> Option<Revision> {
+pub fn response(shared: &Shared) -> Option<Revision> {
     shared.site.load().as_ref().map(|site| site.revision())
 }
 
--- a/crates/gateway/src/follow/loads.rs
+++ b/crates/gateway/src/follow/loads.rs
@@ -26,7 +26,7 @@
 }
 
 /// Applies a follower's reports and returns the reports of others.
-pub fn answer(shared: &Shared, request: &LoadExchange) -> Vec<LoadTold> {
+pub fn handle(shared: &Shared, request: &LoadExchange) -> Vec<LoadTold> {
     let now = shared.clock.now();
     let since = now.saturating_sub(Duration::from_millis(request.last_ms));
     let reports = shared.fleet().load_news(since, false);
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -97,7 +97,7 @@
     leader: Option<(VmId, Leader)>,
     /// Abandoned routers, and when each may be tried again.
     backoff: HashMap<VmId, Duration>,
-    /// Pause that the next watch must make up for.
+    /// Pause before the next watch, whose wait is shortened by it.
     pause: Duration,
     /// When the response to the last call to the store was due.
     due: Duration,
@@ -229,9 +229,9 @@
         let now = self.shared.clock.now();
         // The request took some time to arrive, and then waited there. The response was made no earlier than this.
         let answered_at = sent + Duration::from_millis(followed.waited_ms);
-        let answers = followed.answers.and_then(|span| uptime::span(span, answered_at, now));
+        let uptime = followed.answers.and_then(|span| uptime::span(span, answered_at, now));
         // A slow connection does not make the other router's data old, so its age at the time of the response counts.
-        let Some(answers) = answers.filter(|answers| answered_at < answers.until + MAX_STORE_AGE) else {
+        let Some(uptime) = uptime.filter(|uptime| answered_at < uptime.until + MAX_STORE_AGE) else {
             return self.drop_leader(vm, "it cannot reach the store");
         };
         let position = followed.revision.map(|revision| Position {
@@ -243,7 +243,7 @@
         };
         let age = followed.age_ms.map(Duration::from_millis);
         let confirmed = age.and_then(|age| answered_at.checked_sub(age));
-        match self.send_followed(followed, position, confirmed, answers).await {
+        match self.send_followed(followed, position, confirmed, uptime).await {
             Ok(()) => self.leader = Some((vm, leader)),
             Err(err) => self.drop_leader(vm, &err.to_string()),
         }
@@ -254,7 +254,7 @@
         followed: Followed,
         position: Position,
         confirmed: Option<Duration>,
-        answers: Span,
+        uptime: Span,
     ) -> Result<(), PeerError> {
         let items = followed.items.into_iter().map(relay::from_relay_item);
         let mut items = items.collect::<Result<Vec<Item>, PeerError>>()?;
@@ -265,7 +265,7 @@
                 items,
                 position,
                 confirmed,
-                answers,
+                uptime,
             }
         } else {
             let removed = followed.removed.into_iter();
@@ -275,7 +275,7 @@
                 changes: items.into_iter().map(Change::Written).chain(removed).collect(),
                 position,
                 confirmed,
-                answers,
+                uptime,
             }
         };
         self.send_and_wait(event, position).await;
@@ -295,7 +295,7 @@
             items,
             position,
             confirmed: (!unverified).then_some(sent),
-            answers: self.answered_now(),
+            uptime: self.uptime_now(),
         };
         self.send_and_wait(event, position).await;
         if unverified {
@@ -309,8 +309,8 @@
         Ok(())
     }
 
-    /// A period that consists of the current moment, in which the store answered.
-    fn answered_now(&self) -> Span {
+    /// The current time, as a period in which the store answered.
+    fn uptime_now(&self) -> Span {
         let now = self.shared.clock.now();
         Span { from: now, until: now }
     }
@@ -330,7 +330,7 @@
                     changes: changes.changes,
                     position,
                     confirmed: Some(sent),
-                    answers: self.answered_now(),
+                    uptime: self.uptime_now(),
                 };
                 self.send_and_wait(event, position).await;
                 task::sleep(BATCH_DELAY).await;
--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -139,10 +139,10 @@
 }
 
 /// Handlers for followers' calls.
-pub fn answer(shared: &Arc<Shared>) -> Answer {
+pub fn handlers(shared: &Arc<Shared>) -> Answer {
     let (items, prefixes) = (shared.clone(), shared.clone());
     let (fleet, ages, store) = (shared.clone(), shared.clone(), shared.clone());
-    let (waits, site) = (shared.clone(), shared.clone());
+    let (backlog, site) = (shared.clone(), shared.clone());
     Answer {
         follow: Arc::new(move |follow| follow_items(items.clone(), follow).boxed()),
         prefixes: Arc::new(move |follow| {
@@ -157,21 +157,21 @@
                 .collect();
             futures::future::ready(pages).boxed()
         }),
-        loads: Arc::new(move |question| futures::future::ready(loads::answer(&fleet, &question)).boxed()),
-        backlog: Arc::new(move |told| {
-            backlogs::apply(&waits, &told);
+        loads: Arc::new(move |request| futures::future::ready(loads::handle(&fleet, &request)).boxed()),
+        backlog: Arc::new(move |update| {
+            backlogs::apply(&backlog, &update);
             futures::future::ready(()).boxed()
         }),
-        names: Arc::new(move |()| futures::future::ready(weight_ages::answer(&ages)).boxed()),
-        uptime: Arc::new(move |()| futures::future::ready(uptime::answer(&store)).boxed()),
-        document: Arc::new(move |()| futures::future::ready(documents::answer(&site)).boxed()),
+        names: Arc::new(move |()| futures::future::ready(weight_ages::response(&ages)).boxed()),
+        uptime: Arc::new(move |()| futures::future::ready(uptime::response(&store)).boxed()),
+        document: Arc::new(move |()| futures::future::ready(documents::response(&site)).boxed()),
     }
 }
 
 async fn follow_items(shared: Arc<Shared>, follow: Follow) -> Followed {
     let asked = shared.clock.now();
-    // A follower abandons a router that cannot reach the store. A later response would delay the next change by the
-    // same time.
+    // A follower abandons a router whose data is too old, so the response is sent before that. A later response would
+    // delay the next change by as much.
     let limit = MAX_STORE_AGE.saturating_sub(shared.uptime().age(asked).unwrap_or(MAX_STORE_AGE));
     let wait = Duration::from_millis(follow.wait_ms).min(MAX_WAIT).min(limit);
     let (after, changed) = {
@@ -194,7 +194,7 @@
     let mut state = shared.relay.lock();
     let since = state.log.since(after);
     let age = shared.freshness().age(shared.clock.now());
-    let answers = uptime::answer(&shared);
+    let answers = uptime::response(&shared);
     let mut removed = since.removed;
     let mut items = Vec::with_capacity(since.items.len());
     for item in since.items {
--- a/crates/gateway/src/follow/uptime.rs
+++ b/crates/gateway/src/follow/uptime.rs
@@ -33,7 +33,7 @@
 }
 
 /// This router's response to another router.
-pub fn answer(shared: &Shared) -> Option<SpanTold> {
+pub fn response(shared: &Shared) -> Option<SpanTold> {
     let span = shared.uptime().span()?;
     let now = shared.clock.now();
     let age = |at| now.saturating_sub(at).as_millis() as u64;
@@ -43,7 +43,7 @@
     })
 }
 
-/// Converts a response that was made between two times into the shortest period that it guarantees.
+/// Converts a response that was made between two times into the shortest period that it can mean.
 pub fn span(told: SpanTold, answered_at: Duration, now: Duration) -> Option<Span> {
     let from = now.saturating_sub(Duration::from_millis(told.from_ms));
     let until = answered_at.checked_sub(Duration::from_millis(told.until_ms))?;
--- a/crates/gateway/src/follow/weight_ages.rs
+++ b/crates/gateway/src/follow/weight_ages.rs
@@ -1,9 +1,9 @@
-//! Asks other routers how long ago weights were announced.
+//! Asks other routers how long ago weights became the target of a model.
 //!
-//! The store holds the newest announced weights without the time of the announcement. A router that has just started,
+//! The store holds the target weights without the time since when they are the target. A router that has just started,
 //! or was disconnected, does not know that time. Until it does, it starts no requests on weights that may have been
-//! replaced too long ago. Another router that saw the announcement can tell how long engines with old weights may still
-//! be used.
+//! replaced too long ago. Another router that saw the change can tell how long engines with old weights may still be
+//! used.
 
 use super::others::{CALL_TIMEOUT, ask_others};
 use crate::shared::Shared;
@@ -35,7 +35,7 @@
 }
 
 /// This router's response to another router.
-pub fn answer(shared: &Shared) -> Vec<NameTold> {
+pub fn response(shared: &Shared) -> Vec<NameTold> {
     let ages = shared.fleet().name_ages(shared.clock.now());
     let message = |(model, weights, age): (ModelId, u64, NameAge)| NameTold {
         model,
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -26,7 +26,7 @@
 /// Most open connections; further ones are closed without a response. This is half of the file descriptors on the
 /// users' smallest VMs.
 const MAX_CONNECTIONS: usize = 1_400;
-/// Pause after a failed accept. Without it, a process that has run out of file descriptors would loop without pause.
+/// Pause after a failed accept. Without it, a process that has run out of file descriptors would busy-loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// Longest time for reading a body. The sites' clients send 100 KB at most, over links of hundreds of Mbit/s.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
@@ -203,7 +203,7 @@
         body,
         arrived,
     };
-    serve::answer(shared, &incoming).await
+    serve::respond(shared, &incoming).await
 }
 
 fn expects_continue(head: &RequestHead) -> bool {
--- a/crates/gateway/src/orders/mod.rs
+++ b/crates/gateway/src/orders/mod.rs
@@ -91,13 +91,13 @@
         let mut loading = Loading::default();
         let mut connection = CallConnection::new(self.entry.address);
         loop {
-            let wanted = self.wanted()?;
+            let target = self.target()?;
             self.may_order()?;
             let report = self.report(&mut connection).await;
-            let mut next = loading.looked(report, wanted, self.shared.clock.now());
+            let mut next = loading.looked(report, target, self.shared.clock.now());
             if let Next::Order { expected } = next {
                 next = if self.ensure_listed().await {
-                    let (sent, outcome) = self.order(wanted, expected).await?;
+                    let (sent, outcome) = self.order(target, expected).await?;
                     loading.answered(sent, outcome)
                 } else {
                     loading.unlisted()
@@ -126,18 +126,18 @@
             return true;
         }
         send(&self.shared, Event::RefreshLoadList).await;
-        let again = async {
+        let refreshed = async {
             while !is_recent() {
                 task::sleep(LIST_POLL_INTERVAL).await;
             }
         };
-        timeout(CALL_TIMEOUT, again).await.is_ok()
+        timeout(CALL_TIMEOUT, refreshed).await.is_ok()
     }
 
-    fn wanted(&self) -> Option<u64> {
+    fn target(&self) -> Option<u64> {
         let fleet = self.shared.fleet();
-        let wanted = fleet.wanted().find(|(model, _)| **model == self.model);
-        wanted.map(|(_, weights)| weights)
+        let target = fleet.wanted().find(|(model, _)| **model == self.model);
+        target.map(|(_, weights)| weights)
     }
 
     async fn report(&self, connection: &mut CallConnection) -> Option<Report> {
@@ -168,8 +168,8 @@
             fence,
         };
         let (call, headers) = (self.shared.dialect.order_call)(&order);
-        let answer = call_once(self.entry.address, &call, &headers, ANSWER).await;
-        let outcome = match &answer {
+        let response = call_once(self.entry.address, &call, &headers, ANSWER).await;
+        let outcome = match &response {
             Ok((status, _)) => match (self.shared.dialect.order_response)(*status) {
                 OrderResponse::Accepted | OrderResponse::AlreadyApplied => OrderOutcome::Taken,
                 OrderResponse::Conflict => OrderOutcome::Conflict,
@@ -179,7 +179,7 @@
             Err(ExchangeError::NotSent) => OrderOutcome::Conflict,
             Err(_) => OrderOutcome::Unanswered,
         };
-        let status = answer.map_or(0, |(status, _)| status);
+        let status = response.map_or(0, |(status, _)| status);
         let orders = &self.shared.metrics.orders;
         orders.with_label_values(&[outcome_label(outcome)]).inc();
         log::info!(
@@ -209,9 +209,9 @@
 pub async fn probe(shared: Arc<Shared>, entry: Arc<EndpointEntry>) {
     let sent = shared.clock.now();
     let call = (shared.dialect.report_call)();
-    let answer = call_once(entry.address, &call, &Headers::default(), CALL_TIMEOUT).await;
+    let response = call_once(entry.address, &call, &Headers::default(), CALL_TIMEOUT).await;
     let now = shared.clock.now();
-    let outcome = match answer {
+    let outcome = match response {
         Ok((200, _)) => Outcome::Answered(now.saturating_sub(sent)),
         Ok(_) => Outcome::Declined,
         Err(ExchangeError::NotSent) => Outcome::Unreached,
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::control::{Control, EVENT_QUEUE, Event, TICK_INTERVAL, send};
 use crate::dialect::Dialect;
-use crate::follow::relay::answer;
+use crate::follow::relay::handlers;
 use crate::follow::{follow, follow_prefixes, learn_weight_ages, publish_backlogs, query_uptime, register};
 use crate::front::{serve_clients, serve_page};
 use crate::settings::Settings;
@@ -21,13 +21,13 @@
 /// How long a stopping router still accepts requests. The load balancer checks readiness every second and stops sending
 /// after two failed checks. Requests that arrive later would probably be cut off at the end of the grace period, so
 /// they are not accepted.
-const NOTICE: Duration = Duration::from_millis(2_600);
-/// Extra time for requests that were sent just before the notice period ended.
-const CROSSING: Duration = Duration::from_millis(100);
+const NOTICE_PERIOD: Duration = Duration::from_millis(2_600);
+/// Extra time for requests that were in transit when the notice period ended.
+const TRANSIT_TIME: Duration = Duration::from_millis(100);
 /// Part of the grace period that is kept free, so that the process exits before it is killed.
-const SPARE: Duration = Duration::from_millis(600);
+const EXIT_MARGIN: Duration = Duration::from_millis(600);
 /// How often a stopping router checks for requests in flight.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 quick_error! {
     /// Why a router did not shut down cleanly.
@@ -48,7 +48,7 @@
     }
 }
 
-/// A request to the process from outside.
+/// A signal to the process: stop, or reload the settings.
 #[derive(Debug, Clone)]
 pub enum Signal {
     /// Shut down gracefully; if sent twice, exit at once.
@@ -79,7 +79,7 @@
     settings: Settings,
     dialect: Dialect,
     started: impl FnOnce(Addresses),
-    told: Receiver<Signal>,
+    signals: Receiver<Signal>,
 ) -> Result<(), RunError> {
     let callers = listen(settings.callers).await?;
     let readiness = listen(settings.readiness).await?;
@@ -89,19 +89,19 @@
         None => None,
     };
     let addresses = Addresses {
-        callers: local(&callers, settings.callers),
-        readiness: local(&readiness, settings.readiness),
-        peers: local(&peers, settings.peers),
+        callers: bound_address(&callers, settings.callers),
+        readiness: bound_address(&readiness, settings.readiness),
+        peers: bound_address(&peers, settings.peers),
         metrics: metrics
             .as_ref()
             .zip(settings.metrics)
-            .map(|(listener, wanted)| local(listener, wanted)),
+            .map(|(listener, wanted)| bound_address(listener, wanted)),
     };
     log::info!(vm = settings.vm.as_str(), domain = settings.domain.as_str(), store:% = settings.store; "start");
     let (sender, events) = async_channel::bounded(EVENT_QUEUE);
     let shared = Arc::new(Shared::new(settings, dialect, sender));
     start_control(&shared, events)?;
-    task::spawn(serve_followers(peers, answer(&shared)));
+    task::spawn(serve_followers(peers, handlers(&shared)));
     task::spawn(register(shared.clone(), addresses.peers));
     task::spawn(serve_clients(shared.clone(), callers));
     let state = shared.clone();
@@ -111,8 +111,8 @@
         task::spawn(serve_page(listener, move || (200, state.metrics.text())));
     }
     started(addresses);
-    wait_for_stop(&shared, &told).await;
-    shut_down(&shared, &told).await
+    wait_for_stop(&shared, &signals).await;
+    shut_down(&shared, &signals).await
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, RunError> {
@@ -121,7 +121,7 @@
         .map_err(|err| RunError::Listen(address, err))
 }
 
-fn local(listener: &TcpListener, wanted: SocketAddr) -> SocketAddr {
+fn bound_address(listener: &TcpListener, wanted: SocketAddr) -> SocketAddr {
     listener.local_addr().unwrap_or(wanted)
 }
 
@@ -153,8 +153,8 @@
     Ok(())
 }
 
-async fn wait_for_stop(shared: &Shared, told: &Receiver<Signal>) {
-    while let Ok(Signal::Reload(settings)) = told.recv().await {
+async fn wait_for_stop(shared: &Shared, signals: &Receiver<Signal>) {
+    while let Ok(Signal::Reload(settings)) = signals.recv().await {
         log::info!(store:% = settings.store; "settings reloaded");
         shared.reload(*settings);
     }
@@ -163,23 +163,23 @@
 /// Shuts down in three steps. First the router reports itself as not ready, so that the load balancer stops sending,
 /// and closes each connection with its response. After the notice period it stops accepting requests. Finally it waits
 /// for the requests in flight.
-async fn shut_down(shared: &Shared, told: &Receiver<Signal>) -> Result<(), RunError> {
+async fn shut_down(shared: &Shared, signals: &Receiver<Signal>) -> Result<(), RunError> {
     let begun = Instant::now();
     shared.stopping.store(true, Ordering::SeqCst);
     log::info!(in_flight = shared.in_flight.load(Ordering::SeqCst); "stopping: not ready, still serving");
     send(shared, Event::Stop).await;
-    let end = shared.settings.load().bounds.grace().saturating_sub(SPARE);
+    let end = shared.settings.load().bounds.grace().saturating_sub(EXIT_MARGIN);
     loop {
-        task::sleep(DRAIN_POLL).await;
+        task::sleep(DRAIN_POLL_INTERVAL).await;
         let left = shared.in_flight.load(Ordering::SeqCst);
-        if begun.elapsed() >= NOTICE && shared.accepting.0.close() {
+        if begun.elapsed() >= NOTICE_PERIOD && shared.accepting.0.close() {
             log::info!(in_flight = left; "stopping: no new requests");
         }
-        if left == 0 && begun.elapsed() >= NOTICE + CROSSING {
+        if left == 0 && begun.elapsed() >= NOTICE_PERIOD + TRANSIT_TIME {
             log::info!("stopped");
             return Ok(());
         }
-        let again = matches!(told.try_recv(), Ok(Signal::Stop));
+        let again = matches!(signals.try_recv(), Ok(Signal::Stop));
         if again || begun.elapsed() >= end {
             log::error!(cut = left; "stopped with requests in flight");
             return if left == 0 { Ok(()) } else { Err(RunError::Cut(left)) };
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -24,16 +24,16 @@
 const MAX_RESPONSE_BYTES: u64 = 8 << 20;
 
 /// How a request ended.
-pub enum Finish {
+pub enum RequestOutcome {
     /// A complete response of an endpoint.
     Complete(CompleteResponse),
     /// A complete stream, already sent to the client.
     Streamed {
         /// Whether the client's connection can be reused.
-        keeps: bool,
+        keep_alive: bool,
     },
     /// A stream that broke after the client had received a part of it.
-    Cut(&'static str),
+    Interrupted(&'static str),
     /// The client closed the connection.
     ClientGone,
     /// No response. The state tells whether the request may have been executed.
@@ -57,7 +57,7 @@
     /// A complete response with a server error.
     ServerError(CompleteResponse),
     /// The request has ended.
-    Ended(Finish),
+    Ended(RequestOutcome),
     /// The attempt failed.
     Failed(Failure),
 }
@@ -103,7 +103,7 @@
     }
 
     /// Makes attempts until the request has ended.
-    pub(super) async fn run(&mut self) -> Finish {
+    pub(super) async fn run(&mut self) -> RequestOutcome {
         if self.is_shed() {
             return self.give_up(Cause::Overloaded);
         }
@@ -113,16 +113,16 @@
                 Err(cause) => return self.give_up(cause),
             };
             let failure = match self.attempt(&picked).await {
-                AttemptResult::Complete(answer) => {
+                AttemptResult::Complete(response) => {
                     self.record_attempt(&picked, "whole");
-                    return Finish::Complete(answer);
+                    return RequestOutcome::Complete(response);
                 }
                 AttemptResult::Ended(finish) => {
                     self.record_attempt(&picked, "ended");
                     return finish;
                 }
-                AttemptResult::ServerError(answer) => {
-                    self.last_error = Some(answer);
+                AttemptResult::ServerError(response) => {
+                    self.last_error = Some(response);
                     Failure::Error
                 }
                 AttemptResult::Failed(failure) => failure,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Whether this request must be rejected, because with more requests the first events would miss their objective.
+    /// Whether this request is shed at once, because first events currently miss their objective.
     fn is_shed(&self) -> bool {
         let now = self.shared.clock.now();
         let (kind, objective) = (self.request.route.kind, self.request.route.objective);
@@ -186,14 +186,14 @@
     }
 
     fn choose(&self) -> Result<Picked, Cause> {
-        let wish = Wish {
+        let context = Wish {
             service: self.request.service,
             avoid: &self.excluded,
             prompt: self.request.info.prompt.as_ref(),
             isolated: self.request.isolated,
         };
         let now = self.shared.clock.now();
-        match self.shared.fleet().choose(&wish, rand::random(), now) {
+        match self.shared.fleet().choose(&context, rand::random(), now) {
             Choice::At(picked) => Ok(picked),
             Choice::Full => Err(Cause::Full),
             Choice::Limited(after) => Err(Cause::Limited(after)),
@@ -216,18 +216,18 @@
         }
     }
 
-    pub(super) fn give_up(&mut self, cause: Cause) -> Finish {
+    pub(super) fn give_up(&mut self, cause: Cause) -> RequestOutcome {
         let state = self.lifecycle.state();
-        let exposed = self.lifecycle.ran() == Ran::Unknown;
+        let may_have_run = self.lifecycle.ran() == Ran::Unknown;
         self.lifecycle.on(RequestEvent::GiveUp);
         if self.head_sent {
-            return Finish::Cut(cause.name());
+            return RequestOutcome::Interrupted(cause.name());
         }
         if let Some(error) = self.last_error.take() {
-            return Finish::Complete(error);
+            return RequestOutcome::Complete(error);
         }
-        let state = if exposed { RequestState::Unknown } else { state };
-        Finish::Refused(cause, state)
+        let state = if may_have_run { RequestState::Unknown } else { state };
+        RequestOutcome::Refused(cause, state)
     }
 
     async fn attempt(&mut self, picked: &Picked) -> AttemptResult {
@@ -382,7 +382,8 @@
         let mut source = connection.source;
         match exchange(&mut source, &request, method, ours).await {
             Ok(answer) => Ok((answer, source)),
-            // The endpoint closed the reused connection while the request was in transit, and may execute it twice.
+            // The endpoint closed the reused connection while the request was in transit. Sending it again is safe,
+            // because only repeatable requests use such connections.
             Err(err) if connection.used && err.closed() => {
                 let limit = self.remaining();
                 let fresh = self
@@ -411,8 +412,8 @@
         }
         self.lifecycle.on(RequestEvent::HeadArrived);
         let success = (200..300).contains(&status);
-        let own = info.sealed && !info.encoded && info.id.is_some();
-        if success && !own {
+        let authentic = info.sealed && !info.encoded && info.id.is_some();
+        if success && !authentic {
             return self.response_broken(in_flight);
         }
         if success && self.request.route.kind.streams() {
@@ -436,8 +437,8 @@
             fleet.serves_weights(id, &prompt.model, weights);
         }
         // A rejection without a rate does not mean that the limit was lifted.
-        let tells = info.rate.is_some() || !info.not_run;
-        if tells && fleet.named_rate(id, info.rate, now) {
+        let conclusive = info.rate.is_some() || !info.not_run;
+        if conclusive && fleet.named_rate(id, info.rate, now) {
             let rated = fleet.rated();
             drop(fleet);
             self.shared.metrics.rated.set(rated as i64);
@@ -517,9 +518,9 @@
     }
 
     /// The client closed the connection. There is nobody to respond to, but the request's state must be ended.
-    pub(super) fn client_gone(&mut self) -> Finish {
+    pub(super) fn client_gone(&mut self) -> RequestOutcome {
         self.lifecycle.on(RequestEvent::GiveUp);
-        Finish::ClientGone
+        RequestOutcome::ClientGone
     }
 }
 
--- a/crates/gateway/src/serve/in_flight.rs
+++ b/crates/gateway/src/serve/in_flight.rs
@@ -9,7 +9,7 @@
     shared: &'a Shared,
     pub(super) picked: &'a Picked,
     pub(super) began: Duration,
-    read: bool,
+    prompt_done: bool,
 }
 
 impl<'a> InFlightAttempt<'a> {
@@ -26,14 +26,14 @@
             shared,
             picked,
             began,
-            read: false,
+            prompt_done: false,
         }
     }
 
     /// Records that the endpoint has read the prompt, or never will.
     pub(super) fn prompt_read(&mut self) {
-        if !self.read {
-            self.read = true;
+        if !self.prompt_done {
+            self.prompt_done = true;
             let entry = &self.picked.endpoint;
             self.shared.fleet().prefilled(&entry.id, entry.incarnation, self.began);
             if self.picked.prefill > 0 {
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::dialect::RequestInfo;
 use crate::shared::Shared;
-use attempts::{Attempts, Finish};
+use attempts::{Attempts, RequestOutcome};
 use dispatch::attempt::{self, Cause};
 use dispatch::site::{Owner, Route, Site};
 use http::Conn;
@@ -66,7 +66,7 @@
 }
 
 /// Responds to a request.
-pub async fn answer(shared: &Arc<Shared>, incoming: &IncomingRequest) -> ConnectionAction {
+pub async fn respond(shared: &Arc<Shared>, incoming: &IncomingRequest) -> ConnectionAction {
     let mut record = Record::new(incoming.arrived);
     let info = match (shared.dialect.parse_request)(&incoming.head) {
         Ok(info) => info,
@@ -85,28 +85,36 @@
     let mut attempts = Attempts::new(shared, &request, &mut record);
     let finish = attempts.run().await;
     match finish {
-        Finish::Complete(answer) => {
+        RequestOutcome::Complete(response) => {
             let close = closes_connection(shared, incoming);
-            record.end(shared, answer.status, "answered");
-            if reply::response(&incoming.conn, answer.status, &answer.headers, &answer.body, close).await {
+            record.end(shared, response.status, "answered");
+            if reply::response(
+                &incoming.conn,
+                response.status,
+                &response.headers,
+                &response.body,
+                close,
+            )
+            .await
+            {
                 connection_action(close)
             } else {
                 ConnectionAction::Abort
             }
         }
-        Finish::Streamed { keeps } => {
+        RequestOutcome::Streamed { keep_alive } => {
             record.end(shared, 200, "streamed");
-            connection_action(!keeps)
+            connection_action(!keep_alive)
         }
-        Finish::Cut(why) => {
+        RequestOutcome::Interrupted(why) => {
             record.end(shared, 200, why);
             ConnectionAction::Abort
         }
-        Finish::ClientGone => {
+        RequestOutcome::ClientGone => {
             record.end(shared, 0, "caller_gone");
             ConnectionAction::Abort
         }
-        Finish::Refused(cause, state) => refuse(shared, incoming, cause, state, &mut record).await,
+        RequestOutcome::Refused(cause, state) => refuse(shared, incoming, cause, state, &mut record).await,
     }
 }
 
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -24,9 +24,11 @@
     pub prompt: PromptRecord,
     arrived: Duration,
     first: Option<Duration>,
-    /// When the last part of a streamed response arrived, followed by the longest pause between two parts.
-    part: Option<Duration>,
-    pause: Duration,
+    /// When the last part of a streamed response arrived.
+    last_part: Option<Duration>,
+    /// Longest pause between two parts.
+    longest_pause: Duration,
+    /// The attempts so far, as text for the log line.
     attempts: String,
 }
 
@@ -35,9 +37,9 @@
 pub struct PromptRecord {
     /// Length of the prompt.
     pub tokens: u64,
-    /// Part of it that the last attempt's endpoint was expected to compute.
+    /// Tokens of it that the last attempt's endpoint was expected to prefill.
     pub read: u64,
-    /// Id of the longest prefix that other requests share; 0 if there is none.
+    /// Id of the last part of its prefix that other requests share; 0 if there is none.
     pub prefix: u64,
 }
 
@@ -54,8 +56,8 @@
             prompt: PromptRecord::default(),
             arrived,
             first: None,
-            part: None,
-            pause: Duration::ZERO,
+            last_part: None,
+            longest_pause: Duration::ZERO,
             attempts: String::new(),
         }
     }
@@ -82,9 +84,9 @@
     /// Records that a part of a streamed response arrived.
     pub fn part(&mut self, shared: &Shared) {
         let now = shared.clock.now();
-        let last = self.part.replace(now);
+        let last = self.last_part.replace(now);
         let pause = last.map_or(Duration::ZERO, |last| now.saturating_sub(last));
-        self.pause = self.pause.max(pause);
+        self.longest_pause = self.longest_pause.max(pause);
     }
 
     /// Records the end of the request and writes the log line.
@@ -102,7 +104,7 @@
             status = status,
             outcome = outcome,
             first_ms = self.first.unwrap_or_default().as_millis() as u64,
-            pause_ms = self.pause.as_millis() as u64,
+            pause_ms = self.longest_pause.as_millis() as u64,
             total_ms = total.as_millis() as u64,
             tries = self.attempts.as_str(),
             prompt = self.prompt.tokens,
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -1,6 +1,6 @@
 //! Relays a stream from an endpoint to the client, event by event.
 
-use super::attempts::{AttemptResult, Attempts, Finish};
+use super::attempts::{AttemptResult, Attempts, RequestOutcome};
 use super::in_flight::InFlightAttempt;
 use super::wait::{WaitOutcome, WeightsOutdated, wait};
 use super::{closes_connection, reply};
@@ -116,8 +116,8 @@
             let connections = &self.attempts.shared.connections;
             connections.put_back(&self.in_flight.picked.endpoint, source, info.keep_alive);
         }
-        AttemptResult::Ended(Finish::Streamed {
-            keeps: !self.close && self.chunked,
+        AttemptResult::Ended(RequestOutcome::Streamed {
+            keep_alive: !self.close && self.chunked,
         })
     }
 
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -21,11 +21,11 @@
 
 /// Part of the bound on old weights after which requests avoid them. The margin covers the delay until routers learn of
 /// new weights, and the time that a request may wait in an endpoint before it starts.
-const AVOID_WEIGHTS_SHARE: f64 = 0.75;
+const SOFT_STALENESS_SHARE: f64 = 0.75;
 
 /// Part of that bound after which a request is refused rather than started on old weights. A request takes up to a few
-/// hundred milliseconds to start, and the router learns of new weights some time after they are announced.
-const REFUSE_WEIGHTS_SHARE: f64 = 0.95;
+/// hundred milliseconds to start, and the router learns of new weights some time after they become the target.
+const HARD_STALENESS_SHARE: f64 = 0.95;
 
 /// Shared by all tasks.
 pub struct Shared {
@@ -165,8 +165,8 @@
 
     /// Whether the load balancer should send clients here.
     pub fn is_ready(&self) -> bool {
-        let known = self.site.load().is_some() && self.endpoints_read.load(Ordering::SeqCst);
-        known && self.is_fresh() && !self.stopping.load(Ordering::SeqCst)
+        let loaded = self.site.load().is_some() && self.endpoints_read.load(Ordering::SeqCst);
+        loaded && self.is_fresh() && !self.stopping.load(Ordering::SeqCst)
     }
 
     /// Revision of the document in force; 0 without a document.
@@ -185,7 +185,7 @@
             window: bounds.retry_window(),
             routers: 0,
         },
-        old_weights: bounds.weights().mul_f64(AVOID_WEIGHTS_SHARE),
-        last_weights: bounds.weights().mul_f64(REFUSE_WEIGHTS_SHARE),
+        old_weights: bounds.weights().mul_f64(SOFT_STALENESS_SHARE),
+        last_weights: bounds.weights().mul_f64(HARD_STALENESS_SHARE),
     }
 }
