--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -399,7 +399,11 @@
         let is_first = self.shared.site.load().is_none();
         if !is_first && parts.revision <= old {
             if !self.document_is_current() {
-                log::warn!(revision = parts.revision.0, in_force = old.0; "configuration: the store holds an older revision");
+                log::warn!(
+                    revision = parts.revision.0,
+                    in_force = old.0;
+                    "configuration: the store holds an older revision"
+                );
             }
             return;
         }
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -83,8 +83,8 @@
     };
     shared.fleet().first_attempt(request.service, shared.clock.now());
     let mut attempts = Attempts::new(shared, &request, &mut record);
-    let finish = attempts.run().await;
-    match finish {
+    let outcome = attempts.run().await;
+    match outcome {
         RequestOutcome::Complete(response) => {
             let close = closes_connection(shared, incoming);
             record.end(shared, response.status, "answered");
--- a/crates/gateway/src/serve/outgoing.rs
+++ b/crates/gateway/src/serve/outgoing.rs
@@ -17,7 +17,7 @@
             .as_ref()
             .map(|_| salt(picked.weights, self.request.isolated));
         let transfers = self.transfers(salt.as_deref(), picked);
-        let forward = ForwardContext {
+        let context = ForwardContext {
             endpoint: &picked.endpoint.id,
             remaining: self.remaining(),
             workspace: self.request.workspace,
@@ -27,12 +27,12 @@
             rank: self.request.info.prompt.as_ref().map(|_| self.request.rank),
             last_event: self.events.last(),
         };
-        let headers = (self.shared.dialect.request_headers)(&incoming.head.headers, &forward);
+        let headers = (self.shared.dialect.request_headers)(&incoming.head.headers, &context);
         let line = format!("{} {} HTTP/1.1\r\n", incoming.head.method, incoming.head.target);
         let mut bytes = line.into_bytes();
         headers.write(&mut bytes);
-        let bodied = !incoming.body.is_empty() || !matches!(incoming.head.method.as_str(), "GET" | "HEAD" | "DELETE");
-        if bodied {
+        let has_body = !incoming.body.is_empty() || !matches!(incoming.head.method.as_str(), "GET" | "HEAD" | "DELETE");
+        if has_body {
             bytes.extend_from_slice(format!("Content-Length: {}\r\n", incoming.body.len()).as_bytes());
         }
         bytes.extend_from_slice(b"\r\n");
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -43,11 +43,11 @@
     pub(super) async fn run(mut self, mut answer: Answer, mut source: Source, info: &ResponseInfo) -> AttemptResult {
         let conn = self.attempts.request.incoming.conn.clone();
         // Whether this endpoint has sent an event. Earlier events may have come from another endpoint.
-        let mut begun = false;
+        let mut started = false;
         loop {
             let within = attempt::silence(self.attempts.request.route.kind, self.attempts.remaining());
             let part = answer.body.part(&mut source);
-            let waited = if begun {
+            let waited = if started {
                 wait(&conn, within, part).await
             } else {
                 match self.attempts.wait_for_begin(self.in_flight.picked, within, part).await {
@@ -61,7 +61,7 @@
                     if whole.count == 0 {
                         continue;
                     }
-                    begun = true;
+                    started = true;
                     self.first_event();
                     self.attempts.record.part(self.attempts.shared);
                     if self.write(&answer, &whole.bytes, false).await == WriteResult::ClientGone {
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -44,7 +44,7 @@
     prefixes: Mutex<PrefixStores>,
     /// Connections to endpoints.
     pub connections: ConnectionPool,
-    /// Counters.
+    /// Metrics.
     pub metrics: Metrics,
     /// Sends events to the control thread.
     pub events: Sender<Event>,
