--- a/crates/dispatch/tests/attempt.rs
+++ b/crates/dispatch/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt, and whether a refusal is true.
+//! Retry decisions after failed attempts, timeouts, and error responses.
 
 use dispatch::attempt::{
     AttemptHistory, Cause, Failure, PendingAttempt, RetryDecision, Wait, attempt_timeout, first_event_wait, refusal,
@@ -8,7 +8,7 @@
 use lifecycle::request::RequestState;
 use std::time::Duration;
 
-const FRESH: AttemptHistory = AttemptHistory {
+const FIRST_ATTEMPT: AttemptHistory = AttemptHistory {
     sent: 1,
     connect_failures: 0,
     weight_mismatches: 0,
@@ -17,140 +17,141 @@
     remaining: Duration::from_millis(500),
 };
 
-/// An endpoint fails a fan command after it may have run it. Sent once more, the fan is started twice.
+/// An endpoint fails after it may have run a fan command. If the command were sent again, the fan would start
+/// twice.
 #[test]
-fn a_call_that_may_have_run_is_repeated_only_if_it_may_run_twice() {
+fn a_request_that_may_have_run_is_retried_only_if_repeatable() {
     struct Case {
-        tried: AttemptHistory,
+        history: AttemptHistory,
         failure: Failure,
         expected: RetryDecision,
     }
-    let again = AttemptHistory {
+    let repeatable = AttemptHistory {
         repeatable: true,
-        ..FRESH
+        ..FIRST_ATTEMPT
     };
-    let spent = AttemptHistory { sent: 2, ..again };
-    let late = AttemptHistory {
+    let exhausted = AttemptHistory { sent: 2, ..repeatable };
+    let near_deadline = AttemptHistory {
         remaining: Duration::from_millis(10),
-        ..again
+        ..repeatable
     };
     let cases = [
         Case {
-            tried: FRESH,
+            history: FIRST_ATTEMPT,
             failure: Failure::Broken,
             expected: RetryDecision::GiveUp,
         },
         Case {
-            tried: FRESH,
+            history: FIRST_ATTEMPT,
             failure: Failure::Timeout,
             expected: RetryDecision::GiveUp,
         },
         Case {
-            tried: FRESH,
+            history: FIRST_ATTEMPT,
             failure: Failure::Error,
             expected: RetryDecision::GiveUp,
         },
         Case {
-            tried: FRESH,
+            history: FIRST_ATTEMPT,
             failure: Failure::Full,
             expected: RetryDecision::Retry,
         },
         Case {
-            tried: FRESH,
+            history: FIRST_ATTEMPT,
             failure: Failure::Declined,
             expected: RetryDecision::Retry,
         },
         Case {
-            tried: FRESH,
+            history: FIRST_ATTEMPT,
             failure: Failure::OtherWeights,
             expected: RetryDecision::Retry,
         },
         Case {
-            tried: FRESH,
+            history: FIRST_ATTEMPT,
             failure: Failure::NotSent,
             expected: RetryDecision::RetryFree,
         },
         Case {
-            tried: again,
+            history: repeatable,
             failure: Failure::Broken,
             expected: RetryDecision::Retry,
         },
         Case {
-            tried: again,
+            history: repeatable,
             failure: Failure::Timeout,
             expected: RetryDecision::Retry,
         },
         Case {
-            tried: again,
+            history: repeatable,
             failure: Failure::Error,
             expected: RetryDecision::Retry,
         },
         Case {
-            tried: FRESH,
+            history: FIRST_ATTEMPT,
             failure: Failure::Outdated,
             expected: RetryDecision::GiveUp,
         },
         Case {
-            tried: again,
+            history: repeatable,
             failure: Failure::Outdated,
             expected: RetryDecision::Retry,
         },
         Case {
-            tried: spent,
+            history: exhausted,
             failure: Failure::Outdated,
             expected: RetryDecision::GiveUp,
         },
         Case {
-            tried: spent,
+            history: exhausted,
             failure: Failure::Error,
             expected: RetryDecision::GiveUp,
         },
         Case {
-            tried: spent,
+            history: exhausted,
             failure: Failure::Full,
             expected: RetryDecision::GiveUp,
         },
         Case {
-            tried: spent,
+            history: exhausted,
             failure: Failure::NotSent,
             expected: RetryDecision::RetryFree,
         },
         Case {
-            tried: AttemptHistory {
+            history: AttemptHistory {
                 connect_failures: 3,
-                ..FRESH
+                ..FIRST_ATTEMPT
             },
             failure: Failure::NotSent,
             expected: RetryDecision::GiveUp,
         },
         Case {
-            tried: AttemptHistory {
+            history: AttemptHistory {
                 weight_mismatches: 3,
-                ..FRESH
+                ..FIRST_ATTEMPT
             },
             failure: Failure::OtherWeights,
             expected: RetryDecision::GiveUp,
         },
         Case {
-            tried: late,
+            history: near_deadline,
             failure: Failure::Broken,
             expected: RetryDecision::GiveUp,
         },
     ];
     for case in cases {
         assert_eq!(
-            retry_decision(&case.tried, case.failure),
+            retry_decision(&case.history, case.failure),
             case.expected,
             "{:?} {:?}",
-            case.tried,
+            case.history,
             case.failure
         );
     }
 }
 
-/// A caller that is told "not run" asks again. If the call had run, its order is doubled.
+/// A client retries a request that was refused as "not run". If the request had run, it would be executed twice.
 #[test]
-fn only_a_request_of_which_nothing_was_sent_is_refused_as_not_run() {
+fn only_an_unsent_request_is_refused_as_not_run() {
     let causes = [
         Cause::NotReady,
         Cause::Stale,
@@ -160,16 +161,19 @@
         Cause::Deadline,
         Cause::EndpointFailed,
     ];
-    let promises = [408, 421, 429, 503];
+    let not_run_statuses = [408, 421, 429, 503];
     for cause in causes {
         for state in [RequestState::Unknown, RequestState::Sent, RequestState::FirstByte] {
-            let given = refusal(cause, state);
-            let early = matches!(cause, Cause::NotReady | Cause::Stale);
+            let response = refusal(cause, state);
+            let before_sending = matches!(cause, Cause::NotReady | Cause::Stale);
             assert!(
-                early || !promises.contains(&given.status),
-                "{cause:?} {state:?} {given:?}"
+                before_sending || !not_run_statuses.contains(&response.status),
+                "{cause:?} {state:?} {response:?}"
+            );
+            assert!(
+                before_sending || response.retry_after.is_none(),
+                "{cause:?} {state:?} {response:?}"
             );
-            assert!(early || given.retry_after.is_none(), "{cause:?} {state:?} {given:?}");
         }
     }
     for cause in [
@@ -179,148 +183,149 @@
         Cause::Full,
         Cause::Overloaded,
     ] {
-        let given = refusal(cause, RequestState::Queued);
-        assert_eq!(given.status, 503, "{cause:?}");
-        assert!(given.retry_after.is_some(), "{cause:?}");
+        let response = refusal(cause, RequestState::Queued);
+        assert_eq!(response.status, 503, "{cause:?}");
+        assert!(response.retry_after.is_some(), "{cause:?}");
     }
 }
 
-/// A router that has just started or lost the store denies nobody: what it doesn't know may be allowed.
+/// A router that has just started or lost the store must not reject clients as unauthorized: its configuration may be
+/// incomplete.
 #[test]
-fn a_router_that_does_not_know_says_so() {
+fn a_router_without_fresh_configuration_responds_with_503() {
     for cause in [Cause::NotReady, Cause::Stale] {
         assert_eq!(refusal(cause, RequestState::Queued).status, 503);
     }
 }
 
-/// An endpoint falls silent. A read is asked of another one while there is time for it; a fan command is waited for to the end, since
-/// it may be running.
+/// An endpoint stops responding. A repeatable request is retried on another endpoint while there is time. A fan command
+/// is awaited until the deadline, since it may be running.
 #[test]
-fn silence_ends_only_what_may_go_on_elsewhere() {
+fn only_repeatable_requests_time_out_before_the_deadline() {
     struct Case {
         kind: RouteKind,
         sent: u32,
-        first_ms: u64,
-        within_ms: u64,
+        response_ms: u64,
+        idle_ms: u64,
     }
     let resumable = RouteKind::Stream { resumable: true };
-    let note = RouteKind::Stream { resumable: false };
+    let not_resumable = RouteKind::Stream { resumable: false };
     let cases = [
         Case {
             kind: RouteKind::Idempotent,
             sent: 1,
-            first_ms: 1_800,
-            within_ms: 1_200,
+            response_ms: 1_800,
+            idle_ms: 1_200,
         },
         Case {
             kind: RouteKind::Idempotent,
             sent: 2,
-            first_ms: 4_000,
-            within_ms: 1_200,
+            response_ms: 4_000,
+            idle_ms: 1_200,
         },
         Case {
             kind: resumable,
             sent: 1,
-            first_ms: 2_600,
-            within_ms: 1_200,
+            response_ms: 2_600,
+            idle_ms: 1_200,
         },
         Case {
-            kind: note,
+            kind: not_resumable,
             sent: 1,
-            first_ms: 4_000,
-            within_ms: 4_000,
+            response_ms: 4_000,
+            idle_ms: 4_000,
         },
         Case {
             kind: RouteKind::Once,
             sent: 1,
-            first_ms: 4_000,
-            within_ms: 4_000,
+            response_ms: 4_000,
+            idle_ms: 4_000,
         },
     ];
-    let left = Duration::from_secs(4);
+    let remaining = Duration::from_secs(4);
     for case in cases {
-        let tried = AttemptHistory {
+        let history = AttemptHistory {
             sent: case.sent,
             repeatable: case.kind.repeatable(),
-            remaining: left,
-            ..FRESH
+            remaining,
+            ..FIRST_ATTEMPT
         };
         assert_eq!(
-            attempt_timeout(case.kind, &tried),
-            Duration::from_millis(case.first_ms),
+            attempt_timeout(case.kind, &history),
+            Duration::from_millis(case.response_ms),
             "{:?}",
             case.kind
         );
         assert_eq!(
-            stream_idle_timeout(case.kind, left),
-            Duration::from_millis(case.within_ms),
+            stream_idle_timeout(case.kind, remaining),
+            Duration::from_millis(case.idle_ms),
             "{:?}",
             case.kind
         );
     }
 }
 
-/// Weights are replaced while a request waits in a full engine's queue. Left there it begins after the bound, and its caller has waited
-/// for seconds for an answer that is worth nothing; so the wait looks again and again whether the weights are still good.
+/// Weights are replaced while a request waits in the queue of an engine at capacity. Without regular checks it would
+/// begin after the age limit of its weights, and its client would wait for seconds for a useless response.
 #[test]
-fn a_wait_on_old_weights_ends_at_the_bound() {
+fn a_wait_for_the_first_event_ends_when_weights_become_too_old() {
     struct Case {
-        shows: bool,
-        may_begin: bool,
-        left_ms: u64,
+        begin_visible: bool,
+        weights_usable: bool,
+        remaining_ms: u64,
         expected: Wait,
     }
     let cases = [
         Case {
-            shows: true,
-            may_begin: true,
-            left_ms: 2_000,
+            begin_visible: true,
+            weights_usable: true,
+            remaining_ms: 2_000,
             expected: Wait::For(Duration::from_millis(100)),
         },
         Case {
-            shows: true,
-            may_begin: true,
-            left_ms: 30,
+            begin_visible: true,
+            weights_usable: true,
+            remaining_ms: 30,
             expected: Wait::For(Duration::from_millis(30)),
         },
         Case {
-            shows: true,
-            may_begin: true,
-            left_ms: 0,
+            begin_visible: true,
+            weights_usable: true,
+            remaining_ms: 0,
             expected: Wait::TimedOut,
         },
         Case {
-            shows: true,
-            may_begin: false,
-            left_ms: 2_000,
+            begin_visible: true,
+            weights_usable: false,
+            remaining_ms: 2_000,
             expected: Wait::Cancel,
         },
-        // What the caller is told at the end of the time doesn't hang on the weights' age.
+        // After the timeout the outcome doesn't depend on the age of the weights.
         Case {
-            shows: true,
-            may_begin: false,
-            left_ms: 0,
+            begin_visible: true,
+            weights_usable: false,
+            remaining_ms: 0,
             expected: Wait::TimedOut,
         },
-        // It may have begun long ago.
+        // The request may have begun long ago.
         Case {
-            shows: false,
-            may_begin: false,
-            left_ms: 2_000,
+            begin_visible: false,
+            weights_usable: false,
+            remaining_ms: 2_000,
             expected: Wait::For(Duration::from_millis(2_000)),
         },
         Case {
-            shows: false,
-            may_begin: false,
-            left_ms: 0,
+            begin_visible: false,
+            weights_usable: false,
+            remaining_ms: 0,
             expected: Wait::TimedOut,
         },
     ];
     for case in cases {
         let attempt = PendingAttempt {
-            begin_visible: case.shows,
-            weights_usable: case.may_begin,
-            remaining: Duration::from_millis(case.left_ms),
+            begin_visible: case.begin_visible,
+            weights_usable: case.weights_usable,
+            remaining: Duration::from_millis(case.remaining_ms),
         };
         assert_eq!(first_event_wait(&attempt), case.expected, "{attempt:?}");
     }
--- a/crates/dispatch/tests/freshness.rs
+++ b/crates/dispatch/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! How long a router may rely on keys without hearing from the store.
+//! How long a router may check API keys without a response from the store.
 
 use dispatch::freshness::Freshness;
 use std::time::Duration;
@@ -9,46 +9,47 @@
     Duration::from_millis(ms)
 }
 
-/// A router is cut off from the store, and a key is taken away meanwhile. Whoever has that key is served on for as long as the
-/// router trusts what it knew. What counts is when the last answered call left, not when its answer came.
+/// A key is revoked while a router is disconnected from the store. The router accepts the key for as long as it
+/// considers its configuration fresh. That period counts from when the last answered call was sent, not from its
+/// response.
 #[test]
-fn a_document_is_fresh_for_the_bound_after_the_call_that_confirmed_it_left() {
+fn freshness_counts_from_the_sending_of_the_confirming_call() {
     struct Case {
         sent: &'static [u64],
         now: u64,
-        holds: bool,
+        fresh: bool,
     }
     let cases = [
         Case {
             sent: &[],
             now: 0,
-            holds: false,
+            fresh: false,
         },
         Case {
             sent: &[1_000],
             now: 5_999,
-            holds: true,
+            fresh: true,
         },
         Case {
             sent: &[1_000],
             now: 6_000,
-            holds: false,
+            fresh: false,
         },
         Case {
             sent: &[1_000, 3_000],
             now: 7_000,
-            holds: true,
+            fresh: true,
         },
-        // An answer that was held up on its way proves no more than it did.
+        // A delayed response doesn't reset the time of a later call.
         Case {
             sent: &[3_000, 1_000],
             now: 7_000,
-            holds: true,
+            fresh: true,
         },
         Case {
             sent: &[3_000, 1_000],
             now: 8_000,
-            holds: false,
+            fresh: false,
         },
     ];
     for case in cases {
@@ -58,7 +59,7 @@
         }
         assert_eq!(
             freshness.is_fresh(BOUND, at(case.now)),
-            case.holds,
+            case.fresh,
             "{:?} at {}",
             case.sent,
             case.now
--- a/crates/dispatch/tests/holder.rs
+++ b/crates/dispatch/tests/holder.rs
@@ -1,4 +1,4 @@
-//! Who may give orders, and when.
+//! Which router may send orders, and when.
 
 use dispatch::holder::{
     Event, ForeignOrders, HANDOVER_SLACK, Holder, HolderRecord, HolderTimes, LIST_VALIDITY, Step, created, fence,
@@ -18,7 +18,7 @@
     Duration::from_millis(ms)
 }
 
-fn occupant(name: &str, lease: u64) -> HolderRecord {
+fn record(name: &str, lease: u64) -> HolderRecord {
     HolderRecord {
         name: name.to_owned(),
         created: Fence(40),
@@ -32,7 +32,7 @@
     holder
 }
 
-/// Asked for a lease at 100 ms, and sees its own name under the key.
+/// A router that requested its lease at 100 ms and has read its own name from the key.
 fn holding() -> Holder {
     let mut holder = candidate();
     holder.on(Event::KeyObserved(None), at(0));
@@ -43,19 +43,19 @@
         requested: at(100),
     };
     holder.on(granted, at(110));
-    holder.on(Event::KeyObserved(Some(occupant("me", 7))), at(120));
+    holder.on(Event::KeyObserved(Some(record("me", 7))), at(120));
     holder
 }
 
-/// The VM of a holder is suspended for seconds. Its lease has lapsed when it goes on, and another router gives orders;
-/// engines that check nothing would change back and forth between the weights of both.
+/// The VM of a holder is suspended for seconds. When it resumes, its lease has expired and another router sends orders.
+/// Engines that don't check generation numbers would switch back and forth between the weights of both.
 #[test]
-fn no_order_leaves_once_the_lease_may_have_lapsed() {
+fn no_order_is_sent_once_the_lease_may_have_expired() {
     let mut holder = holding();
     assert_eq!(holder.may_order(at(200)), Some(Fence(40)));
     assert_eq!(holder.may_order(at(1_699)), Some(Fence(40)));
     assert_eq!(holder.may_order(at(1_700)), None);
-    // The renewal counts from when it was asked for, however late its answer comes.
+    // The renewal counts from when it was requested, however late its response arrives.
     let renewed = Event::Renewed {
         ttl: TIMES.ttl,
         requested: at(600),
@@ -68,20 +68,20 @@
 }
 
 #[test]
-fn whoever_does_not_stand_under_the_key_gives_no_orders() {
+fn only_the_router_named_in_the_key_sends_orders() {
     let mut waiting = candidate();
-    waiting.on(Event::KeyObserved(Some(occupant("other", 3))), at(0));
+    waiting.on(Event::KeyObserved(Some(record("other", 3))), at(0));
     assert_eq!(waiting.on(Event::Tick, at(500)), None);
     assert_eq!(waiting.may_order(at(500)), None);
 
     let mut replaced = holding();
-    let step = replaced.on(Event::KeyObserved(Some(occupant("other", 8))), at(300));
+    let step = replaced.on(Event::KeyObserved(Some(record("other", 8))), at(300));
     assert_eq!(step, Some(Step::Release(7)));
     assert_eq!(replaced.may_order(at(300)), None);
 
-    // The name of an earlier life of this very process's VM under another lease is not its own.
+    // The same name with another lease is not this router's key.
     let mut restarted = holding();
-    restarted.on(Event::KeyObserved(Some(occupant("me", 6))), at(300));
+    restarted.on(Event::KeyObserved(Some(record("me", 6))), at(300));
     assert_eq!(restarted.may_order(at(300)), None);
 
     let mut stopped = holding();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_lease_is_renewed_and_a_failed_claim_repeated() {
+fn the_lease_is_renewed_and_a_failed_request_is_repeated() {
     let mut holder = holding();
     assert_eq!(holder.on(Event::Tick, at(599)), None);
     assert_eq!(holder.on(Event::Tick, at(600)), Some(Step::Renew(7)));
@@ -105,114 +105,112 @@
     assert_eq!(failed.on(Event::Tick, at(550)), Some(Step::Acquire(TIMES.ttl)));
 }
 
-/// A holder is killed right after an order. Its successor holds the key a moment later; its own order to the same
-/// endpoint could cross the last one.
+/// A holder is killed right after sending an order, and its successor gets the key a moment later. The successor's
+/// order to the same endpoint could overtake the predecessor's.
 #[test]
-fn a_successor_leaves_recently_ordered_endpoints_alone() {
-    let turn = at(3_300);
+fn a_successor_waits_for_the_handover_delay() {
+    let delay = at(3_300);
     let (ordered, other) = (EndpointId::from("a"), EndpointId::from("b"));
-    let mut turns = ForeignOrders::default();
-    turns.record(&ordered, at(1_000));
-    assert!(!turns.may_order(&ordered, turn, at(4_299)));
-    assert!(turns.may_order(&ordered, turn, at(4_300)));
-    assert!(turns.may_order(&other, turn, at(1_000)));
+    let mut orders = ForeignOrders::default();
+    orders.record(&ordered, at(1_000));
+    assert!(!orders.may_order(&ordered, delay, at(4_299)));
+    assert!(orders.may_order(&ordered, delay, at(4_300)));
+    assert!(orders.may_order(&other, delay, at(1_000)));
 }
 
-/// An order leaves a second after its endpoint was listed. A successor counts its turn from the list, so it may order the same
-/// endpoint too early.
+/// An order is sent a second after its endpoint was added to the load list. A successor counts its handover delay from
+/// the list, so it may order the same endpoint too early.
 #[test]
-fn an_order_leaves_only_while_its_list_is_young() {
+fn an_order_is_sent_only_while_its_list_is_current() {
     assert!(!list_is_current(None, at(0)));
     assert!(list_is_current(Some(at(1_000)), at(1_399)));
     assert!(!list_is_current(Some(at(1_000)), at(1_400)));
-    // What is left of the slack covers the order's way.
+    // The rest of the slack covers the transmission of the order.
     assert!(LIST_VALIDITY + at(200) <= HANDOVER_SLACK);
 }
 
-/// The VM of the holder is restarted at once. Nobody may order until the lease of its earlier life lapses, two seconds in which
-/// engines keep old weights. The new life knows that the earlier one is over, since both would listen at the same addresses.
+/// The VM of the holder restarts quickly. If the new process didn't revoke the lease of the earlier one, no router
+/// could send orders until it expires, and engines would keep old weights for two seconds. The earlier process has
+/// certainly ended, since both would listen on the same addresses.
 #[test]
-fn a_restarted_router_gives_back_what_its_earlier_life_held() {
+fn a_restarted_router_revokes_the_lease_of_its_earlier_process() {
     struct Case {
-        seen: &'static [Option<(&'static str, u64)>],
+        observed: &'static [Option<(&'static str, u64)>],
         expected: &'static [Option<Step>],
     }
     let cases = [
         Case {
-            seen: &[Some(("vm-1/old", 3))],
+            observed: &[Some(("vm-1/old", 3))],
             expected: &[Some(Step::Release(3))],
         },
         Case {
-            seen: &[Some(("vm-2/old", 3))],
+            observed: &[Some(("vm-2/old", 3))],
             expected: &[None],
         },
-        // Another VM's name that begins alike.
+        // Another VM whose name starts the same.
         Case {
-            seen: &[Some(("vm-1/1/old", 3))],
+            observed: &[Some(("vm-1/1/old", 3))],
             expected: &[None],
         },
-        // Two processes are given one name by mistake: they must not take the key from each other again and again.
+        // Two processes have the same VM name by mistake: they must not keep revoking each other's lease.
         Case {
-            seen: &[None, Some(("vm-1/other", 3))],
+            observed: &[None, Some(("vm-1/other", 3))],
             expected: &[None, None],
         },
         Case {
-            seen: &[Some(("vm-1/old", 3)), None, Some(("vm-1/other", 4))],
+            observed: &[Some(("vm-1/old", 3)), None, Some(("vm-1/other", 4))],
             expected: &[Some(Step::Release(3)), None, None],
         },
     ];
     for (index, case) in cases.iter().enumerate() {
         let mut holder = Holder::new("vm-1/new".to_owned(), TIMES, Duration::ZERO);
-        for (seen, expected) in case.seen.iter().zip(case.expected) {
-            let occupant = seen.map(|(name, lease)| occupant(name, lease));
-            assert_eq!(
-                &holder.on(Event::KeyObserved(occupant), at(0)),
-                expected,
-                "case {index}"
-            );
+        for (observed, expected) in case.observed.iter().zip(case.expected) {
+            let record = observed.map(|(name, lease)| record(name, lease));
+            assert_eq!(&holder.on(Event::KeyObserved(record), at(0)), expected, "case {index}");
         }
     }
 }
 
-/// All routers that watch the store are killed together. The others hear of the free key from routers that are back, and none of
-/// them asks for it: no weights are ordered until one that watches is there.
+/// All candidates are killed at once. The other routers learn of the free key. If none of them requested it, no weights
+/// would be ordered until a candidate is back.
 #[test]
-fn others_ask_for_the_key_if_no_candidate_does() {
+fn other_routers_request_the_key_if_no_candidate_does() {
     let mut holder = Holder::new("vm-1/me".to_owned(), TIMES, at(100));
     holder.on(Event::KeyObserved(None), at(0));
     assert_eq!(holder.on(Event::Tick, at(2_599)), None);
     assert_eq!(holder.on(Event::Tick, at(2_600)), Some(Step::Acquire(TIMES.ttl)));
 
-    let mut taken = Holder::new("vm-1/me".to_owned(), TIMES, at(100));
-    taken.on(Event::KeyObserved(None), at(0));
-    taken.on(Event::KeyObserved(Some(occupant("vm-2/it", 3))), at(500));
-    assert_eq!(taken.on(Event::Tick, at(5_000)), None);
+    let mut observer = Holder::new("vm-1/me".to_owned(), TIMES, at(100));
+    observer.on(Event::KeyObserved(None), at(0));
+    observer.on(Event::KeyObserved(Some(record("vm-2/it", 3))), at(500));
+    assert_eq!(observer.on(Event::Tick, at(5_000)), None);
 }
 
-/// Two holders are lost within one turn. The third has started after the first one's list was replaced by the second's; were it to
-/// know only that one, it would order an engine that the first has just ordered, and the two orders would undo each other.
+/// Two holders fail within one handover delay. The third router started after the second one's load list replaced the
+/// first one's. If it knew only that list, it could order an engine that the first holder has just ordered, and the two
+/// orders would undo each other.
 #[test]
-fn what_an_earlier_holder_ordered_is_told_on() {
-    let (engine, turn) = (EndpointId::from("e1"), Duration::from_millis(3_000));
+fn orders_of_earlier_holders_are_passed_to_later_ones() {
+    let (engine, delay) = (EndpointId::from("e1"), Duration::from_millis(3_000));
     let mut second = ForeignOrders::default();
     second.record(&engine, Duration::from_millis(1_000));
     let now = Duration::from_millis(2_000);
     let mut third = ForeignOrders::default();
-    for (endpoint, age) in second.recent(turn, now) {
+    for (endpoint, age) in second.recent(delay, now) {
         third.record(endpoint, now - age);
     }
-    assert!(!third.may_order(&engine, turn, Duration::from_millis(3_999)));
-    assert!(third.may_order(&engine, turn, Duration::from_millis(4_000)));
-    // An older word changes nothing.
+    assert!(!third.may_order(&engine, delay, Duration::from_millis(3_999)));
+    assert!(third.may_order(&engine, delay, Duration::from_millis(4_000)));
+    // An older time changes nothing.
     third.record(&engine, Duration::from_millis(500));
-    assert!(!third.may_order(&engine, turn, Duration::from_millis(3_999)));
-    assert_eq!(second.recent(turn, Duration::from_millis(4_000)).count(), 0);
+    assert!(!third.may_order(&engine, delay, Duration::from_millis(3_999)));
+    assert_eq!(second.recent(delay, Duration::from_millis(4_000)).count(), 0);
 }
 
-/// The answer to a claim is lost, and the claim was not carried out: the key stays free and the watch tells nothing. Were the router to
-/// wait for a word that never comes, nobody would give orders where it is the only one, and engines would keep old weights.
+/// The lease is granted, but the write of the key is lost: the key stays free and the watch reports no change. If the only
+/// router of a deployment waited for a response forever, no orders would be sent and engines would keep old weights.
 #[test]
-fn a_lost_claim_is_made_again() {
+fn a_lost_request_for_the_key_is_repeated() {
     let mut holder = Holder::new("vm-1/a".to_owned(), TIMES, at(0));
     holder.on(Event::Candidate(true), at(0));
     holder.on(Event::KeyObserved(None), at(0));
@@ -223,13 +221,13 @@
         requested: at(1),
     };
     holder.on(granted, at(20));
-    assert!(asks_again(&mut holder, 200));
+    assert!(requests_again(&mut holder, 200));
 }
 
-/// The store ends a lease; the watch tells that the key has gone before the answer to the renewal does. The late answer must not
-/// make the router forget that the key is free.
+/// The store expires a lease, and the watch reports the removed key before the renewal fails. The late failure must not
+/// overwrite the state that the key is free.
 #[test]
-fn the_end_of_a_lease_that_is_told_twice_leaves_the_key_free() {
+fn a_lease_expiry_reported_twice_leaves_the_key_free() {
     let mut holder = Holder::new("vm-1/a".to_owned(), TIMES, at(0));
     holder.on(Event::Candidate(true), at(0));
     holder.on(Event::KeyObserved(None), at(0));
@@ -249,22 +247,22 @@
     assert!(matches!(holder.on(Event::Tick, at(600)), Some(Step::Renew(7))));
     holder.on(Event::KeyObserved(None), at(700));
     holder.on(Event::LeaseExpired(7), at(701));
-    assert!(asks_again(&mut holder, 800));
+    assert!(requests_again(&mut holder, 800));
 }
 
-/// Whether the router asks for the key within ten seconds.
-fn asks_again(holder: &mut Holder, from: u64) -> bool {
+/// Whether the router requests the key within ten seconds.
+fn requests_again(holder: &mut Holder, from: u64) -> bool {
     (from..from + 10_000).step_by(200).any(|ms| {
         holder.on(Event::Candidate(true), at(ms));
         matches!(holder.on(Event::Tick, at(ms)), Some(Step::Acquire(_)))
     })
 }
 
-/// A claim fails and the router asks again; the word of the failure is late, so that it asks a third time while the second claim holds.
-/// The third lease is granted then. Were it taken for the one that the key hangs on, the router would renew it while the key's own
-/// lapses, and give orders beside a successor.
+/// A request for the key fails and is repeated. The failure is reported late, so the router makes a third request
+/// although the second one succeeded, and a third lease is granted. If the router took it for the lease of the key, it
+/// would renew it while the key's own lease expires, and send orders at the same time as a successor.
 #[test]
-fn a_lease_that_is_granted_late_is_not_the_keys() {
+fn a_lease_granted_late_does_not_replace_the_lease_of_the_key() {
     let mut holder = holding();
     let granted = Event::Granted {
         lease: 8,
@@ -278,15 +276,19 @@
     assert_eq!(holder.on(Event::Tick, at(700)), Some(Step::Renew(7)));
 }
 
-/// Generation numbers that fall with the store's revisions make a late order of the former leader the newer one.
+/// Revisions decrease when the store is restored from a backup. If generation numbers decreased with them, a late order
+/// of the former holder would count as newer.
 #[test]
-fn generation_numbers_rise_over_eras() {
-    let rising = [(0, 1), (0, 900_000), (1, 1), (1, 5), (2, 3), (8_000, 1)];
-    let fences: Vec<Fence> = rising.iter().map(|(era, created)| fence(*era, *created)).collect();
+fn generation_numbers_increase_across_eras() {
+    let increasing = [(0, 1), (0, 900_000), (1, 1), (1, 5), (2, 3), (8_000, 1)];
+    let fences: Vec<Fence> = increasing.iter().map(|(era, created)| fence(*era, *created)).collect();
     assert!(fences.is_sorted_by(|left, right| left < right), "{fences:?}");
-    for ((_, revision), fence) in rising.iter().zip(&fences) {
+    for ((_, revision), fence) in increasing.iter().zip(&fences) {
         assert_eq!(created(*fence), *revision);
-        assert!(fence.0 < 1 << 53, "{fence:?} is a whole number to every reader of JSON");
+        assert!(
+            fence.0 < 1 << 53,
+            "{fence:?} exceeds the exact integers of JSON readers"
+        );
     }
     assert_eq!(fence(0, 41), Fence(41));
 }
--- a/crates/dispatch/tests/rollout.rs
+++ b/crates/dispatch/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Which endpoints load new weights, in which order, and what follows their reports.
+//! Which endpoints load new weights, in which order, and the next step after their reports.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use support::fleet::{at, entry, fleet, prompt, send};
 
-fn runner(name: &str, weights: u64, leaving: bool) -> LoadCandidate {
+fn candidate(name: &str, weights: u64, leaving: bool) -> LoadCandidate {
     LoadCandidate {
         endpoint: EndpointId::from(name),
         weights,
@@ -24,43 +24,49 @@
     names.iter().map(|name| EndpointId::from(*name)).collect()
 }
 
-/// New weights are named before the last ones are in place everywhere. Endpoints with the oldest ones are the first
-/// that may not serve any more; were the newest renewed first, they would fall out one after the other.
+/// New target weights are set before the previous ones are loaded everywhere. Endpoints with the oldest weights are the
+/// first to exceed the age limit. If they loaded last, they would drop out of service one after the other.
 #[test]
-fn the_oldest_load_first_and_most_go_on_serving() {
+fn the_oldest_weights_load_first_and_most_endpoints_keep_serving() {
     struct Case {
-        runners: Vec<LoadCandidate>,
+        candidates: Vec<LoadCandidate>,
         loading: &'static [&'static str],
         expected: &'static [&'static str],
     }
-    let nine: Vec<LoadCandidate> = (0..9).map(|at| runner(&format!("e{at}"), 1 + at % 3, false)).collect();
+    let nine: Vec<LoadCandidate> = (0..9)
+        .map(|at| candidate(&format!("e{at}"), 1 + at % 3, false))
+        .collect();
     let cases = [
         Case {
-            runners: nine.clone(),
+            candidates: nine.clone(),
             loading: &[],
             expected: &["e0", "e3", "e6"],
         },
         Case {
-            runners: nine,
+            candidates: nine,
             loading: &["e0", "e3"],
             expected: &["e6"],
         },
         Case {
-            runners: vec![runner("a", 1, false), runner("b", 1, false), runner("c", 1, false)],
+            candidates: vec![
+                candidate("a", 1, false),
+                candidate("b", 1, false),
+                candidate("c", 1, false),
+            ],
             loading: &[],
             expected: &["a"],
         },
         Case {
-            runners: vec![runner("a", 1, false)],
+            candidates: vec![candidate("a", 1, false)],
             loading: &[],
             expected: &["a"],
         },
         Case {
-            runners: vec![
-                runner("a", 1, true),
-                runner("b", 4, false),
-                runner("c", 3, false),
-                runner("d", 4, false),
+            candidates: vec![
+                candidate("a", 1, true),
+                candidate("b", 4, false),
+                candidate("c", 3, false),
+                candidate("d", 4, false),
             ],
             loading: &[],
             expected: &["c"],
@@ -68,14 +74,15 @@
     ];
     for case in cases {
         let expected: Vec<EndpointId> = case.expected.iter().map(|name| EndpointId::from(*name)).collect();
-        assert_eq!(plan_loads(&case.runners, 4, &ids(case.loading)).begin, expected);
+        assert_eq!(plan_loads(&case.candidates, 4, &ids(case.loading)).begin, expected);
     }
 }
 
-/// Ninety engines load new weights. With two fifths of them running empty or loading, the others were full and callers' answers
-/// late; with a fifth, whose successors already get no long answers, they are not. A third always takes long answers.
+/// Ninety engines load new weights. If two fifths of them drain or load at a time, the others are at capacity and
+/// responses are late. With a fifth, and no long generations on the next ones, they are not. A third of the engines
+/// always accepts long generations.
 #[test]
-fn few_take_part_and_their_successors_are_known() {
+fn few_endpoints_load_at_a_time_and_the_next_ones_are_fixed() {
     struct Case {
         endpoints: usize,
         begin: usize,
@@ -114,10 +121,10 @@
         },
     ];
     for case in cases {
-        let runners: Vec<LoadCandidate> = (0..case.endpoints)
-            .map(|at| runner(&format!("e{at:03}"), 1, false))
+        let candidates: Vec<LoadCandidate> = (0..case.endpoints)
+            .map(|at| candidate(&format!("e{at:03}"), 1, false))
             .collect();
-        let plan = plan_loads(&runners, 2, &BTreeSet::new());
+        let plan = plan_loads(&candidates, 2, &BTreeSet::new());
         assert_eq!(
             (plan.begin.len(), plan.upcoming.len()),
             (case.begin, case.upcoming),
@@ -125,15 +132,15 @@
             case.endpoints
         );
         let order: Vec<&EndpointId> = plan.begin.iter().chain(&plan.upcoming).collect();
-        assert!(order.is_sorted(), "those that come next follow in order");
-        // Once the first ones load, the next ones are still those that were told.
+        assert!(order.is_sorted(), "upcoming endpoints follow in order");
+        // While the first ones load, the upcoming ones don't change.
         let loading = plan.begin.iter().cloned().collect();
-        assert_eq!(plan_loads(&runners, 2, &loading).upcoming, plan.upcoming);
+        assert_eq!(plan_loads(&candidates, 2, &loading).upcoming, plan.upcoming);
     }
 }
 
-/// An order gets no answer and is carried out seconds later, after a newer one: the endpoint falls back to old weights. The
-/// count that an order expects prevents it, if it is always the count of the newest report.
+/// An order gets no response and takes effect seconds later, after a newer one, so the endpoint returns to old weights.
+/// The expected number of accepted orders prevents this if it is always taken from the newest report.
 #[test]
 fn an_order_expects_the_count_of_the_newest_report() {
     struct Case {
@@ -165,7 +172,7 @@
             now: 0,
             expected: LoadStep::Wait,
         },
-        // The report may be from before the order.
+        // The report may be older than the order.
         Case {
             report: idle,
             ordered: order,
@@ -226,35 +233,37 @@
     }
 }
 
-/// A quarter of the engines crash while weights are loaded, and stay listed for seconds with the oldest ones. Tried again and again
-/// they take up all the room for loads, and the sound ones are left out for their old weights in the end: an outage.
+/// A quarter of the engines crash during a rollout and stay listed for seconds with the oldest weights. If they were
+/// ordered again and again, they would occupy all load slots until the healthy engines exceed the age limit of their
+/// weights.
 #[test]
-fn endpoints_whose_loads_fail_wait_behind_the_others() {
+fn endpoints_with_failed_loads_do_not_block_the_others() {
     let crashed = ids(&["e0", "e1", "e2", "e3"]);
-    let runners: Vec<LoadCandidate> = (0..12).map(|at| runner(&format!("e{at:x}"), 1, false)).collect();
+    let candidates: Vec<LoadCandidate> = (0..12).map(|at| candidate(&format!("e{at:x}"), 1, false)).collect();
     let mut backoff = LoadBackoff::default();
     let at = Duration::from_millis;
     for endpoint in &crashed {
         backoff.record_failure(endpoint.clone(), at(1_000));
     }
     let begin = |backoff: &LoadBackoff, now: u64| {
-        let may = |runner: &&LoadCandidate| backoff.may_load(&runner.endpoint, at(now));
-        let free: Vec<LoadCandidate> = runners.iter().filter(may).cloned().collect();
+        let may = |candidate: &&LoadCandidate| backoff.may_load(&candidate.endpoint, at(now));
+        let free: Vec<LoadCandidate> = candidates.iter().filter(may).cloned().collect();
         plan_loads(&free, 2, &BTreeSet::new()).begin
     };
     let first = begin(&backoff, 1_000);
     assert!(!first.is_empty() && first.iter().all(|endpoint| !crashed.contains(endpoint)));
-    // One that is back gets its turn.
+    // After the backoff an endpoint is ordered again.
     assert_eq!(begin(&backoff, 4_000)[0], EndpointId::from("e0"));
     assert!(!should_give_up(1), "one report may be lost");
     assert!(should_give_up(2));
 }
 
-/// Endpoints with long answers take seconds to run empty; ordered first, they stand idle for most of the rollout.
+/// Endpoints with long generations take seconds to drain. If they were ordered first, their load slots would be idle
+/// for most of the rollout.
 #[test]
-fn endpoints_with_long_answers_load_last() {
-    let mut runners: Vec<LoadCandidate> = (0..9).map(|at| runner(&format!("e{at}"), 1, false)).collect();
-    sort_by_load_order(&mut runners);
+fn endpoints_with_long_generations_load_last() {
+    let mut candidates: Vec<LoadCandidate> = (0..9).map(|at| candidate(&format!("e{at}"), 1, false)).collect();
+    sort_by_load_order(&mut candidates);
     let entry = |at| EndpointEntry {
         slots: 64,
         ..entry(&format!("e{at}"), 1)
@@ -271,6 +280,8 @@
         Some(name)
     });
     let used: BTreeSet<EndpointId> = answers.map(|name| EndpointId::from(name.as_str())).collect();
-    let last = runners[9 - used.len()..].iter().map(|runner| runner.endpoint.clone());
+    let last = candidates[9 - used.len()..]
+        .iter()
+        .map(|candidate| candidate.endpoint.clone());
     assert_eq!(used, last.collect());
 }
--- a/crates/dispatch/tests/roster.rs
+++ b/crates/dispatch/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Endpoints in service, through outages of the store.
+//! The endpoints in service during and after outages of the store.
 
 use dispatch::roster::{ListChange, Roster, RosterChange};
 use dispatch::site::EndpointEntry;
@@ -27,7 +27,7 @@
     ListChange::Removed(EndpointId::from(id))
 }
 
-/// An answer of the store to this router.
+/// A response of the store to this router.
 fn answer(ms: u64) -> Span {
     span(ms, ms)
 }
@@ -39,7 +39,7 @@
     }
 }
 
-/// Two endpoints, and a store that was away from 1 s to 6 s.
+/// Two endpoints, and a store that was unavailable from 1 s to 6 s.
 fn after_outage() -> Roster {
     let mut roster = Roster::default();
     roster.store_answered(answer(0));
@@ -60,10 +60,10 @@
     roster.all().map(|entry| entry.id.as_str()).collect()
 }
 
-/// The store is away for seconds and the leases of healthy endpoints lapse. If their entries counted as gone the moment
-/// it is back, every caller would be refused until all endpoints have registered again.
+/// The store is unavailable for seconds and the leases of healthy endpoints expire. If missing entries were dropped
+/// when it recovers, every client would be refused until the endpoints have registered again.
 #[test]
-fn entries_that_lapsed_during_an_outage_have_time_to_come_back() {
+fn endpoints_whose_entries_expired_in_an_outage_have_time_to_register() {
     let mut roster = after_outage();
     roster.replace(Vec::new(), at(6_000));
     assert_eq!(serving(&roster), ["a", "b"]);
@@ -74,20 +74,21 @@
     assert_eq!(serving(&roster), ["a"]);
 }
 
-/// An endpoint is removed while all is well, or said that it leaves: new work must not reach it for more than a moment.
+/// An endpoint is removed while the store is available, or is draining when its entry disappears. It must not get new
+/// requests.
 #[test]
-fn an_entry_that_goes_otherwise_is_gone_at_once() {
-    let mut calm = Roster::default();
-    calm.store_answered(answer(0));
-    calm.replace(vec![ListChange::Listed(entry("a", false))], at(0));
-    calm.store_answered(answer(100));
-    calm.apply(removed("a"), at(100));
-    assert!(serving(&calm).is_empty());
+fn an_entry_removed_outside_an_outage_is_dropped_at_once() {
+    let mut available = Roster::default();
+    available.store_answered(answer(0));
+    available.replace(vec![ListChange::Listed(entry("a", false))], at(0));
+    available.store_answered(answer(100));
+    available.apply(removed("a"), at(100));
+    assert!(serving(&available).is_empty());
 
-    let mut left = after_outage();
-    left.apply(ListChange::Listed(entry("a", true)), at(6_100));
-    left.apply(removed("a"), at(6_200));
-    assert_eq!(serving(&left), ["b"]);
+    let mut draining = after_outage();
+    draining.apply(ListChange::Listed(entry("a", true)), at(6_100));
+    draining.apply(removed("a"), at(6_200));
+    assert_eq!(serving(&draining), ["b"]);
 
     let mut later = after_outage();
     for ms in [7_000, 8_000, 9_000] {
@@ -97,9 +98,9 @@
     assert_eq!(serving(&later), ["a"]);
 }
 
-/// One call fails and the next is answered: no lease lapses in so short a time, so a removal is a removal.
+/// One call fails and the next one succeeds. No lease expires in so short a time, so a missing entry was removed.
 #[test]
-fn one_failed_call_is_no_outage() {
+fn one_failed_call_is_not_an_outage() {
     let mut roster = Roster::default();
     roster.store_answered(answer(0));
     roster.replace(vec![ListChange::Listed(entry("a", false))], at(0));
@@ -109,7 +110,7 @@
     assert!(serving(&roster).is_empty());
 }
 
-/// Two endpoints, one of which goes in a break of this router's answers.
+/// Two endpoints, one of which disappears during a break in this router's responses.
 fn after_break(last: u64, failed: Option<u64>, answered: u64) -> Roster {
     let mut roster = Roster::default();
     roster.store_answered(answer(last));
@@ -123,9 +124,9 @@
     roster
 }
 
-/// An outage counts from the last answer, not from the first failed call: entries lapse all the while.
+/// An outage counts from the last response, not from the first failed call, since entries may expire from then on.
 #[test]
-fn an_outage_counts_from_the_last_answer() {
+fn an_outage_counts_from_the_last_response() {
     struct Case {
         why: &'static str,
         failed: Option<u64>,
@@ -134,19 +135,19 @@
     }
     let cases = [
         Case {
-            why: "a watch that left as the store fell silent was given up late",
+            why: "a watch sent just before the outage timed out late",
             failed: Some(2_800),
             answered: 3_400,
             serves: true,
         },
         Case {
-            why: "the routers that were followed have lost the store",
+            why: "the followed routers have lost the store",
             failed: None,
             answered: 3_000,
             serves: true,
         },
         Case {
-            why: "one answer to a watch was lost, in which time no lease lapses",
+            why: "one watch response was lost, too short for a lease to expire",
             failed: Some(2_800),
             answered: 2_860,
             serves: false,
@@ -161,54 +162,55 @@
     }
 }
 
-/// Only this router was cut off, or the one that it follows: an entry that went meanwhile was removed, and has not lapsed.
+/// Only this router, or the one that it follows, was partitioned from the store. An entry that disappeared meanwhile
+/// was removed and has not expired.
 #[test]
-fn a_removal_behind_a_cut_is_no_lapse() {
+fn a_removal_during_a_partition_is_not_an_expiry() {
     struct Case {
         why: &'static str,
-        told: &'static [(u64, u64)],
+        reported: &'static [(u64, u64)],
         serves: bool,
     }
     let cases = [
         Case {
-            why: "the store answered another router all the while",
-            told: &[(0, 9_500)],
+            why: "the store answered another router throughout",
+            reported: &[(0, 9_500)],
             serves: false,
         },
         Case {
-            why: "living endpoints have had the time to register since the store answered another router",
-            told: &[(4_000, 9_500)],
+            why: "the store has answered another router for long enough to register",
+            reported: &[(4_000, 9_500)],
             serves: false,
         },
         Case {
-            why: "they have not had the time yet",
-            told: &[(8_000, 9_500)],
+            why: "the store has not answered another router for long enough to register",
+            reported: &[(8_000, 9_500)],
             serves: true,
         },
         Case {
-            why: "the other router was cut off as well",
-            told: &[(9_900, 10_000)],
+            why: "the other router was partitioned as well",
+            reported: &[(9_900, 10_000)],
             serves: true,
         },
         Case {
-            why: "the other router has not been answered since the break began",
-            told: &[(0, 1_200)],
+            why: "the other router has had no response since the break began",
+            reported: &[(0, 1_200)],
             serves: true,
         },
         Case {
-            why: "one of several knows",
-            told: &[(9_900, 10_000), (0, 9_000), (8_000, 9_500)],
+            why: "one of several routers had responses throughout",
+            reported: &[(9_900, 10_000), (0, 9_000), (8_000, 9_500)],
             serves: false,
         },
         Case {
-            why: "two that follow one another fill the break",
-            told: &[(8_000, 9_500), (0, 8_500)],
+            why: "the spans of two routers together cover the break",
+            reported: &[(8_000, 9_500), (0, 8_500)],
             serves: false,
         },
     ];
     for case in cases {
         let mut roster = after_break(1_000, Some(9_600), 10_000);
-        for (from, until) in case.told {
+        for (from, until) in case.reported {
             roster.store_answered_other(span(*from, *until), at(10_020));
         }
         let all: &[&str] = if case.serves { &["a", "b"] } else { &["b"] };
@@ -216,9 +218,10 @@
     }
 }
 
-/// Nobody can tell whether the store was away: an endpoint that left must get nothing three seconds after the path may be back.
+/// It is unknown whether the store was unavailable. A removed endpoint must get no requests three seconds after the
+/// network path may have recovered.
 #[test]
-fn what_may_have_lapsed_is_dropped_in_time() {
+fn entries_that_may_have_expired_are_dropped_in_time() {
     let mut roster = after_break(1_000, Some(9_200), 10_000);
     roster.tick(at(12_100));
     assert_eq!(serving(&roster), ["a", "b"]);
@@ -226,18 +229,19 @@
     assert_eq!(serving(&roster), ["b"]);
 }
 
-/// The router that is followed tells since when the store answers it: a router that changes to another one has had no break.
+/// A router receives the availability of the store from the router that it follows. Changing to another router is no
+/// break.
 #[test]
-fn a_followed_routers_answers_count() {
+fn responses_to_the_followed_router_count() {
     let mut roster = after_break(1_000, None, 1_100);
     roster.store_answered(span(0, 3_900));
     roster.apply(removed("b"), at(4_000));
     assert!(serving(&roster).is_empty());
 }
 
-/// Another program writes bytes under an endpoint's key that cannot be read. They name no endpoint; the others serve on.
+/// Another program writes an invalid entry. It must not add an endpoint or affect the others.
 #[test]
-fn an_entry_that_cannot_be_read_names_no_endpoint() {
+fn an_unreadable_entry_adds_no_endpoint() {
     let mut roster = Roster::default();
     let list = vec![
         ListChange::Listed(entry("a", false)),
@@ -247,8 +251,8 @@
     assert_eq!(serving(&roster), ["a"]);
 }
 
-/// The store is back after an outage that two calls told of. Its second answer must not count as another return: an endpoint that is
-/// removed later would go on getting work.
+/// The store recovers after an outage in which two calls failed. Its second response must not count as another
+/// recovery: endpoints that are removed later would continue to get requests.
 #[test]
 fn an_outage_ends_once() {
     let mut roster = Roster::default();
@@ -262,10 +266,10 @@
     assert!(serving(&roster).is_empty());
 }
 
-/// The store is back for a second and away again, before endpoints whose leases had lapsed could register. Were they dropped
-/// meanwhile, every caller would be refused until the store is back for good.
+/// The store recovers for a second and fails again before endpoints with expired leases could register. If they were
+/// dropped meanwhile, every client would be refused until the second recovery.
 #[test]
-fn endpoints_outlive_two_outages_in_a_row() {
+fn endpoints_stay_in_service_through_two_consecutive_outages() {
     let mut roster = after_outage();
     roster.replace(Vec::new(), at(6_000));
     roster.store_failed(at(7_000));
@@ -281,9 +285,10 @@
     assert_eq!(serving(&roster), ["a"]);
 }
 
-/// The store is back and away again for less time than a lease lasts: endpoints that have lapsed could not register meanwhile.
+/// The store recovers and then fails again for less than the duration of a lease. Endpoints whose leases had expired
+/// could not register meanwhile.
 #[test]
-fn a_short_outage_after_a_long_one_gives_more_time() {
+fn a_short_outage_after_a_long_one_extends_the_time_to_register() {
     let mut roster = after_outage();
     roster.replace(Vec::new(), at(6_000));
     roster.store_answered(answer(7_000));
@@ -295,9 +300,9 @@
     assert!(serving(&roster).is_empty());
 }
 
-/// A call fails while endpoints have time to come back, and the next one is answered: that is no further outage.
+/// A call fails while endpoints have time to register, and the next one succeeds. That is not another outage.
 #[test]
-fn a_failed_call_gives_no_more_time_to_come_back() {
+fn a_failed_call_does_not_extend_the_time_to_register() {
     let mut roster = after_outage();
     roster.replace(Vec::new(), at(6_000));
     roster.store_answered(answer(7_000));
@@ -307,23 +312,23 @@
     assert!(serving(&roster).is_empty());
 }
 
-/// The store comes back from a copy: what has gone or leaves must not be taken for new, and what lives must not be dropped since its
-/// entry is lost.
+/// The store is restored from a backup. Removed and draining endpoints must not return to service, and healthy
+/// endpoints whose entries were lost must not be dropped.
 #[test]
-fn an_older_list_brings_nobody_back() {
+fn a_restored_list_does_not_return_removed_endpoints_to_service() {
     let mut roster = Roster::default();
     let list = |ids: &[&str]| {
         ids.iter()
             .map(|id| ListChange::Listed(entry(id, false)))
             .collect::<Vec<_>>()
     };
-    let leaving = ListChange::Listed(entry("leaves", true));
+    let draining = ListChange::Listed(entry("leaves", true));
     roster.store_answered(answer(1_000));
     roster.replace(list(&["stays", "leaves", "goes"]), at(1_000));
     for second in 2..=13 {
         roster.store_answered(answer(second * 1_000));
     }
-    roster.apply(leaving, at(13_000));
+    roster.apply(draining, at(13_000));
     roster.apply(removed("goes"), at(13_000));
     roster.apply(ListChange::Listed(entry("young", false)), at(13_000));
     let open = |roster: &Roster| {
@@ -334,15 +339,15 @@
     roster.store_restored(answer(14_000));
     roster.replace(list(&["stays", "leaves", "goes"]), at(14_000));
     assert_eq!(open(&roster), ["stays", "young"]);
-    // Another router that has not noticed.
+    // A router that has not noticed the restore.
     assert!(roster.store_answered_other(span(1_000, 14_100), at(14_200)).is_empty());
     assert_eq!(open(&roster), ["stays", "young"]);
-    // What lives writes its entry again.
+    // A healthy endpoint writes its entry again.
     roster.apply(ListChange::Listed(entry("goes", false)), at(15_000));
     assert_eq!(open(&roster), ["goes", "stays", "young"]);
-    let gone = roster.tick(at(17_000));
-    assert_eq!(gone, [RosterChange::Removed(EndpointId::from("young"))]);
-    // An endpoint that changes its mind says so by itself.
+    let removed = roster.tick(at(17_000));
+    assert_eq!(removed, [RosterChange::Removed(EndpointId::from("young"))]);
+    // An endpoint may end its draining by a new entry.
     roster.apply(ListChange::Listed(entry("leaves", false)), at(18_000));
     assert_eq!(open(&roster), ["goes", "leaves", "stays"]);
 }
--- a/crates/dispatch/tests/site.rs
+++ b/crates/dispatch/tests/site.rs
@@ -1,4 +1,4 @@
-//! Which route, service and workspace a request belongs to.
+//! Selection of a request's route, service and workspace.
 
 use dispatch::site::{Owner, Route, RouteKind, Site, SiteParts, Target, WorkspaceSpec};
 use ids::{Revision, ServiceId, WorkspaceId};
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_longest_matching_prefix_of_the_host_is_selected() {
     struct Case {
         host: &'static str,
         path: &'static str,
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_key_names_its_workspace_unless_the_route_is_public() {
+fn a_key_selects_its_workspace_unless_the_route_is_public() {
     struct Case {
         public: bool,
         key: Option<&'static str>,
@@ -138,10 +138,10 @@
     ];
     let keys = [("grain", "k1"), ("paper", "k2")];
     for case in cases {
-        let mut asked = route("r", "a", "/");
-        asked.public = case.public;
-        let site = site(vec![asked.clone()], Some(&keys));
-        let owner = match site.owner(&asked, case.key) {
+        let mut requested = route("r", "a", "/");
+        requested.public = case.public;
+        let site = site(vec![requested.clone()], Some(&keys));
+        let owner = match site.owner(&requested, case.key) {
             Owner::Anonymous => Some(None),
             Owner::Workspace(spec) => Some(Some(spec.id.as_str())),
             Owner::Unknown => None,
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn requests_are_split_by_weight() {
+fn requests_are_split_by_target_weight() {
     let mut split = route("r", "a", "/");
     split.targets = vec![
         Target {
@@ -169,7 +169,7 @@
     ];
     let count = |name: &str| {
         (0..100)
-            .filter(|draw| split.target(*draw).map(ServiceId::as_str) == Some(name))
+            .filter(|random| split.target(*random).map(ServiceId::as_str) == Some(name))
             .count()
     };
     assert_eq!([count("old"), count("new"), count("off")], [90, 10, 0]);
