--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -49,7 +49,7 @@
             address: "127.0.0.1:1".parse().expect("an address"),
             domain: DomainId::from(format!("d{}", number % 4)),
             slots: 24,
-            leaving: false,
+            draining: false,
             weights: vec![(ModelId::from("grain"), 1 + number % 2)],
         };
         fleet.serves(&Arc::new(entry), Duration::ZERO);
--- a/crates/dispatch/src/fleet/candidates.rs
+++ b/crates/dispatch/src/fleet/candidates.rs
@@ -64,7 +64,7 @@
     fn serving(&self, wish: &Wish<'_>) -> impl Iterator<Item = &Known> {
         self.known
             .values()
-            .filter(|known| known.entry.service == *wish.service && !known.entry.leaving)
+            .filter(|known| known.entry.service == *wish.service && !known.entry.draining)
             .filter(|known| !wish.avoid.contains(&known.entry.id))
     }
 
--- a/crates/dispatch/src/rollout.rs
+++ b/crates/dispatch/src/rollout.rs
@@ -23,7 +23,7 @@
     /// Version of its weights.
     pub weights: u64,
     /// Whether it is draining.
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// One in this many endpoints of a model loads at a time. With more, the weight store serves each more slowly, and the
@@ -75,7 +75,7 @@
     let free = concurrent_loads(candidates.len()).saturating_sub(loading.len());
     let mut outdated: Vec<&LoadCandidate> = candidates
         .iter()
-        .filter(|candidate| !candidate.leaving && candidate.weights < target && !loading.contains(&candidate.endpoint))
+        .filter(|candidate| !candidate.draining && candidate.weights < target && !loading.contains(&candidate.endpoint))
         .collect();
     // The oldest weights first, since they are the first to exceed the age limit.
     outdated.sort_by_key(|candidate| candidate.weights);
--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -207,7 +207,7 @@
         if let ListChange::Listed(entry) = change
             && let Some(current) = self.entries.get(&entry.id)
         {
-            entry.leaving |= current.leaving && current.incarnation == entry.incarnation;
+            entry.draining |= current.draining && current.incarnation == entry.incarnation;
         }
     }
 
@@ -224,7 +224,7 @@
     fn remove(&mut self, id: EndpointId, now: Duration) -> Option<RosterChange> {
         let entry = self.entries.get(&id)?;
         // The entry of a draining endpoint was removed and did not expire in an outage.
-        if entry.leaving {
+        if entry.draining {
             return Some(self.remove_now(id, now));
         }
         let Some(until) = self.retained_until(now) else {
--- a/crates/dispatch/src/site.rs
+++ b/crates/dispatch/src/site.rs
@@ -251,7 +251,7 @@
     /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Whether the endpoint is draining: it accepts no new requests.
-    pub leaving: bool,
+    pub draining: bool,
     /// Models that it serves, with the version of their weights.
     pub weights: Vec<(ModelId, u64)>,
 }
--- a/crates/dispatch/tests/drain_model.rs
+++ b/crates/dispatch/tests/drain_model.rs
@@ -133,7 +133,7 @@
             address: format!("10.0.0.{address}:80").parse().expect("an address"),
             domain: DomainId::from("here"),
             slots: 8,
-            leaving: false,
+            draining: false,
             incarnation: Incarnation(self.incarnations),
             weights: Vec::new(),
         }
@@ -194,7 +194,13 @@
             Action::Drain(at) => {
                 let current = self.actual[at].entry.clone();
                 if let Some(entry) = current {
-                    self.write(at, EndpointEntry { leaving: true, ..entry });
+                    self.write(
+                        at,
+                        EndpointEntry {
+                            draining: true,
+                            ..entry
+                        },
+                    );
                 }
             }
             Action::Remove(at) | Action::Corrupt(at) if self.actual[at].entry.is_some() => {
@@ -314,7 +320,7 @@
         let in_service: BTreeMap<EndpointId, EndpointEntry> = self
             .roster
             .all()
-            .filter(|entry| !entry.leaving)
+            .filter(|entry| !entry.draining)
             .map(|entry| (entry.id.clone(), (**entry).clone()))
             .collect();
         let now = self.now;
@@ -328,7 +334,7 @@
             let in_service = in_service.get(&id(at));
             let healthy = actual.expired.as_ref().filter(|(_, registers)| registers.is_some());
             let expected = actual.entry.as_ref().or(healthy.map(|(entry, _)| entry));
-            let expected = expected.filter(|entry| !entry.leaving);
+            let expected = expected.filter(|entry| !entry.draining);
             if let Some(expected) = expected {
                 assert_eq!(in_service, Some(expected), "{at} is healthy at {now}");
             } else {
@@ -338,14 +344,14 @@
                 );
             }
             // A missing entry of a draining endpoint was removed and did not expire.
-            let kept = self.roster.get(&id(at)).is_some_and(|entry| entry.leaving);
+            let kept = self.roster.get(&id(at)).is_some_and(|entry| entry.draining);
             let listed = actual.entry.is_some() || self.partitioned;
             assert!(
                 !kept || listed,
                 "{at} was removed after draining, but is in the roster at {now}"
             );
-            let draining = actual.entry.as_ref().is_some_and(|entry| entry.leaving);
-            let drained = actual.expired.as_ref().is_some_and(|(entry, _)| entry.leaving);
+            let draining = actual.entry.as_ref().is_some_and(|entry| entry.draining);
+            let drained = actual.expired.as_ref().is_some_and(|(entry, _)| entry.draining);
             assert!(
                 in_service.is_none() || !(draining || drained),
                 "{at} is draining, but is in service at {now}"
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -123,7 +123,7 @@
 #[test]
 fn nothing_goes_to_an_endpoint_that_loads_or_leaves() {
     let mut leaving = entry("e2", 1);
-    leaving.leaving = true;
+    leaving.draining = true;
     let mut fleet = fleet(&[entry("e0", 1), entry("e1", 1), leaving]);
     fleet.loads(BTreeSet::from([EndpointId::from("e0")]), BTreeSet::new());
     let used: BTreeSet<_> = (0..20)
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -27,7 +27,7 @@
         address: "10.0.0.1:80".parse().expect("an address"),
         domain: DomainId::from("here"),
         slots: 8,
-        leaving: false,
+        draining: false,
         incarnation: Incarnation(1),
         weights: vec![(model(), weights)],
     }
--- a/crates/dispatch/tests/rollout.rs
+++ b/crates/dispatch/tests/rollout.rs
@@ -12,11 +12,11 @@
 use std::time::Duration;
 use support::fleet::{at, entry, fleet, prompt, send};
 
-fn candidate(name: &str, weights: u64, leaving: bool) -> LoadCandidate {
+fn candidate(name: &str, weights: u64, draining: bool) -> LoadCandidate {
     LoadCandidate {
         endpoint: EndpointId::from(name),
         weights,
-        leaving,
+        draining,
     }
 }
 
--- a/crates/dispatch/tests/roster.rs
+++ b/crates/dispatch/tests/roster.rs
@@ -10,7 +10,7 @@
     Duration::from_millis(ms)
 }
 
-fn entry(id: &str, leaving: bool) -> EndpointEntry {
+fn entry(id: &str, draining: bool) -> EndpointEntry {
     EndpointEntry {
         id: EndpointId::from(id),
         incarnation: Incarnation(1),
@@ -18,7 +18,7 @@
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: DomainId::from("here"),
         slots: 6,
-        leaving,
+        draining,
         weights: Vec::new(),
     }
 }
@@ -332,7 +332,7 @@
     roster.apply(removed("goes"), at(13_000));
     roster.apply(ListChange::Listed(entry("young", false)), at(13_000));
     let open = |roster: &Roster| {
-        let open = roster.all().filter(|entry| !entry.leaving);
+        let open = roster.all().filter(|entry| !entry.draining);
         open.map(|entry| entry.id.to_string()).collect::<Vec<_>>()
     };
     assert_eq!(open(&roster), ["stays", "young"]);
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -142,7 +142,7 @@
             address: "127.0.0.1:1".parse().expect("an address"),
             domain: DomainId::from("here"),
             slots: 64,
-            leaving: false,
+            draining: false,
             weights: vec![(model(), 1)],
         };
         let entries: Vec<EndpointEntry> = (0..load.engines).map(entry).collect();
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -29,7 +29,7 @@
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: DomainId::from("here"),
         slots: 6,
-        leaving: false,
+        draining: false,
         weights: vec![(model(), weights)],
     }
 }
--- a/crates/dispatch/tests/support/pool.rs
+++ b/crates/dispatch/tests/support/pool.rs
@@ -221,7 +221,7 @@
         let runner = |id: &EndpointId| LoadCandidate {
             endpoint: id.clone(),
             weights: self.engines[id].weights,
-            leaving: false,
+            draining: false,
         };
         let runners: Vec<LoadCandidate> = self.engines.keys().filter(free).map(runner).collect();
         let loading: BTreeSet<EndpointId> = self.parts.keys().cloned().collect();
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -331,7 +331,7 @@
                         service = entry.service.as_str(),
                         address:% = entry.address,
                         life = entry.incarnation.0,
-                        leaving = entry.leaving;
+                        leaving = entry.draining;
                         "endpoint: listed"
                     );
                 }
--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -109,7 +109,7 @@
             Some(LoadCandidate {
                 endpoint: entry.id.clone(),
                 weights,
-                leaving: entry.leaving,
+                draining: entry.draining,
             })
         };
         let mut runners: Vec<LoadCandidate> = self.roster.all().filter_map(runner).collect();
