--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -126,7 +126,7 @@
 
     /// Records that the store responded to another router. Returns the endpoints that this removes: their entries
     /// disappeared while the store was available.
-    pub fn store_answered_other(&mut self, answers: Span, now: Duration) -> Vec<RosterChange> {
+    pub fn store_answered_peer(&mut self, answers: Span, now: Duration) -> Vec<RosterChange> {
         // Another router that hasn't noticed the restore would make lost entries look like removed ones.
         if !self.restored_within(REREGISTER_TIMEOUT, now) {
             self.uptime.answered_other(answers);
--- a/crates/dispatch/tests/drain_model.rs
+++ b/crates/dispatch/tests/drain_model.rs
@@ -166,7 +166,7 @@
             from: ms(self.available_since),
             until: ms(self.now),
         };
-        self.roster.store_answered_other(answers, ms(self.now));
+        self.roster.store_answered_peer(answers, ms(self.now));
     }
 
     /// Writes an entry to the store, and notifies the router.
--- a/crates/dispatch/tests/roster.rs
+++ b/crates/dispatch/tests/roster.rs
@@ -211,7 +211,7 @@
     for case in cases {
         let mut roster = after_break(1_000, Some(9_600), 10_000);
         for (from, until) in case.reported {
-            roster.store_answered_other(span(*from, *until), at(10_020));
+            roster.store_answered_peer(span(*from, *until), at(10_020));
         }
         let all: &[&str] = if case.serves { &["a", "b"] } else { &["b"] };
         assert_eq!(serving(&roster), all, "{}", case.why);
@@ -340,7 +340,7 @@
     roster.replace(list(&["stays", "leaves", "goes"]), at(14_000));
     assert_eq!(open(&roster), ["stays", "young"]);
     // A router that has not noticed the restore.
-    assert!(roster.store_answered_other(span(1_000, 14_100), at(14_200)).is_empty());
+    assert!(roster.store_answered_peer(span(1_000, 14_100), at(14_200)).is_empty());
     assert_eq!(open(&roster), ["stays", "young"]);
     // A healthy endpoint writes its entry again.
     roster.apply(ListChange::Listed(entry("goes", false)), at(15_000));
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -174,7 +174,7 @@
                 self.in_touch = false;
             }
             Event::StoreWitnessed(answers) => {
-                let gone = self.roster.store_answered_other(answers, now);
+                let gone = self.roster.store_answered_peer(answers, now);
                 *self.shared.uptime() = *self.roster.uptime();
                 if !gone.is_empty() {
                     log::info!(
