--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -68,7 +68,7 @@
     pub remaining: Duration,
 }
 
-/// What to do after a failed attempt.
+/// Next step after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
     /// Try another endpoint if the retry budget allows it.
@@ -133,9 +133,9 @@
     history.remaining.mul_f64(share)
 }
 
-/// Interval at which a wait for a first event checks the age of its weights. Newer weights may be published, or their
-/// age may become known, at any time during the wait. The interval is a fifth of the time between the end of the wait
-/// and the age limit itself, in which the endpoint has to notice the cancellation.
+/// Interval at which a wait for a first event checks the age of its weights. New target weights may be set, or their
+/// age may become known, at any time during the wait. The wait ends some time before the age limit, since the endpoint
+/// has to notice the cancellation; the interval is a fifth of that time.
 const AGE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// An attempt whose first event has not arrived.
@@ -179,7 +179,7 @@
     Wait::For(pause.min(attempt.remaining))
 }
 
-/// Maximum time between two events of a stream. A resumable stream then continues on another endpoint.
+/// Maximum time between two events of a stream. After it, a resumable stream continues on another endpoint.
 pub fn stream_idle_timeout(kind: RouteKind, remaining: Duration) -> Duration {
     if kind.repeatable() {
         remaining.min(STREAM_IDLE_TIMEOUT)
@@ -188,7 +188,7 @@
     }
 }
 
-/// Why a request ends without an endpoint's response.
+/// Why a request ends without a response from an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
     /// No configuration has been received yet.
@@ -211,7 +211,7 @@
     NoEndpoint,
     /// All endpoints are at capacity.
     Full,
-    /// The endpoints limit their rate; holds the time after which to retry.
+    /// The rate limits of the endpoints are reached. Holds the time after which to retry.
     Limited(Duration),
     /// First events are late, and this request was shed.
     Overloaded,
@@ -241,7 +241,7 @@
 /// it.
 const RETRY_OVERLOADED: Duration = Duration::from_millis(1_000);
 /// `Retry-After` if no endpoint could be reached: a crash is detected or the endpoint replaced within this time.
-const RETRY_UNREACHED: Duration = Duration::from_millis(250);
+const RETRY_NO_ENDPOINT: Duration = Duration::from_millis(250);
 
 /// The error response for a cause; `state` says whether the request may have run.
 pub fn refusal(cause: Cause, state: RequestState) -> Refusal {
@@ -263,9 +263,9 @@
     };
     let retry_after = match (status, cause) {
         (503, Cause::Full) => Some(RETRY_FULL),
-        (503, Cause::Limited(after)) => Some(after.max(RETRY_UNREACHED)),
+        (503, Cause::Limited(after)) => Some(after.max(RETRY_NO_ENDPOINT)),
         (503, Cause::Overloaded) => Some(RETRY_OVERLOADED),
-        (503, Cause::NoEndpoint) => Some(RETRY_UNREACHED),
+        (503, Cause::NoEndpoint) => Some(RETRY_NO_ENDPOINT),
         (503, _) => Some(RETRY_NOT_READY),
         _ => None,
     };
--- a/crates/dispatch/src/freshness.rs
+++ b/crates/dispatch/src/freshness.rs
@@ -1,8 +1,9 @@
 //! Whether the configuration is recent enough to check API keys against.
 //!
-//! Without this check a router that is disconnected from the store would accept a revoked key for minutes. The store is
-//! linearizable, so a response contains every write that was acknowledged before the call was *sent*. The send time, on
-//! a clock that advances while the VM is suspended, is therefore the time up to which the configuration is current.
+//! Without this check a router that is disconnected from the store would still accept a key that was revoked minutes
+//! ago. The store is linearizable, so a response contains every write that was acknowledged before the call was *sent*.
+//! The send time, on a clock that advances while the VM is suspended, is therefore the time up to which the
+//! configuration is current.
 
 use std::time::Duration;
 
--- a/crates/dispatch/src/holder.rs
+++ b/crates/dispatch/src/holder.rs
@@ -1,9 +1,10 @@
-//! Leader election for weight-load orders: one router of the deployment holds a lease in the store and sends all
-//! orders.
+//! The order lease: one router of the deployment holds a lease in the store, and only it orders endpoints to load
+//! weights.
 //!
 //! If two routers ordered different weights, or a paused router resumed sending, endpoints that don't check generation
-//! numbers would switch back and forth between weights. The holder therefore counts its lease from before it requested
-//! it, on a clock that advances while its VM is suspended, and stops sending [`HolderTimes::margin`] before the end.
+//! numbers would switch back and forth between weights. The lease holder therefore counts its lease from before it
+//! requested it, on a clock that advances while its VM is suspended, and stops sending [`HolderTimes::margin`] before
+//! the end.
 //!
 //! Before the holder sends an order, it writes the endpoint to the load list in the store, on condition that the holder
 //! key is unchanged. A successor reads there which endpoints its predecessor may have ordered last, and sends them no
@@ -13,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Timing of the lease.
+/// Timing of the order lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HolderTimes {
     /// Time to live of the lease without renewal.
@@ -31,16 +32,16 @@
     // A crashed holder is replaced this long after its last renewal, a seventh of those ten seconds. With two seconds,
     // a pool of nine that loses its holder twice in one rollout would keep old weights for longer than that.
     ttl: Duration::from_millis(1_500),
-    // Three renewals may fail before the lease ends. A renewal is priced as a tenth of a call to the store.
+    // Three renewals may fail before the lease ends. A renewal costs a tenth of a call to the store.
     renew_interval: Duration::from_millis(300),
     // Covers the time from the check to the arrival at the endpoint, and clock drift.
     margin: Duration::from_millis(400),
     retry_delay: Duration::from_millis(500),
 };
 
-/// Additional delay before a router that is no candidate requests a free key. A router learns within 1.2 s of its start
-/// whether it is a candidate, and a candidate's claim reaches the others within another second. With a shorter delay
-/// all routers would request the key if they start together.
+/// Additional delay before a router that isn't a candidate requests a free key. A router learns within 1.2 s of its
+/// start whether it is a candidate, and a candidate's claim reaches the others within another second. With a shorter
+/// delay all routers would request the key if they start together.
 const STANDBY_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Low bits of a generation number, which hold a revision; the bits above hold the store's era. Endpoints read numbers
@@ -60,7 +61,7 @@
     fence.0 & ((1 << REVISION_BITS) - 1)
 }
 
-/// The contents of the holder key.
+/// The contents of the holder key, which names the lease holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HolderRecord {
     /// The process that holds the key: its VM, a slash and a part that is unique to the process.
@@ -82,11 +83,11 @@
     KeyObserved(Option<HolderRecord>),
     /// The store granted a lease, and the key is being written.
     Granted {
-        /// Its ID.
+        /// ID of the lease.
         lease: u64,
-        /// Its time to live.
+        /// Time to live, counted from `requested`.
         ttl: Duration,
-        /// When it was requested.
+        /// When the call was sent.
         requested: Duration,
     },
     /// No lease was granted, or the key could not be written.
@@ -134,7 +135,7 @@
     Holding { fence: Fence },
 }
 
-/// State of one router in the election.
+/// State machine of one router for the order lease.
 #[derive(Debug, Clone)]
 pub struct Holder {
     name: String,
@@ -210,8 +211,8 @@
     /// paused anywhere.
     pub fn may_order(&self, now: Duration) -> Option<Fence> {
         let fence = self.fence()?;
-        let lasts = self.lease.is_some_and(|lease| now + self.times.margin < lease.end);
-        lasts.then_some(fence)
+        let valid = self.lease.is_some_and(|lease| now + self.times.margin < lease.end);
+        valid.then_some(fence)
     }
 
     /// The generation number, while the key is held. Orders may be sent for a shorter time; see [`Self::may_order`].
@@ -224,8 +225,8 @@
 
     /// The lease that the key is attached to, while this router holds it.
     pub fn lease(&self) -> Option<u64> {
-        let holds = matches!(self.phase, Phase::Holding { .. });
-        self.lease.filter(|_| holds).map(|lease| lease.id)
+        let holding = matches!(self.phase, Phase::Holding { .. });
+        self.lease.filter(|_| holding).map(|lease| lease.id)
     }
 
     fn expire_lease(&mut self, now: Duration) {
@@ -286,10 +287,10 @@
         if !own {
             let held = self.lease.map(|lease| Step::Release(lease.id));
             self.reset();
-            // A killed earlier process of this VM can't revoke its lease, and no router could order until the lease
-            // expires. That process has ended, since this one listens on its address. This is checked only for the
-            // first key that is read: otherwise two routers with the same name by mistake would revoke each other's
-            // lease forever.
+            // An earlier process of this VM that was killed can't revoke its lease, and no router could order until the
+            // lease expires. That process has ended, since this one listens on its address. This is done only for the
+            // first key that is read. Otherwise two routers with the same VM name by mistake would keep revoking each
+            // other's lease.
             let earlier = first && vm(&record.name) == vm(&self.name);
             return if earlier {
                 Some(Step::Release(record.lease))
@@ -326,14 +327,14 @@
     sent.is_some_and(|sent| now.saturating_sub(sent) < LIST_VALIDITY)
 }
 
-/// When other holders last may have sent orders to each endpoint.
+/// When other lease holders may last have sent orders to each endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct ForeignOrders {
     ordered: BTreeMap<EndpointId, Duration>,
 }
 
 impl ForeignOrders {
-    /// Records that another holder may have sent orders to this endpoint until the given time.
+    /// Records that another lease holder may have sent orders to this endpoint until the given time.
     pub fn record(&mut self, endpoint: &EndpointId, until: Duration) {
         let last = self.ordered.entry(endpoint.clone()).or_default();
         *last = until.max(*last);
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,4 +1,4 @@
-//! Routing decisions, without I/O: every function gets the current time as an argument.
+//! Routing decisions, without I/O or clock access: callers pass the current time.
 //!
 //! | module | decision |
 //! | --- | --- |
@@ -11,7 +11,7 @@
 //! | [`retries`] | whether the retry budget, shared by all routers, allows one more attempt |
 //! | [`pressure`] | how many requests are shed while first events are late |
 //! | [`prefixes`] | what engines fetch from and save to the prefix stores |
-//! | [`holder`] | which router holds the lease to order weight loads |
+//! | [`holder`] | which router holds the lease to order endpoints to load weights |
 //! | [`rollout`] | which endpoints load new weights next |
 //! | [`loading`] | when an endpoint is ordered to load, again or not at all |
 
--- a/crates/dispatch/src/prefixes.rs
+++ b/crates/dispatch/src/prefixes.rs
@@ -8,7 +8,7 @@
 //! A deployment may have several stores. Every router assigns a prefix to the same store by hash, so that their
 //! capacities add up. If all routers used one store, it would evict within seconds what the others have room for.
 //!
-//! Events arrive late and with gaps, especially at routers that receive them from other routers. An engine is always
+//! Events arrive late and with gaps, especially at routers that receive them from peers. An engine is always
 //! asked to fetch from the store of its prefix: a miss costs it 1 ms, repeating the prefill of 6,000 tokens 75 ms. The
 //! events only decide what need not be saved.
 
@@ -190,8 +190,8 @@
         }
     }
 
-    /// The transfers of an engine that gets a prompt with these shared parts. It saves them if at least as many shared
-    /// tokens as `own` tokens are missing in the store.
+    /// The transfers of an engine that gets a prompt with these shared parts and `own` unshared tokens. Shared parts
+    /// that the store lacks are saved if together they have at least `own` tokens.
     pub fn transfers(&mut self, salt: &str, shared: &[Part], own: u64, now: Duration) -> Transfers {
         if !self.alive(now) || shared.is_empty() {
             return Transfers::default();
--- a/crates/dispatch/src/retries.rs
+++ b/crates/dispatch/src/retries.rs
@@ -10,7 +10,7 @@
 /// Width of a bucket of counts: a twentieth of the default window of ten seconds.
 const BUCKET_WIDTH: Duration = Duration::from_millis(500);
 /// Share of the permitted ratio that is used. Requests that never arrived are not counted here, and the windows of
-/// whoever checks the ratio are not aligned with this router's.
+/// whatever measures the ratio are not aligned with this router's.
 const RATIO_MARGIN: f64 = 0.8;
 /// Number of routers that share the fixed allowance while the real number isn't known. A router learns it within two
 /// seconds of its start. The value exceeds the size of the largest deployment.
--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -3,8 +3,8 @@
 //! Load pattern: entries are attached to leases that the endpoints renew. During an outage of the store the leases of
 //! healthy endpoints expire. If missing entries were dropped at once, all endpoints would disappear when the store
 //! recovers, and every client would be refused. So an endpoint whose entry is missing after a break in the store's
-//! responses stays in service for as long as a healthy endpoint needs to register again, unless another router shows
-//! that the store was available.
+//! responses stays in service for as long as a healthy endpoint needs to register again, unless a peer shows that
+//! the store was available.
 
 use crate::site::EndpointEntry;
 use crate::uptime::{Span, Uptime};
@@ -37,7 +37,7 @@
     Listed(EndpointEntry),
     /// An entry can't be parsed. It is treated as removed.
     Unreadable(EndpointId),
-    /// An entry was removed.
+    /// An entry was deregistered or has expired.
     Removed(EndpointId),
 }
 
@@ -104,7 +104,7 @@
         self.uptime.failed(due);
     }
 
-    /// Records that the store responded to this router, or to one that it follows. To be called before the changes from
+    /// Records that the store responded to this router or its upstream. To be called before the changes from
     /// the last response are applied.
     pub fn store_answered(&mut self, answers: Span) {
         let failing = self.failing.take();
@@ -124,12 +124,12 @@
         self.restored = Some(answers.until);
     }
 
-    /// Records that the store responded to another router. Returns the endpoints that this removes: their entries
+    /// Records that the store responded to a peer. Returns the endpoints that this removes: their entries
     /// disappeared while the store was available.
     pub fn store_answered_peer(&mut self, answers: Span, now: Duration) -> Vec<RosterChange> {
-        // Another router that hasn't noticed the restore would make lost entries look like removed ones.
+        // A peer that hasn't noticed the restore would make lost entries look like removed ones.
         if !self.restored_within(REREGISTER_TIMEOUT, now) {
-            self.uptime.answered_other(answers);
+            self.uptime.answered_peer(answers);
         }
         self.tick(now)
     }
@@ -223,7 +223,7 @@
 
     fn remove(&mut self, id: EndpointId, now: Duration) -> Option<RosterChange> {
         let entry = self.entries.get(&id)?;
-        // The entry of a draining endpoint was removed and did not expire in an outage.
+        // A draining endpoint was deregistered; its entry did not expire in an outage.
         if entry.draining {
             return Some(self.remove_now(id, now));
         }
@@ -235,7 +235,7 @@
     }
 
     /// Until when an endpoint with a missing entry stays in service, if the entry may have expired. `None` once the
-    /// store has been available for long enough: by then the endpoint was removed, or failed to register again.
+    /// store has been available for long enough: by then the endpoint was deregistered or failed to register again.
     fn retained_until(&self, now: Duration) -> Option<Duration> {
         let registered = self.uptime.last_break()?.until + REREGISTER_TIMEOUT;
         let overdue = self.uptime.overdue_at();
--- a/crates/dispatch/src/uptime.rs
+++ b/crates/dispatch/src/uptime.rs
@@ -1,9 +1,9 @@
 //! How long the store has been available without a break in which an endpoint's lease may have expired.
 //!
-//! A router without responses can't distinguish an outage of the store from a partition of its own, or of a router that
-//! it follows. In an outage the entries of healthy endpoints expire. During a partition an entry that disappears was
-//! removed. So a break in a router's own responses doesn't count as an outage if the store responded to other routers
-//! meanwhile.
+//! A router without responses can't distinguish an outage of the store from a network partition that affects only this
+//! router or its upstream. In an outage the entries of healthy endpoints expire. During a partition an entry that
+//! disappears was deregistered. So a break in a router's own responses doesn't count as an outage if the store
+//! responded to peers meanwhile.
 
 use std::time::Duration;
 
@@ -74,7 +74,7 @@
         self.overdue = self.overdue.max(Some(due));
     }
 
-    /// Records that the store responded to this router, or to one that it follows.
+    /// Records that the store responded to this router or its upstream.
     pub fn answered(&mut self, answers: Span) {
         match self.span {
             None => self.span = Some(answers),
@@ -93,9 +93,9 @@
         }
     }
 
-    /// Records that the store responded to another router. That may close the break before the span. It doesn't show
+    /// Records that the store responded to a peer. That may close the break before the span. It doesn't show
     /// that the endpoint list is current.
-    pub fn answered_other(&mut self, answers: Span) {
+    pub fn answered_peer(&mut self, answers: Span) {
         if let Some(span) = self.span.filter(|span| span.touches(&answers)) {
             self.span = Some(Span {
                 from: span.from.min(answers.from),
--- a/crates/dispatch/tests/drain_model.rs
+++ b/crates/dispatch/tests/drain_model.rs
@@ -51,10 +51,10 @@
     /// The store is unavailable: duration, delay until it is noticed, and for each endpoint when it registers again, if
     /// at all.
     Outage(u64, u64, [Option<u64>; ENDPOINTS]),
-    /// Only this router can't reach the store: duration, the endpoints that are removed meanwhile, and whether it
-    /// learns the availability of the store from another router afterwards.
+    /// Only this router can't reach the store: duration, the endpoints that are removed meanwhile, and whether a
+    /// peer reports the availability of the store afterwards.
     Partition(u64, [bool; ENDPOINTS], bool),
-    /// From now on responses come through another router and are this old, or come from the store itself.
+    /// From now on responses come through an upstream and are this old, or come from the store itself.
     Follow(Option<u64>),
 }
 
@@ -104,9 +104,9 @@
     /// When the store, or this router's path to it, last recovered. For some time after it a missing entry may have
     /// expired.
     recovered: Option<u64>,
-    /// Since when the store has been available to other routers.
+    /// Since when the store has been available to peers.
     available_since: u64,
-    /// Age of the responses that come through another router; `None` if they come from the store.
+    /// Age of the responses that come through an upstream; `None` if they come from the store.
     response_age: Option<u64>,
     /// When a call last succeeded after a failed one.
     succeeded: u64,
@@ -160,7 +160,7 @@
         self.roster.apply(change, ms(self.now));
     }
 
-    /// Another router reports since when it has reached the store.
+    /// A peer reports since when it has reached the store.
     fn report_availability(&mut self) {
         let answers = Span {
             from: ms(self.available_since),
--- a/crates/dispatch/tests/freshness_model.rs
+++ b/crates/dispatch/tests/freshness_model.rs
@@ -55,11 +55,11 @@
     incarnation: u64,
 }
 
-/// A pending call to the store or to another router.
+/// A pending call to the store or to an upstream.
 struct Call {
     from: usize,
     incarnation: u64,
-    leader: Option<usize>,
+    upstream: Option<usize>,
     sent: u64,
     delays: Delays,
     arrives: u64,
@@ -79,7 +79,7 @@
 impl Model {
     fn on(&mut self, next: Action) {
         let now = self.now;
-        let (from, leader, delays) = match next {
+        let (from, upstream, delays) = match next {
             Action::Write(delay) => return self.acknowledged.push(now + delay),
             Action::Freeze(at, time) => return self.routers[at].frozen_until = now + time,
             Action::Restart(at) => {
@@ -91,14 +91,14 @@
                 return;
             }
             Action::CallStore(from, delays) => (from, None, delays),
-            Action::Follow(from, leader, delays) => (from, Some(leader), delays),
+            Action::Follow(from, upstream, delays) => (from, Some(upstream), delays),
         };
         if self.routers[from].frozen_until <= now {
             let incarnation = self.routers[from].incarnation;
             self.calls.push(Call {
                 from,
                 incarnation,
-                leader,
+                upstream,
                 sent: now,
                 delays,
                 arrives: now + delays.0,
@@ -108,13 +108,13 @@
     }
 
     /// The response of the store or of a running router; `None` if that router has lost the store.
-    fn respond(&self, leader: Option<usize>) -> Option<(usize, u64)> {
-        let Some(leader) = leader else {
+    fn respond(&self, upstream: Option<usize>) -> Option<(usize, u64)> {
+        let Some(upstream) = upstream else {
             return Some((self.acknowledged.len(), 0));
         };
-        let leader = &self.routers[leader];
-        let age = leader.freshness.age(ms(self.now))?.as_millis() as u64;
-        (age <= FOLLOW_AGE).then_some((leader.received, age))
+        let upstream = &self.routers[upstream];
+        let age = upstream.freshness.age(ms(self.now))?.as_millis() as u64;
+        (age <= FOLLOW_AGE).then_some((upstream.received, age))
     }
 
     fn deliver_calls(&mut self) {
@@ -122,8 +122,8 @@
         let mut pending = Vec::new();
         for mut call in std::mem::take(&mut self.calls) {
             let frozen = |at: usize| self.routers[at].frozen_until > now;
-            if call.response.is_none() && call.arrives <= now && !call.leader.is_some_and(frozen) {
-                let Some((writes, age)) = self.respond(call.leader) else {
+            if call.response.is_none() && call.arrives <= now && !call.upstream.is_some_and(frozen) {
+                let Some((writes, age)) = self.respond(call.upstream) else {
                     continue;
                 };
                 call.response = Some((now + call.delays.1, writes, age));
--- a/crates/dispatch/tests/holder.rs
+++ b/crates/dispatch/tests/holder.rs
@@ -174,7 +174,7 @@
 /// All candidates are killed at once. The other routers learn of the free key. If none of them requested it, no weights
 /// would be ordered until a candidate is back.
 #[test]
-fn other_routers_request_the_key_if_no_candidate_does() {
+fn non_candidates_request_the_key_if_no_candidate_does() {
     let mut holder = Holder::new("vm-1/me".to_owned(), TIMES, at(100));
     holder.on(Event::KeyObserved(None), at(0));
     assert_eq!(holder.on(Event::Tick, at(2_599)), None);
--- a/crates/dispatch/tests/retries.rs
+++ b/crates/dispatch/tests/retries.rs
@@ -32,9 +32,9 @@
 #[test]
 fn idle_routers_share_the_fixed_allowance() {
     for routers in [1, ROUTERS, 125] {
-        for known in [routers, 0] {
+        for reported in [routers, 0] {
             let limits = RetryLimits {
-                routers: known,
+                routers: reported,
                 ..LIMITS
             };
             let mut total = 0;
--- a/crates/dispatch/tests/rollout.rs
+++ b/crates/dispatch/tests/rollout.rs
@@ -269,7 +269,7 @@
         ..entry(&format!("e{at}"), 1)
     };
     let mut load = fleet(&(0..9).map(entry).collect::<Vec<_>>());
-    let answers = (0..200).filter_map(|session| {
+    let placed = (0..200).filter_map(|session| {
         let long = Prompt {
             output: 600,
             ..prompt(session, 8)
@@ -279,7 +279,7 @@
         load.end(&EndpointId::from(name.as_str()), Incarnation(1));
         Some(name)
     });
-    let used: BTreeSet<EndpointId> = answers.map(|name| EndpointId::from(name.as_str())).collect();
+    let used: BTreeSet<EndpointId> = placed.map(|name| EndpointId::from(name.as_str())).collect();
     let last = candidates[9 - used.len()..]
         .iter()
         .map(|candidate| candidate.endpoint.clone());
--- a/crates/dispatch/tests/roster.rs
+++ b/crates/dispatch/tests/roster.rs
@@ -74,10 +74,10 @@
     assert_eq!(serving(&roster), ["a"]);
 }
 
-/// An endpoint is removed while the store is available, or is draining when its entry disappears. It must not get new
-/// requests.
+/// An endpoint is deregistered while the store is available, or is draining when its entry disappears. It must not get
+/// new requests.
 #[test]
-fn an_entry_removed_outside_an_outage_is_dropped_at_once() {
+fn an_endpoint_deregistered_outside_an_outage_is_dropped_at_once() {
     let mut available = Roster::default();
     available.store_answered(answer(0));
     available.replace(vec![ListChange::Listed(entry("a", false))], at(0));
@@ -98,7 +98,7 @@
     assert_eq!(serving(&later), ["a"]);
 }
 
-/// One call fails and the next one succeeds. No lease expires in so short a time, so a missing entry was removed.
+/// One call fails and the next one succeeds. No lease expires in so short a time, so a missing entry was deregistered.
 #[test]
 fn one_failed_call_is_not_an_outage() {
     let mut roster = Roster::default();
@@ -141,7 +141,7 @@
             serves: true,
         },
         Case {
-            why: "the followed routers have lost the store",
+            why: "the upstreams have lost the store",
             failed: None,
             answered: 3_000,
             serves: true,
@@ -162,10 +162,10 @@
     }
 }
 
-/// Only this router, or the one that it follows, was partitioned from the store. An entry that disappeared meanwhile
-/// was removed and has not expired.
+/// Only this router or its upstream was partitioned from the store. An entry that disappeared meanwhile was
+/// deregistered and has not expired.
 #[test]
-fn a_removal_during_a_partition_is_not_an_expiry() {
+fn a_deregistration_during_a_partition_is_not_an_expiry() {
     struct Case {
         why: &'static str,
         reported: &'static [(u64, u64)],
@@ -173,37 +173,37 @@
     }
     let cases = [
         Case {
-            why: "the store answered another router throughout",
+            why: "the store answered a peer throughout",
             reported: &[(0, 9_500)],
             serves: false,
         },
         Case {
-            why: "the store has answered another router for long enough to register",
+            why: "the store has answered a peer for long enough to register",
             reported: &[(4_000, 9_500)],
             serves: false,
         },
         Case {
-            why: "the store has not answered another router for long enough to register",
+            why: "the store has not answered a peer for long enough to register",
             reported: &[(8_000, 9_500)],
             serves: true,
         },
         Case {
-            why: "the other router was partitioned as well",
+            why: "the peer was partitioned as well",
             reported: &[(9_900, 10_000)],
             serves: true,
         },
         Case {
-            why: "the other router has had no response since the break began",
+            why: "the peer has had no response since the break began",
             reported: &[(0, 1_200)],
             serves: true,
         },
         Case {
-            why: "one of several routers had responses throughout",
+            why: "one of several peers had responses throughout",
             reported: &[(9_900, 10_000), (0, 9_000), (8_000, 9_500)],
             serves: false,
         },
         Case {
-            why: "the spans of two routers together cover the break",
+            why: "the spans of two peers together cover the break",
             reported: &[(8_000, 9_500), (0, 8_500)],
             serves: false,
         },
@@ -229,10 +229,9 @@
     assert_eq!(serving(&roster), ["b"]);
 }
 
-/// A router receives the availability of the store from the router that it follows. Changing to another router is no
-/// break.
+/// A router receives the availability of the store from its upstream. A change of the upstream is not a break.
 #[test]
-fn responses_to_the_followed_router_count() {
+fn responses_to_the_upstream_count() {
     let mut roster = after_break(1_000, None, 1_100);
     roster.store_answered(span(0, 3_900));
     roster.apply(removed("b"), at(4_000));
@@ -339,7 +338,7 @@
     roster.store_restored(answer(14_000));
     roster.replace(list(&["stays", "leaves", "goes"]), at(14_000));
     assert_eq!(open(&roster), ["stays", "young"]);
-    // A router that has not noticed the restore.
+    // A peer that has not noticed the restore.
     assert!(roster.store_answered_peer(span(1_000, 14_100), at(14_200)).is_empty());
     assert_eq!(open(&roster), ["stays", "young"]);
     // A healthy endpoint writes its entry again.
