--- a/crates/dispatch/src/prefixes.rs
+++ b/crates/dispatch/src/prefixes.rs
@@ -109,8 +109,8 @@
     }
 
     /// Whether a store has responded recently.
-    pub fn alive(&self, address: SocketAddr, now: Duration) -> bool {
-        self.0.get(&address).is_some_and(|store| store.alive(now))
+    pub fn is_available(&self, address: SocketAddr, now: Duration) -> bool {
+        self.0.get(&address).is_some_and(|store| store.is_available(now))
     }
 
     /// The stores, each with its incarnation and the sequence number to continue from.
@@ -136,8 +136,8 @@
         };
         let innermost = shared.last().unwrap_or(first).id;
         let placement_hash = isolated.map_or(innermost, |id| xxh3_64_with_seed(id.as_str().as_bytes(), first.id));
-        let alive = self.0.values_mut().filter(|store| store.alive(now));
-        let Some(store) = alive.max_by_key(|store| score(placement_hash, store.key)) else {
+        let available = self.0.values_mut().filter(|store| store.is_available(now));
+        let Some(store) = available.max_by_key(|store| score(placement_hash, store.key)) else {
             return Transfers::default();
         };
         store.transfers(salt, shared, own, now)
@@ -169,7 +169,7 @@
         }
     }
 
-    fn alive(&self, now: Duration) -> bool {
+    fn is_available(&self, now: Duration) -> bool {
         self.responded.is_some_and(|at| now.saturating_sub(at) < STORE_TIMEOUT)
     }
 
@@ -193,7 +193,7 @@
     /// The transfers of an engine that gets a prompt with these shared parts and `own` unshared tokens. Shared parts
     /// that the store lacks are saved if together they have at least `own` tokens.
     pub fn transfers(&mut self, salt: &str, shared: &[Part], own: u64, now: Duration) -> Transfers {
-        if !self.alive(now) || shared.is_empty() {
+        if !self.is_available(now) || shared.is_empty() {
             return Transfers::default();
         }
         let is_saved = |part: &PartKey| match self.parts.get(part) {
--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -146,7 +146,7 @@
         prefixes: Arc::new(move |follow| {
             let now = prefixes.clock.now();
             // What a silent store told last says nothing of now: engines would wait for it in vain.
-            let alive = |follow: &&PrefixFollow| prefixes.prefixes().alive(follow.store, now);
+            let alive = |follow: &&PrefixFollow| prefixes.prefixes().is_available(follow.store, now);
             let asked: Vec<&PrefixFollow> = follow.iter().filter(alive).collect();
             let known = prefixes.relay.lock();
             let pages = asked
