--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -178,7 +178,7 @@
                 self.store_reachable = false;
             }
             Event::PeerUptime(uptime) => {
-                let removed = self.roster.store_answered_other(uptime, now);
+                let removed = self.roster.store_answered_peer(uptime, now);
                 *self.shared.uptime() = *self.roster.uptime();
                 if !removed.is_empty() {
                     log::info!(
@@ -338,7 +338,7 @@
                         service = entry.service.as_str(),
                         address:% = entry.address,
                         life = entry.incarnation.0,
-                        leaving = entry.leaving;
+                        leaving = entry.draining;
                         "endpoint: listed"
                     );
                 }
--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -148,7 +148,7 @@
         prefixes: Arc::new(move |follow| {
             let now = prefixes.clock.now();
             // The last events of an unresponsive store are out of date. Engines would wait for its parts in vain.
-            let alive = |follow: &&PrefixFollow| prefixes.prefixes().alive(follow.store, now);
+            let alive = |follow: &&PrefixFollow| prefixes.prefixes().is_available(follow.store, now);
             let asked: Vec<&PrefixFollow> = follow.iter().filter(alive).collect();
             let state = prefixes.relay.lock();
             let pages = asked
