--- a/crates/dispatch/src/fleet/backlogs.rs
+++ b/crates/dispatch/src/fleet/backlogs.rs
@@ -1,85 +1,94 @@
-//! Prompts that other routers' requests wait to have read.
+//! Prompt tokens that requests of other routers wait for.
 //!
-//! Load pattern: a dozen routers, each of which sends a long prompt now and then. Endpoints tell their load on answers only, and an
-//! endpoint that reads for a second answers nobody: to each router it looks idle, and all send their next request there. So routers
-//! tell each other what they wait for. What a router told last holds for [`HOLDS`], since one that is lost takes nothing back.
+//! Load pattern: a dozen routers, each of which sends a long prompt now and then. Endpoints report their load only on
+//! answers, and an endpoint that reads a prompt for a second answers nobody. It looks idle to each router, and all
+//! send their next request there. So routers announce their backlogs to each other. An announcement expires after
+//! [`BACKLOG_TTL`], because a router that dies withdraws nothing.
 
 use super::{LaneTokens, ShortKey};
 use ids::{ServiceId, VmId};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long a router's word holds. It repeats it sooner while it waits.
-const HOLDS: Duration = Duration::from_millis(1_200);
+/// How long an announced backlog is valid. Routers with waiting requests repeat it sooner.
+const BACKLOG_TTL: Duration = Duration::from_millis(1_200);
 
-/// How long sums are good while nothing is told: words run out meanwhile.
-const ADDED_FOR: Duration = Duration::from_millis(50);
+/// How long the sums are valid without a new announcement; older announcements expire meanwhile.
+const SUMS_TTL: Duration = Duration::from_millis(50);
 
-/// How long a router's word on what was read counts.
-const FORGOTTEN: Duration = Duration::from_secs(10);
+/// How long the announced lane tokens of a router count.
+const ROUTER_TTL: Duration = Duration::from_secs(10);
 
-/// What a router tells the others.
+/// What a router announces to the other routers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Backlog {
-    /// Endpoints that requests wait for, and how many prompt tokens.
+    /// Endpoints with waiting requests, and the prompt tokens not read yet.
     pub tokens: Vec<(ShortKey, u64)>,
-    /// What was read lately of each service.
+    /// Prompt tokens read recently, by service.
     pub lane_tokens: Vec<(ServiceId, LaneTokens)>,
 }
 
 #[derive(Debug)]
-struct Told {
-    at: Duration,
+struct ReceivedBacklog {
+    received_at: Duration,
     tokens: Vec<(ShortKey, u64)>,
-    reads: Vec<(ServiceId, LaneTokens)>,
+    lane_tokens: Vec<(ServiceId, LaneTokens)>,
 }
 
-/// What all other routers told last.
+/// The latest announcements of all other routers.
 #[derive(Debug, Default)]
-pub(super) struct Backlogs {
-    told: HashMap<VmId, Told>,
-    /// Prompt tokens by endpoint, of all routers together, and when they were added up.
+pub(super) struct PeerBacklogs {
+    received: HashMap<VmId, ReceivedBacklog>,
+    /// Prompt tokens by endpoint, summed over all routers.
     sums: HashMap<ShortKey, u64>,
-    added: Option<Duration>,
+    summed_at: Option<Duration>,
 }
 
-impl Backlogs {
-    /// A router told all of its backlogs.
-    pub(super) fn hear(&mut self, router: &VmId, news: &Backlog, now: Duration) {
-        self.added = None;
-        self.told.retain(|_, told| now.saturating_sub(told.at) < FORGOTTEN);
-        let told = Told {
-            at: now,
-            tokens: news.tokens.clone(),
-            reads: news.lane_tokens.clone(),
+impl PeerBacklogs {
+    /// Replaces the announcement of a router.
+    pub(super) fn update(&mut self, router: &VmId, backlog: &Backlog, now: Duration) {
+        self.summed_at = None;
+        self.received
+            .retain(|_, received| now.saturating_sub(received.received_at) < ROUTER_TTL);
+        let received = ReceivedBacklog {
+            received_at: now,
+            tokens: backlog.tokens.clone(),
+            lane_tokens: backlog.lane_tokens.clone(),
         };
-        self.told.insert(router.clone(), told);
+        self.received.insert(router.clone(), received);
     }
 
-    /// What other routers' requests have had read lately of a service.
-    pub(super) fn reads(&self, service: &ServiceId) -> LaneTokens {
+    /// Prompt tokens read recently for the requests of other routers to a service.
+    pub(super) fn lane_tokens(&self, service: &ServiceId) -> LaneTokens {
         let mut sum = LaneTokens::default();
-        let told = self.told.values().flat_map(|told| &told.reads);
-        for (_, reads) in told.filter(|(known, _)| known == service) {
-            sum.add(reads);
+        let received = self.received.values().flat_map(|received| &received.lane_tokens);
+        for (_, lane_tokens) in received.filter(|(name, _)| name == service) {
+            sum.add(lane_tokens);
         }
         sum
     }
 
-    /// Adds up what holds now. Choices come faster than news, and each asks twice for every endpoint.
-    pub(super) fn add_up(&mut self, now: Duration) {
-        if self.added.is_some_and(|added| now.saturating_sub(added) < ADDED_FOR) {
+    /// Recomputes the sums of the valid announcements. The sums are cached because choices are more frequent than
+    /// announcements, and each choice needs two lookups per endpoint.
+    pub(super) fn refresh_sums(&mut self, now: Duration) {
+        if self
+            .summed_at
+            .is_some_and(|summed_at| now.saturating_sub(summed_at) < SUMS_TTL)
+        {
             return;
         }
-        self.added = Some(now);
+        self.summed_at = Some(now);
         self.sums.clear();
-        let fresh = self.told.values().filter(|told| now.saturating_sub(told.at) < HOLDS);
-        for (endpoint, tokens) in fresh.flat_map(|told| &told.tokens) {
+        let current = self
+            .received
+            .values()
+            .filter(|received| now.saturating_sub(received.received_at) < BACKLOG_TTL);
+        for (endpoint, tokens) in current.flat_map(|received| &received.tokens) {
             *self.sums.entry(*endpoint).or_default() += tokens;
         }
     }
 
-    /// Prompt tokens that other routers' requests wait to have read at an endpoint, as they were added up last.
+    /// Prompt tokens that other routers' requests wait for at an endpoint, as of the last [`Self::refresh_sums`].
     pub(super) fn tokens(&self, endpoint: ShortKey) -> u64 {
         self.sums.get(&endpoint).copied().unwrap_or_default()
     }
--- a/crates/dispatch/src/fleet/candidates.rs
+++ b/crates/dispatch/src/fleet/candidates.rs
@@ -1,130 +1,140 @@
-//! Which endpoints may serve a request at all.
+//! Filters the endpoints that may serve a request.
 
-use super::known::Known;
-use super::names::Named;
+use super::endpoint_state::EndpointState;
+use super::targets::Target;
 use super::{Fleet, PickContext, Prompt, ShortKey};
 use control::health::Belief;
 use ids::ModelId;
 use std::time::Duration;
 
-/// An endpoint that fails a larger share of its attempts than this gets work only if no better one is left. Sound
-/// endpoints of the sites answer up to a seventh of some requests with an error of their own.
-const GREY: f64 = 0.35;
+/// An endpoint that fails a larger share of its attempts gets requests only if there is no healthy one. Healthy
+/// endpoints in production answer up to a seventh of some requests with an error.
+const MAX_FAILURE_SHARE: f64 = 0.35;
 
-/// What is left to choose from. Endpoints are borrowed all the way: a large pool has hundreds, and copying their names several
-/// times took most of a choice.
-pub(super) enum Standing<'a> {
-    Some(Vec<&'a Known>),
+/// Endpoints left after filtering. They are borrowed, because a large pool has hundreds of endpoints and copying
+/// their names several times took most of the time of a choice.
+pub(super) enum Candidates<'a> {
+    Available(Vec<&'a EndpointState>),
     Full,
-    /// They get as much as they take; when to come back.
-    Limited(Duration),
-    None,
+    /// All are at their rate limit; a retry may succeed after this time.
+    RateLimited(Duration),
+    Unavailable,
 }
 
 impl Fleet {
-    pub(super) fn candidates(&self, wish: &PickContext<'_>, now: Duration) -> Standing<'_> {
-        let mut open: Vec<&Known> = self.serving(wish).collect();
-        if open.is_empty() {
-            return Standing::None;
+    pub(super) fn candidates(&self, context: &PickContext<'_>, now: Duration) -> Candidates<'_> {
+        let mut eligible: Vec<&EndpointState> = self.serving(context).collect();
+        if eligible.is_empty() {
+            return Candidates::Unavailable;
         }
-        open.retain(|known| !self.loading.contains(&known.entry.id));
-        if let Some(after) = self.limited(&mut open, now) {
-            return Standing::Limited(after);
+        eligible.retain(|state| !self.loading.contains(&state.entry.id));
+        if let Some(after) = self.drop_rate_limited(&mut eligible, now) {
+            return Candidates::RateLimited(after);
         }
-        if let Some(prompt) = wish.prompt {
-            self.weighed(&mut open, prompt, now);
-            self.bounded(&mut open, prompt, now);
-            self.staying(&mut open, prompt);
+        if let Some(prompt) = context.prompt {
+            self.prefer_fresh_weights(&mut eligible, prompt, now);
+            self.drop_expired_weights(&mut eligible, prompt, now);
+            self.avoid_upcoming_loads(&mut eligible, prompt);
         }
-        if open.is_empty() {
-            // Those that load weights are back within a second or two.
-            return Standing::Full;
+        if eligible.is_empty() {
+            // Endpoints that load weights are available again within a second or two.
+            return Candidates::Full;
         }
-        let belief = |known: &Known| self.health.belief(&known.entry.id);
-        let reachable = |known: &Known| matches!(belief(known), Belief::Live | Belief::Suspected);
-        if !prefer(&mut open, |known| self.is_sound(known, now)) {
-            prefer(&mut open, reachable);
+        let health = |state: &EndpointState| self.health.belief(&state.entry.id);
+        let reachable = |state: &EndpointState| matches!(health(state), Belief::Live | Belief::Suspected);
+        if !prefer(&mut eligible, |state| self.is_healthy(state, now)) {
+            prefer(&mut eligible, reachable);
         }
-        Standing::Some(open)
+        Candidates::Available(eligible)
     }
 
-    /// Endpoints that a prompt had better stay away from: those for long answers if it is long, and the others if its answer is.
-    pub(super) fn apart(&self, wish: &PickContext<'_>, prompt: &Prompt, now: Duration) -> impl Fn(&Known) -> bool {
-        let sound = |known: &&Known| !self.loading.contains(&known.entry.id) && self.is_sound(known, now);
-        let everywhere = PickContext { avoid: &[], ..*wish };
-        let all = self.serving(&everywhere).filter(sound).collect();
-        let own = self.lanes.get(wish.service);
-        let mut reads = own.map(|own| own.reads(now)).unwrap_or_default();
-        reads.add(&self.others.reads(wish.service));
-        let lane = reads.lane(all, |known| self.coming.contains(&known.entry.id));
-        let generates = prompt.is_decode_heavy();
-        move |known| !lane.is_empty() && lane.contains(&known.key) != generates
+    /// Returns a predicate for endpoints outside the lane of a prompt: the decode lane for prefill-heavy prompts, all
+    /// other endpoints for decode-heavy ones.
+    pub(super) fn off_lane(
+        &self,
+        context: &PickContext<'_>,
+        prompt: &Prompt,
+        now: Duration,
+    ) -> impl Fn(&EndpointState) -> bool {
+        let healthy = |state: &&EndpointState| !self.loading.contains(&state.entry.id) && self.is_healthy(state, now);
+        let unrestricted = PickContext { avoid: &[], ..*context };
+        let all = self.serving(&unrestricted).filter(healthy).collect();
+        let own = self.lane_tokens.get(context.service);
+        let mut tokens = own.map(|own| own.current(now)).unwrap_or_default();
+        tokens.add(&self.peer_backlogs.lane_tokens(context.service));
+        let lane = tokens.decode_lane(all, |state| self.upcoming.contains(&state.entry.id));
+        let decode_heavy = prompt.is_decode_heavy();
+        move |state| !lane.is_empty() && lane.contains(&state.key) != decode_heavy
     }
 
-    fn serving(&self, wish: &PickContext<'_>) -> impl Iterator<Item = &Known> {
-        self.known
+    fn serving(&self, context: &PickContext<'_>) -> impl Iterator<Item = &EndpointState> {
+        self.endpoints
             .values()
-            .filter(|known| known.entry.service == *wish.service && !known.entry.leaving)
-            .filter(|known| !wish.avoid.contains(&known.entry.id))
+            .filter(|state| state.entry.service == *context.service && !state.entry.leaving)
+            .filter(|state| !context.avoid.contains(&state.entry.id))
     }
 
-    /// Leaves out endpoints that take no request from this router now; when to come back if there are no others.
-    fn limited(&self, open: &mut Vec<&Known>, now: Duration) -> Option<Duration> {
-        let allowed = |known: &Known| self.rates.allow(ShortKey::from(known.key), now);
-        if self.rates.count() == 0 || prefer(open, allowed) {
+    /// Drops endpoints at their rate limit for this router. If none would be left, keeps all and returns the time
+    /// until a retry may succeed.
+    fn drop_rate_limited(&self, eligible: &mut Vec<&EndpointState>, now: Duration) -> Option<Duration> {
+        let allowed = |state: &EndpointState| self.rate_limits.allow(ShortKey::from(state.key), now);
+        if self.rate_limits.count() == 0 || prefer(eligible, allowed) {
             return None;
         }
-        let after = open
+        let after = eligible
             .iter()
-            .map(|known| self.rates.after(ShortKey::from(known.key), now));
+            .map(|state| self.rate_limits.retry_after(ShortKey::from(state.key), now));
         after.min()
     }
 
-    /// Whether an endpoint is reached and fails few of its attempts.
-    fn is_sound(&self, known: &Known, now: Duration) -> bool {
-        self.health.belief(&known.entry.id) == Belief::Live && known.trouble(now) < GREY
+    /// Whether an endpoint is reachable and fails few of its attempts.
+    fn is_healthy(&self, state: &EndpointState, now: Duration) -> bool {
+        self.health.belief(&state.entry.id) == Belief::Live && state.failure_share(now) < MAX_FAILURE_SHARE
     }
 
-    /// Leaves out endpoints that load soon, unless there are no others: an endpoint finishes what it runs before it loads, and
-    /// serves nobody else while its last long answers are generated, for some seconds.
-    fn staying(&self, open: &mut Vec<&Known>, prompt: &Prompt) {
+    /// Drops endpoints that load soon for decode-heavy prompts, unless there are no others. An endpoint finishes its
+    /// running requests before it loads, and serves no new ones for some seconds while its last long answers are
+    /// generated.
+    fn avoid_upcoming_loads(&self, eligible: &mut Vec<&EndpointState>, prompt: &Prompt) {
         if prompt.is_decode_heavy() {
-            prefer(open, |known| !self.coming.contains(&known.entry.id));
+            prefer(eligible, |state| !self.upcoming.contains(&state.entry.id));
         }
     }
 
-    /// Leaves out weights that are too old to begin on, unless no endpoint has newer ones. Prompts leave them one after the other
-    /// over the second half of the time that is allowed. Were it at one moment, engines with old weights would have queues of
-    /// seconds at that moment, and begin on what waits there long after it.
-    fn weighed(&self, open: &mut Vec<&Known>, prompt: &Prompt, now: Duration) {
-        let after = self.settings.soft_staleness.mul_f64((1.0 + prompt.draw()) / 2.0);
-        let least = self.least_weights(&prompt.model, after, now);
-        prefer(open, |known| known.serves(&prompt.model, least));
+    /// Drops endpoints with stale weights, unless none has newer ones. The limit is spread by prompt prefix over the
+    /// second half of the allowed time. With a single limit for all prompts, endpoints with old weights would have
+    /// queues of seconds at that moment and would begin the queued requests long after it.
+    fn prefer_fresh_weights(&self, eligible: &mut Vec<&EndpointState>, prompt: &Prompt, now: Duration) {
+        let after = self.settings.soft_staleness.mul_f64((1.0 + prompt.prefix_draw()) / 2.0);
+        let min_weights = self.min_weights(&prompt.model, after, now);
+        prefer(eligible, |state| state.serves(&prompt.model, min_weights));
     }
 
-    /// Leaves out weights on which a request would begin after the bound, even if no others are left: callers come back when there are.
-    fn bounded(&self, open: &mut Vec<&Known>, prompt: &Prompt, now: Duration) {
+    /// Drops endpoints on which the request would begin after the hard limit on staleness, even if none are left.
+    /// Clients retry once endpoints have newer weights.
+    fn drop_expired_weights(&self, eligible: &mut Vec<&EndpointState>, prompt: &Prompt, now: Duration) {
         let model = &prompt.model;
-        open.retain(|known| self.may_begin(model, known.weights(model), now + self.wait(known, now)));
+        eligible.retain(|state| self.may_begin(model, state.weights(model), now + self.expected_wait(state, now)));
     }
 
-    /// Oldest weights that a request may begin on which leaves old ones this long after newer ones were named.
-    fn least_weights(&self, model: &ModelId, after: Duration, now: Duration) -> u64 {
-        let named = self.newest_that(model, |named| named.for_longer(after, now));
-        named.map_or(0, |named| named.weights)
+    /// Oldest weights that a request may begin on if old weights are allowed for `after` from the time newer ones
+    /// became the target.
+    fn min_weights(&self, model: &ModelId, after: Duration, now: Duration) -> u64 {
+        let target = self.newest_matching(model, |target| target.is_older_than(after, now));
+        target.map_or(0, |target| target.weights)
     }
 
-    /// The newest weights of a model that a test holds for.
-    pub(super) fn newest_that(&self, model: &ModelId, test: impl Fn(&Named) -> bool) -> Option<&Named> {
-        self.wanted.get(model)?.newest_that(test)
+    /// Newest target of a model that satisfies `test`.
+    pub(super) fn newest_matching(&self, model: &ModelId, test: impl Fn(&Target) -> bool) -> Option<&Target> {
+        self.targets.get(model)?.newest_matching(test)
     }
 }
 
-/// Keeps those that pass a test, if any does; tells whether one did.
-fn prefer(open: &mut Vec<&Known>, test: impl Fn(&Known) -> bool) -> bool {
-    let any = open.iter().any(|known| test(known));
+/// Keeps only the endpoints that pass `test`, if any does. Returns whether one did.
+fn prefer(eligible: &mut Vec<&EndpointState>, test: impl Fn(&EndpointState) -> bool) -> bool {
+    let any = eligible.iter().any(|state| test(state));
     if any {
-        open.retain(|known| test(known));
+        eligible.retain(|state| test(state));
     }
     any
 }
--- /dev/null
+++ b/crates/dispatch/src/fleet/endpoint_state.rs
@@ -0,0 +1,267 @@
+//! One router's state of a single endpoint.
+
+use crate::decay;
+use crate::site::EndpointEntry;
+use ids::ModelId;
+use placement::EndpointKey;
+use serde::{Deserialize, Serialize};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Weight of a new outcome in the moving averages. The averages cover about ten requests; at a small site a router
+/// sends one endpoint that many in a few seconds.
+const OUTCOME_WEIGHT: f64 = 0.1;
+/// Half-life of a load report: about the duration of two answers of the slower production service.
+const REPORT_HALF_LIFE_SECS: f64 = 1.0;
+
+/// Half-life of the failure share. A degraded endpoint is tried again after about this time, and its next failures
+/// count at once.
+const FAILURE_HALF_LIFE_SECS: f64 = 4.0;
+/// Failure value of a timeout. Full endpoints answer late too, and avoiding them for that would fill the others.
+const TIMEOUT_FAILURE: f64 = 0.3;
+
+/// Half-life of a late answer. Queues of one to two seconds drain in about this time once requests go elsewhere.
+const DELAY_HALF_LIFE_SECS: f64 = 1.0;
+
+/// Load that an endpoint reports on its answers.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct LoadReport {
+    /// Requests that are running.
+    pub running: u32,
+    /// Requests that are queued inside the endpoint.
+    pub waiting: u32,
+}
+
+/// A load report as routers exchange it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct LoadUpdate {
+    /// The endpoint that sent the report.
+    pub endpoint: ShortKey,
+    /// The reported load.
+    pub report: LoadReport,
+    /// When the endpoint sent the report, to this router or another one.
+    pub reported_at: Duration,
+}
+
+/// Identifies an endpoint in messages between routers. Has 32 bits because the routers of a domain exchange hundreds
+/// of reports a second.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct ShortKey(pub u32);
+
+impl From<EndpointKey> for ShortKey {
+    fn from(key: EndpointKey) -> Self {
+        Self((key.0 >> u32::BITS) as u32)
+    }
+}
+
+/// The latest load report of an endpoint and where it came from.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct ReceivedReport {
+    pub(super) report: LoadReport,
+    /// When the endpoint sent the report.
+    pub(super) reported_at: Duration,
+    /// When this router received the report.
+    pub(super) received_at: Duration,
+    /// Whether the endpoint sent the report to this router.
+    pub(super) direct: bool,
+}
+
+/// Outcome of an attempt.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Outcome {
+    /// A whole answer, or the first event of a stream, arrived after this time.
+    Answered(Duration),
+    /// The endpoint refused the request and has not run it.
+    Declined,
+    /// The endpoint ran the request and answered with an error.
+    Failed,
+    /// The answer was malformed, truncated or corrupted.
+    Broken,
+    /// No connection could be established.
+    ConnectFailed,
+    /// No answer arrived in time.
+    Timeout,
+}
+
+/// A request of this router whose prompt the endpoint has not read yet.
+#[derive(Debug, Clone, Copy)]
+struct PendingPrefill {
+    since: Duration,
+    tokens: u64,
+}
+
+#[derive(Debug)]
+pub(super) struct EndpointState {
+    pub(super) entry: Arc<EndpointEntry>,
+    /// Hash of the endpoint's id.
+    pub(super) key: EndpointKey,
+    /// Requests of this router that are in flight.
+    in_flight: u32,
+    /// This router's requests whose prompts have not been read, oldest first.
+    pending_prefills: Vec<PendingPrefill>,
+    report: Option<ReceivedReport>,
+    /// Moving average of the share of failed attempts, and when it last changed.
+    failure_share: (f64, Duration),
+    /// Moving average of the time until an answer, in seconds.
+    latency: Option<f64>,
+    /// Longest recent time until an answer, decayed, and when it last changed.
+    recent_delay: (Duration, Duration),
+    /// Weights by model, as named in answers; may be newer than those of the entry.
+    weights: Vec<(ModelId, u64)>,
+}
+
+impl EndpointState {
+    pub(super) fn new(entry: Arc<EndpointEntry>) -> Self {
+        let weights = entry.weights.clone();
+        Self {
+            key: EndpointKey::from(&entry.id),
+            entry,
+            in_flight: 0,
+            pending_prefills: Vec::new(),
+            report: None,
+            failure_share: (0.0, Duration::ZERO),
+            latency: None,
+            recent_delay: (Duration::ZERO, Duration::ZERO),
+            weights,
+        }
+    }
+
+    pub(super) fn update(&mut self, entry: Arc<EndpointEntry>) {
+        for (model, weights) in &entry.weights {
+            self.raise_weights(model, *weights);
+        }
+        self.entry = entry;
+    }
+
+    /// Records newer weights. Within one incarnation the weights of an endpoint only get newer.
+    pub(super) fn raise_weights(&mut self, model: &ModelId, weights: u64) {
+        match self.weights.iter_mut().find(|(name, _)| name == model) {
+            Some((_, current)) => *current = weights.max(*current),
+            None => self.weights.push((model.clone(), weights)),
+        }
+    }
+
+    pub(super) fn correct_weights(&mut self, model: &ModelId, newest: Option<u64>) {
+        let listed = self.entry.weights.iter().find(|(name, _)| name == model);
+        let listed = listed.map(|(_, weights)| *weights);
+        if let Some((_, current)) = self.weights.iter_mut().find(|(name, _)| name == model) {
+            let newer = newest.filter(|newest| *current < *newest);
+            *current = newer.or(listed).unwrap_or(*current);
+        }
+    }
+
+    pub(super) fn weights(&self, model: &ModelId) -> Option<u64> {
+        let served = self.weights.iter().find(|(name, _)| name == model)?;
+        Some(served.1)
+    }
+
+    /// Whether the endpoint serves at least `min_weights`. Unknown weights count as new enough.
+    pub(super) fn serves(&self, model: &ModelId, min_weights: u64) -> bool {
+        self.weights(model).is_none_or(|weights| weights >= min_weights)
+    }
+
+    pub(super) fn request_started(&mut self, prefill: u64, now: Duration) {
+        self.in_flight += 1;
+        self.pending_prefills.push(PendingPrefill {
+            since: now,
+            tokens: prefill,
+        });
+    }
+
+    pub(super) fn prefill_finished(&mut self, since: Duration) {
+        let index = self.pending_prefills.iter().position(|pending| pending.since == since);
+        if let Some(index) = index {
+            self.pending_prefills.remove(index);
+        }
+    }
+
+    pub(super) fn request_finished(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+    }
+
+    /// Keeps the report that was sent last.
+    pub(super) fn record_report(&mut self, received: ReceivedReport) {
+        if self
+            .report
+            .is_none_or(|latest| latest.reported_at <= received.reported_at)
+        {
+            self.report = Some(received);
+        }
+    }
+
+    pub(super) fn report(&self) -> Option<&ReceivedReport> {
+        self.report.as_ref()
+    }
+
+    pub(super) fn record_outcome(&mut self, outcome: Outcome, now: Duration) {
+        let failure = match outcome {
+            Outcome::Answered(after) => {
+                self.recent_delay = (after.max(self.recent_delay(now)), now);
+                let seconds = after.as_secs_f64();
+                let mean = self.latency.unwrap_or(seconds);
+                self.latency = Some(mean + OUTCOME_WEIGHT * (seconds - mean));
+                0.0
+            }
+            Outcome::Declined => return,
+            Outcome::Timeout => TIMEOUT_FAILURE,
+            Outcome::Failed | Outcome::Broken | Outcome::ConnectFailed => 1.0,
+        };
+        let share = self.failure_share(now);
+        self.failure_share = (share + OUTCOME_WEIGHT * (failure - share), now);
+    }
+
+    pub(super) fn in_flight(&self) -> u32 {
+        self.in_flight
+    }
+
+    /// Prompt tokens of this router's requests that the endpoint has not read yet.
+    pub(super) fn pending_tokens(&self) -> u64 {
+        self.pending_prefills.iter().map(|pending| pending.tokens).sum()
+    }
+
+    /// How much longer this router's requests have waited than reading their prompts takes at `rate` tokens a second.
+    pub(super) fn excess_wait(&self, rate: f64, now: Duration) -> Duration {
+        let mut ahead = 0;
+        let excess = self.pending_prefills.iter().map(|pending| {
+            ahead += pending.tokens;
+            let read_time = Duration::from_secs_f64(ahead as f64 / rate);
+            now.saturating_sub(pending.since).saturating_sub(read_time)
+        });
+        excess.max().unwrap_or_default()
+    }
+
+    /// Share of failed attempts, decayed over time. Without the decay an endpoint avoided for its failures would get
+    /// no requests, could not succeed and would be avoided for ever.
+    pub(super) fn failure_share(&self, now: Duration) -> f64 {
+        let (share, at) = self.failure_share;
+        share * decay::remaining(now.saturating_sub(at), FAILURE_HALF_LIFE_SECS)
+    }
+
+    pub(super) fn latency(&self) -> Option<f64> {
+        self.latency
+    }
+
+    /// How late recent answers came, decayed over time. A quick answer doesn't lower the value: engines admit urgent
+    /// requests first, so it doesn't show that the queue is short.
+    pub(super) fn recent_delay(&self, now: Duration) -> Duration {
+        let (delay, at) = self.recent_delay;
+        delay.mul_f64(decay::remaining(now.saturating_sub(at), DELAY_HALF_LIFE_SECS))
+    }
+
+    /// Estimated number of requests running or waiting at the endpoint, from all routers.
+    pub(super) fn running(&self, now: Duration) -> f64 {
+        let reported = self.decayed(now, |report| report.running + report.waiting);
+        reported.max(f64::from(self.in_flight))
+    }
+
+    /// Estimated number of requests waiting at the endpoint, from all routers.
+    pub(super) fn waiting(&self, now: Duration) -> f64 {
+        self.decayed(now, |report| report.waiting)
+    }
+
+    fn decayed(&self, now: Duration, count: impl Fn(LoadReport) -> u32) -> f64 {
+        let Some(latest) = self.report else { return 0.0 };
+        f64::from(count(latest.report))
+            * decay::remaining(now.saturating_sub(latest.reported_at), REPORT_HALF_LIFE_SECS)
+    }
+}
--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -1,61 +1,64 @@
-//! Model engines: requests go where their prompt's prefix is cached.
+//! Selection among model engines: requests go where the prefix of their prompt is cached.
 //!
-//! Load pattern: prompts that share long nested prefixes, over engines whose memory holds a part of them. The placer ranks engines by
-//! hashes of the nested levels and weighs what would have to be read again against what waits there.
+//! Load pattern: prompts that share long nested prefixes, and engines whose memory holds only a part of them. The
+//! placer ranks engines by hashes of the nested prefixes and weighs the tokens to be read again against the queue of
+//! each engine.
 
-use super::known::Known;
+use super::endpoint_state::EndpointState;
 use super::{Choice, Fleet, PickContext, PickedEndpoint, ShortKey};
 use ids::{Incarnation, ModelId};
 use placement::{Candidate, Placer, PrefixChain};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Tokens of a block in the placer's eyes: fine enough for parts of a hundred tokens, which are most of a short prompt's, and coarse
-/// enough for few hashes a prompt.
-const BLOCK: u64 = 32;
-/// Tokens a second that an engine of the sites reads of a prompt.
-pub(super) const PREFILL_RATE: f64 = 80_000.0;
-/// Prompt tokens that are assumed for each request that waits inside an engine, whoever sent it: the sites' mean.
-const WAITING_TOKENS: f64 = 1_500.0;
-/// What a running request costs a new one, as prompt tokens: each step of the batch takes longer by it.
-const RUNNING_TOKENS: f64 = 60.0;
-/// Prompt tokens that an engine of the sites reads in the time that one generated token takes of a full batch: a step of some
-/// 5 ms for 12 to 24 tokens, and 82 prompt tokens a millisecond.
-const GENERATED_TOKENS: u64 = 20;
-/// Requests for each slot that this router may have at an engine; more only wait there behind each other.
-const DEPTH: u32 = 2;
-/// Least speed in the placer's eyes of an engine that fails.
-const LEAST_SPEED: f64 = 0.1;
-/// Bits of an incarnation's number that are left to the weights: an engine drops its cache for new ones.
+/// Size of a placer block in tokens. Small enough for parts of a hundred tokens, which make up most of a short
+/// prompt, and large enough to keep the number of hashes per prompt low.
+const BLOCK_TOKENS: u64 = 32;
+/// Prompt tokens that a production engine reads per second.
+pub(super) const PREFILL_TOKENS_PER_SEC: f64 = 80_000.0;
+/// Assumed prompt tokens of each request queued inside an engine: the mean in production.
+const WAITING_REQUEST_TOKENS: f64 = 1_500.0;
+/// Cost of one running request for a new one, in prompt tokens: each running request lengthens every step of the
+/// batch.
+const RUNNING_REQUEST_TOKENS: f64 = 60.0;
+/// Prompt tokens that a production engine reads in the time of one generated token in a full batch. A step takes some
+/// 5 ms for 12 to 24 tokens, and an engine reads 82 prompt tokens per millisecond.
+const PREFILL_TOKENS_PER_OUTPUT: u64 = 20;
+/// Requests per slot that this router may have in flight at an engine; further ones would only queue there.
+const REQUESTS_PER_SLOT: u32 = 2;
+/// Lowest speed that the placer assumes for a failing engine.
+const MIN_SPEED: f64 = 0.1;
+/// Low bits of the placer's incarnation number that hold the weights version, because an engine drops its cache when
+/// it loads new weights.
 const WEIGHTS_BITS: u32 = 16;
 
-/// What waits more at the endpoints of its own lane before a prompt goes to those of the other, as prompt tokens.
-const APART_TOKENS: u64 = 8_000;
-/// Share of homes that endpoints of the other lane get.
-const APART_WEIGHT: f64 = 0.001;
+/// Extra queue in prompt tokens that the placer assumes for endpoints outside the prompt's lane.
+const OFF_LANE_TOKENS: u64 = 8_000;
+/// Relative share of prefix homes that endpoints outside the prompt's lane get.
+const OFF_LANE_WEIGHT: f64 = 0.001;
 
-/// Seed of the number that is drawn for a prefix.
-const DRAW: u64 = 0xd4a3;
+/// Hash seed of [`Prompt::prefix_draw`].
+const DRAW_SEED: u64 = 0xd4a3;
 
 /// A part of a prompt that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Stands for its text.
+    /// Identifies the text of the part.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// A prompt.
+/// A prompt for a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model.
+    /// The model that the prompt is for.
     pub model: ModelId,
-    /// Parts in order; the last one is the request's own.
+    /// Parts in order; the last one belongs to this request only.
     pub parts: Vec<PromptPart>,
-    /// Prompt tokens in all.
+    /// Total number of prompt tokens.
     pub tokens: u64,
-    /// Most tokens that are generated.
+    /// Maximum number of generated tokens.
     pub max_output: u64,
 }
 
@@ -66,16 +69,16 @@
         &self.parts[..last]
     }
 
-    /// Whether an engine spends more time on the answer than on reading the prompt.
+    /// Whether an engine spends more time on generating the answer than on reading the prompt.
     pub fn is_decode_heavy(&self) -> bool {
-        self.max_output * GENERATED_TOKENS > self.tokens
+        self.max_output * PREFILL_TOKENS_PER_OUTPUT > self.tokens
     }
 
-    /// A number from 0 to 1 that is drawn for the innermost shared prefix, the same at every router, so that its requests stay
-    /// together.
-    pub(super) fn draw(&self) -> f64 {
+    /// Pseudo-random number from 0 to 1 derived from the innermost shared prefix. It is the same at every router, so
+    /// requests with one prefix stay together.
+    pub(super) fn prefix_draw(&self) -> f64 {
         let last = self.shared().last().or(self.parts.last());
-        let hash = last.map_or(0, |part| xxh3_64_with_seed(&part.id.to_le_bytes(), DRAW));
+        let hash = last.map_or(0, |part| xxh3_64_with_seed(&part.id.to_le_bytes(), DRAW_SEED));
         hash as f64 / u64::MAX as f64
     }
 
@@ -87,7 +90,7 @@
         for part in self.shared() {
             last = xxh3_64_with_seed(&part.id.to_le_bytes(), last);
             tokens += part.tokens;
-            while (blocks.len() as u64) < tokens / BLOCK {
+            while (blocks.len() as u64) < tokens / BLOCK_TOKENS {
                 last = xxh3_64_with_seed(b"block", last);
                 blocks.push(last);
             }
@@ -101,30 +104,30 @@
     pub(super) fn choose_engine(
         &self,
         placer: &mut Placer,
-        wish: &PickContext<'_>,
-        mut open: Vec<&Known>,
+        context: &PickContext<'_>,
+        mut eligible: Vec<&EndpointState>,
         draw: u64,
         now: Duration,
     ) -> Choice {
-        let Some(prompt) = wish.prompt else {
+        let Some(prompt) = context.prompt else {
             return Choice::Unavailable;
         };
-        let chain = prompt.chain(seed(wish));
-        open.sort_by_key(|known| known.key);
-        let apart = self.apart(wish, prompt, now);
-        let candidate = |known: &&Known| self.candidate(known, prompt, apart(known), now);
-        let candidates: Vec<Candidate> = open.iter().map(candidate).collect();
+        let chain = prompt.chain(seed(context));
+        eligible.sort_by_key(|state| state.key);
+        let off_lane = self.off_lane(context, prompt, now);
+        let candidate = |state: &&EndpointState| self.candidate(state, prompt, off_lane(state), now);
+        let candidates: Vec<Candidate> = eligible.iter().map(candidate).collect();
         let placement::Choice::At(pick) = placer.choose(&chain, &candidates, now, draw) else {
             return Choice::Full;
         };
         let Candidate {
             endpoint, incarnation, ..
         } = candidates[pick.index];
-        let known = open[pick.index];
+        let state = eligible[pick.index];
         let picked = PickedEndpoint {
-            endpoint: known.entry.clone(),
-            weights: known.weights(&prompt.model),
-            prefill: prompt.tokens.saturating_sub(pick.cached as u64 * BLOCK),
+            endpoint: state.entry.clone(),
+            weights: state.weights(&prompt.model),
+            prefill: prompt.tokens.saturating_sub(pick.cached as u64 * BLOCK_TOKENS),
             reason: reason(pick.reason),
         };
         placer.learn(
@@ -137,38 +140,42 @@
         Choice::Endpoint(picked)
     }
 
-    /// What is ahead of a new request there, as prompt tokens.
-    pub(super) fn queued(&self, known: &Known, now: Duration) -> u64 {
-        let held_up = known.held_up(PREFILL_RATE, now).as_secs_f64() * PREFILL_RATE;
-        let told = self.others.tokens(ShortKey::from(known.key)) as f64;
-        let reported = known.waiting(now) * WAITING_TOKENS;
-        let others = told.max(reported).max(held_up) + known.running(now) * RUNNING_TOKENS;
-        known.prefill() + others as u64
+    /// Estimated work queued ahead of a new request at an endpoint, in prompt tokens.
+    pub(super) fn queued_tokens(&self, state: &EndpointState, now: Duration) -> u64 {
+        let stalled = state.excess_wait(PREFILL_TOKENS_PER_SEC, now).as_secs_f64() * PREFILL_TOKENS_PER_SEC;
+        let announced = self.peer_backlogs.tokens(ShortKey::from(state.key)) as f64;
+        let reported = state.waiting(now) * WAITING_REQUEST_TOKENS;
+        let other_tokens = announced.max(reported).max(stalled) + state.running(now) * RUNNING_REQUEST_TOKENS;
+        state.pending_tokens() + other_tokens as u64
     }
 
-    fn candidate(&self, known: &Known, prompt: &Prompt, apart: bool, now: Duration) -> Candidate {
-        let weights = known.weights(&prompt.model).unwrap_or_default();
+    fn candidate(&self, state: &EndpointState, prompt: &Prompt, off_lane: bool, now: Duration) -> Candidate {
+        let weights = state.weights(&prompt.model).unwrap_or_default();
         Candidate {
-            endpoint: known.key,
-            incarnation: Incarnation((known.entry.incarnation.0 << WEIGHTS_BITS) | (weights & 0xffff)),
-            near: known.entry.domain == self.settings.domain,
-            in_flight: known.in_flight(),
-            limit: known.entry.slots.max(1) * DEPTH,
-            queued: self.queued(known, now) + if apart { APART_TOKENS } else { 0 },
-            speed: (1.0 - known.trouble(now)).max(LEAST_SPEED),
-            weight: if apart { APART_WEIGHT } else { 1.0 },
+            endpoint: state.key,
+            incarnation: Incarnation((state.entry.incarnation.0 << WEIGHTS_BITS) | (weights & 0xffff)),
+            near: state.entry.domain == self.settings.domain,
+            in_flight: state.in_flight(),
+            limit: state.entry.slots.max(1) * REQUESTS_PER_SLOT,
+            queued: self.queued_tokens(state, now) + if off_lane { OFF_LANE_TOKENS } else { 0 },
+            speed: (1.0 - state.failure_share(now)).max(MIN_SPEED),
+            weight: if off_lane { OFF_LANE_WEIGHT } else { 1.0 },
         }
     }
 }
 
-/// Prefixes of an isolated workspace have homes of their own.
-fn seed(wish: &PickContext<'_>) -> u64 {
-    wish.isolated
+/// Hash seed for prefixes: isolated workspaces get homes of their own.
+fn seed(context: &PickContext<'_>) -> u64 {
+    context
+        .isolated
         .map_or(0, |workspace| xxh3_64_with_seed(workspace.as_str().as_bytes(), 1))
 }
 
 pub(super) fn placer() -> Placer {
-    Placer::builder().tokens(BLOCK as u32).rate(PREFILL_RATE).build()
+    Placer::builder()
+        .tokens(BLOCK_TOKENS as u32)
+        .rate(PREFILL_TOKENS_PER_SEC)
+        .build()
 }
 
 fn reason(reason: placement::Reason) -> &'static str {
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -1,458 +1,470 @@
-//! Which endpoint a request goes to.
+//! Endpoint selection: decides which endpoint a request goes to.
 //!
-//! Load pattern: many routers, none of which sees more than a small part of the traffic, before endpoints that are
-//! unequal, fail, fill up and change their weights. Each router weighs what endpoints report on their answers, what it
-//! has in flight itself, and how its own attempts went; endpoints of one prompt's prefix are found by hashing, so that
-//! routers agree without talking.
+//! Load pattern: many routers, each of which sees only a small part of the traffic. The endpoints differ in speed;
+//! they fail, fill up and change their weights. Each router combines the load that endpoints report on their answers,
+//! its own requests in flight and the outcomes of its own attempts. Endpoints for a prompt prefix are found by
+//! hashing, so routers agree without communicating.
 
 mod backlogs;
-mod begin;
 mod candidates;
+mod endpoint_state;
 mod engines;
-mod known;
 pub(crate) mod lanes;
-mod names;
 mod plain;
-mod rates;
+mod rate_limits;
+mod staleness;
+mod targets;
 
 pub use backlogs::Backlog;
+pub use endpoint_state::{LoadReport, LoadUpdate, Outcome, ShortKey};
 pub use engines::{Prompt, PromptPart};
-pub use known::{LoadReport, LoadUpdate, Outcome, ShortKey};
 pub use lanes::LaneTokens;
-pub use names::{Staleness, TargetAge};
-pub use rates::RateUpdate;
+pub use rate_limits::RateUpdate;
+pub use targets::{Staleness, TargetAge};
 
 use crate::pressure::Pressure;
 use crate::retries::{RetryLimits, RetryMeter};
 use crate::site::EndpointEntry;
-use backlogs::Backlogs;
-use candidates::Standing;
+use backlogs::PeerBacklogs;
+use candidates::Candidates;
 use control::health::{self, EndpointHealth};
+use endpoint_state::{EndpointState, ReceivedReport};
 use ids::{EndpointId, Incarnation, ModelId, ServiceId, VmId};
-use known::{Heard, Known};
-use lanes::Fading;
-use names::Names;
+use lanes::DecayingTokens;
 use placement::Placer;
-use rates::Rates;
+use rate_limits::RateLimits;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
+use targets::Targets;
 
-/// Settings of the choice.
+/// Settings of endpoint selection.
 #[derive(Debug, Clone)]
 pub struct FleetSettings {
     /// This router's failure domain.
     pub domain: ids::DomainId,
     /// Budget of attempts beyond the first.
     pub retries: RetryLimits,
-    /// How long requests may begin on older weights after newer ones were named.
+    /// Staleness from which requests prefer endpoints with newer weights. Counted from the time when newer weights
+    /// became the target.
     pub soft_staleness: Duration,
-    /// How long any request may: from then on an answer on them is worth nothing.
+    /// Staleness from which no request may begin: its answer would be worthless to the client.
     pub hard_staleness: Duration,
 }
 
-/// What a request asks of its endpoint.
+/// Properties of a request that the choice of its endpoint depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct PickContext<'a> {
-    /// The service.
+    /// Service that the request belongs to.
     pub service: &'a ServiceId,
-    /// Endpoints that were tried before.
+    /// Endpoints already tried for this request.
     pub avoid: &'a [EndpointId],
-    /// Its prompt, if it is for a model.
+    /// The prompt, if the request is for a model.
     pub prompt: Option<&'a Prompt>,
-    /// Its workspace, if that shares no cached prefix.
+    /// Workspace of the request, if the workspace shares no cached prefixes.
     pub isolated: Option<&'a ids::WorkspaceId>,
 }
 
-/// The outcome of a choice.
+/// Result of a choice.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Choice {
-    /// Send it there.
+    /// The request goes to this endpoint.
     Endpoint(PickedEndpoint),
-    /// All endpoints that could serve it are full.
+    /// All endpoints that could serve the request are full.
     Full,
-    /// Endpoints that could serve it take no more for now; the caller had better come back after this time.
+    /// All endpoints that could serve the request are at their rate limit; the client should retry after this time.
     RateLimited(Duration),
-    /// No endpoint that could serve it is in service.
+    /// No endpoint that could serve the request is in service.
     Unavailable,
 }
 
 /// A chosen endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PickedEndpoint {
-    /// The endpoint.
+    /// Configuration entry of the endpoint.
     pub endpoint: Arc<EndpointEntry>,
-    /// Number of the weights it is believed to serve the request's model with.
+    /// Version of the weights that the endpoint is assumed to serve the request's model with.
     pub weights: Option<u64>,
-    /// Prompt tokens it is expected to read.
+    /// Prompt tokens that the endpoint is expected to read.
     pub prefill: u64,
-    /// Why it was chosen, for logs.
+    /// Reason for the choice, for logs.
     pub reason: &'static str,
 }
 
-/// What one router believes of all endpoints.
+/// One router's view of all endpoints.
 pub struct Fleet {
     settings: FleetSettings,
-    known: BTreeMap<EndpointId, Known>,
+    endpoints: BTreeMap<EndpointId, EndpointState>,
     health: EndpointHealth,
     placers: HashMap<ServiceId, Placer>,
-    meters: HashMap<ServiceId, RetryMeter>,
+    retry_meters: HashMap<ServiceId, RetryMeter>,
     loading: BTreeSet<EndpointId>,
-    coming: BTreeSet<EndpointId>,
-    wanted: HashMap<ModelId, Names>,
+    upcoming: BTreeSet<EndpointId>,
+    targets: HashMap<ModelId, Targets>,
     pressures: HashMap<(ServiceId, Duration), Pressure>,
-    others: Backlogs,
-    lanes: HashMap<ServiceId, Fading>,
-    rates: Rates,
+    peer_backlogs: PeerBacklogs,
+    lane_tokens: HashMap<ServiceId, DecayingTokens>,
+    rate_limits: RateLimits,
 }
 
 impl Fleet {
-    /// A fleet without endpoints.
+    /// Creates a fleet without endpoints.
     pub fn new(settings: FleetSettings) -> Self {
         Self {
             settings,
-            known: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             health: EndpointHealth::default(),
             placers: HashMap::new(),
-            meters: HashMap::new(),
+            retry_meters: HashMap::new(),
             loading: BTreeSet::new(),
-            coming: BTreeSet::new(),
-            wanted: HashMap::new(),
+            upcoming: BTreeSet::new(),
+            targets: HashMap::new(),
             pressures: HashMap::new(),
-            others: Backlogs::default(),
-            lanes: HashMap::new(),
-            rates: Rates::default(),
+            peer_backlogs: PeerBacklogs::default(),
+            lane_tokens: HashMap::new(),
+            rate_limits: RateLimits::default(),
         }
     }
 
-    /// Other settings are in force; how many routers share the retry budget stays as it is known.
+    /// Replaces the settings, except for the number of routers that share the retry budget.
     pub fn reload(&mut self, settings: FleetSettings) {
         let routers = self.settings.retries.routers;
         self.settings = settings;
         self.settings.retries.routers = routers;
     }
 
-    /// An endpoint serves, newly or with other properties.
+    /// Adds an endpoint or updates its entry. A new incarnation starts without recorded state.
     pub fn upsert_endpoint(&mut self, entry: &Arc<EndpointEntry>, now: Duration) {
-        let known = self.known.get_mut(&entry.id);
-        match known {
-            Some(known) if known.entry.incarnation == entry.incarnation => known.update(entry.clone()),
+        let state = self.endpoints.get_mut(&entry.id);
+        match state {
+            Some(state) if state.entry.incarnation == entry.incarnation => state.update(entry.clone()),
             _ => {
-                let known = Known::new(entry.clone());
-                self.rates.forget(ShortKey::from(known.key), now);
-                self.known.insert(entry.id.clone(), known);
+                let state = EndpointState::new(entry.clone());
+                self.rate_limits.clear(ShortKey::from(state.key), now);
+                self.endpoints.insert(entry.id.clone(), state);
             }
         }
         self.configure(now);
     }
 
-    /// An endpoint is gone.
+    /// Removes an endpoint.
     pub fn remove_endpoint(&mut self, id: &EndpointId, now: Duration) {
-        if let Some(known) = self.known.remove(id) {
-            self.rates.forget(ShortKey::from(known.key), now);
+        if let Some(state) = self.endpoints.remove(id) {
+            self.rate_limits.clear(ShortKey::from(state.key), now);
         }
         self.configure(now);
     }
 
-    /// Weights that a model is to be served with, which were named so long ago.
+    /// Sets the target weights of a model and how long ago they became the target.
     pub fn set_target(&mut self, model: &ModelId, weights: u64, age: TargetAge, now: Duration) {
-        self.wanted.entry(model.clone()).or_default().name(weights, age, now);
+        self.targets.entry(model.clone()).or_default().add(weights, age, now);
     }
 
-    /// Another router tells how long ago weights were named; whether that made clear what was vague. Newer ones than the store
-    /// told this router are left out.
+    /// Merges a target age received from another router. Returns whether an uncertain age became certain. Ignores
+    /// weights newer than those the store gave this router.
     pub fn merge_target_age(&mut self, model: &ModelId, weights: u64, age: TargetAge, now: Duration) -> bool {
-        let names = self.wanted.get_mut(model);
-        names.is_some_and(|names| names.told(weights, age, now))
+        let targets = self.targets.get_mut(model);
+        targets.is_some_and(|targets| targets.merge_age(weights, age, now))
     }
 
-    /// How long ago weights were named.
+    /// Returns the age of each known target, by model and weights.
     pub fn target_ages(&self, now: Duration) -> Vec<(ModelId, u64, TargetAge)> {
-        let names = self.wanted.iter().flat_map(|(model, names)| {
-            let ages = names.all().iter().map(move |named| (named.weights, named.age(now)));
+        let ages = self.targets.iter().flat_map(|(model, targets)| {
+            let ages = targets
+                .all()
+                .iter()
+                .map(move |target| (target.weights, target.age(now)));
             ages.map(|(weights, age)| (model.clone(), weights, age))
         });
-        names.collect()
+        ages.collect()
     }
 
-    /// Whether an endpoint has old weights, and another router's word could tell much better for how long it may serve.
+    /// Returns whether an endpoint serves old weights whose staleness another router could tell much more exactly.
     pub fn has_uncertain_age(&self, now: Duration) -> bool {
         let bound = self.settings.hard_staleness;
-        self.wanted.iter().any(|(model, names)| {
-            let mut served = self.known.values().filter_map(|known| known.weights(model));
-            served.any(|weights| names.vague_after(weights, bound, now))
+        self.targets.iter().any(|(model, targets)| {
+            let mut served = self.endpoints.values().filter_map(|state| state.weights(model));
+            served.any(|weights| targets.has_uncertain_newer(weights, bound, now))
         })
     }
 
-    /// Weights wanted of each model.
+    /// Returns the target weights of each model.
     pub fn targets(&self) -> impl Iterator<Item = (&ModelId, u64)> {
-        self.wanted
+        self.targets
             .iter()
-            .filter_map(|(model, names)| Some((model, names.newest()?.weights)))
+            .filter_map(|(model, targets)| Some((model, targets.newest()?.weights)))
     }
 
-    /// Endpoints that load weights now or are about to, which get no requests, and those that come next, which get no long
-    /// answers.
-    pub fn set_loading(&mut self, loading: BTreeSet<EndpointId>, coming: BTreeSet<EndpointId>) {
+    /// Sets the endpoints that are loading weights or about to, which get no requests, and those that load next,
+    /// which get no decode-heavy requests.
+    pub fn set_loading(&mut self, loading: BTreeSet<EndpointId>, upcoming: BTreeSet<EndpointId>) {
         self.loading = loading;
-        self.coming = coming;
+        self.upcoming = upcoming;
     }
 
-    /// An answer or the order holder named the weights an endpoint serves a model with.
+    /// Records the weights that an endpoint serves a model with, as named in an answer or by the lease holder.
     pub fn record_weights(&mut self, id: &EndpointId, model: &ModelId, weights: u64) {
-        if let Some(known) = self.known.get_mut(id) {
-            known.learn_weights(model, weights);
+        if let Some(state) = self.endpoints.get_mut(id) {
+            state.raise_weights(model, weights);
         }
     }
 
-    /// An endpoint refused a request since it serves other weights than it was believed to. It has the newest by now, or
-    /// what its entry says; if that is wrong too, the next request is refused and says so.
+    /// Corrects the assumed weights after an endpoint refused a request because it serves other weights. Assumes the
+    /// target if that is newer than the weights assumed so far, otherwise the weights of the endpoint's entry. If
+    /// that is wrong too, the endpoint refuses the next request and the assumption is corrected again.
     pub fn correct_weights(&mut self, id: &EndpointId, model: &ModelId) {
-        let newest = self.wanted.get(model).and_then(Names::newest);
-        let newest = newest.map(|named| named.weights);
-        if let Some(known) = self.known.get_mut(id) {
-            known.correct_weights(model, newest);
+        let newest = self.targets.get(model).and_then(Targets::newest);
+        let newest = newest.map(|target| target.weights);
+        if let Some(state) = self.endpoints.get_mut(id) {
+            state.correct_weights(model, newest);
         }
     }
 
-    /// Weights an endpoint is believed to serve a model with.
+    /// Returns the weights that an endpoint is assumed to serve a model with.
     pub fn weights(&self, id: &EndpointId, model: &ModelId) -> Option<u64> {
-        self.known.get(id)?.weights(model)
+        self.endpoints.get(id)?.weights(model)
     }
 
-    /// Routers that share the retry budget; 0 if that isn't known.
+    /// Sets the number of routers that share the retry budget; 0 if unknown.
     pub fn set_router_count(&mut self, count: u32) {
         self.settings.retries.routers = count;
     }
 
-    /// The routers that share the rates of endpoints, of which `own` is this one.
+    /// Sets the routers that share the rate limits of endpoints; `own` is this router.
     pub fn set_routers(&mut self, own: &VmId, routers: &[VmId]) {
-        self.rates.routers(own, routers);
+        self.rate_limits.set_routers(own, routers);
     }
 
-    /// Endpoints to probe now.
+    /// Returns the endpoints that are due for a health probe.
     pub fn due_probes(&mut self, now: Duration) -> Vec<Arc<EndpointEntry>> {
         let due = self.health.due_probes(now);
         due.iter()
-            .filter_map(|id| self.known.get(id).map(|known| known.entry.clone()))
+            .filter_map(|id| self.endpoints.get(id).map(|state| state.entry.clone()))
             .collect()
     }
 
-    /// Chooses an endpoint; `draw` is uniform over all numbers.
-    pub fn choose(&mut self, wish: &PickContext<'_>, draw: u64, now: Duration) -> Choice {
-        self.others.add_up(now);
-        let choice = self.choose_any(wish, draw, now);
+    /// Chooses an endpoint; `draw` is uniform over all `u64` values.
+    pub fn choose(&mut self, context: &PickContext<'_>, draw: u64, now: Duration) -> Choice {
+        self.peer_backlogs.refresh_sums(now);
+        let choice = self.choose_any(context, draw, now);
         if let Choice::Endpoint(picked) = &choice
-            && let Some(known) = self.known.get(&picked.endpoint.id)
+            && let Some(state) = self.endpoints.get(&picked.endpoint.id)
         {
-            self.rates.take(ShortKey::from(known.key), now);
+            self.rate_limits.record_request(ShortKey::from(state.key), now);
         }
         choice
     }
 
-    fn choose_any(&mut self, wish: &PickContext<'_>, draw: u64, now: Duration) -> Choice {
-        if wish.prompt.is_none() {
-            return self.choose_from(wish, now, |open| self.choose_plain(&open, draw, now));
+    fn choose_any(&mut self, context: &PickContext<'_>, draw: u64, now: Duration) -> Choice {
+        if context.prompt.is_none() {
+            return self.choose_from(context, now, |eligible| self.choose_plain(&eligible, draw, now));
         }
-        // Taken out, since the choice borrows what is known of endpoints.
-        let mut placer = self.placers.remove(wish.service).unwrap_or_else(engines::placer);
-        let choice = self.choose_from(wish, now, |open| self.choose_engine(&mut placer, wish, open, draw, now));
-        self.placers.insert(wish.service.clone(), placer);
-        if let (Choice::Endpoint(picked), Some(prompt)) = (&choice, wish.prompt) {
-            let lanes = self.lanes.entry(wish.service.clone()).or_default();
-            lanes.count(prompt, picked.prefill, now);
+        // The placer is removed for the call because the choice borrows `self`.
+        let mut placer = self.placers.remove(context.service).unwrap_or_else(engines::placer);
+        let choice = self.choose_from(context, now, |eligible| {
+            self.choose_engine(&mut placer, context, eligible, draw, now)
+        });
+        self.placers.insert(context.service.clone(), placer);
+        if let (Choice::Endpoint(picked), Some(prompt)) = (&choice, context.prompt) {
+            let lanes = self.lane_tokens.entry(context.service.clone()).or_default();
+            lanes.record(prompt, picked.prefill, now);
         }
         choice
     }
 
     fn choose_from<'a>(
         &'a self,
-        wish: &PickContext<'_>,
+        context: &PickContext<'_>,
         now: Duration,
-        choose: impl FnOnce(Vec<&'a Known>) -> Choice,
+        choose: impl FnOnce(Vec<&'a EndpointState>) -> Choice,
     ) -> Choice {
-        match self.candidates(wish, now) {
-            Standing::Some(open) => choose(open),
-            Standing::Full => Choice::Full,
-            Standing::Limited(after) => Choice::RateLimited(after),
-            Standing::None => Choice::Unavailable,
+        match self.candidates(context, now) {
+            Candidates::Available(eligible) => choose(eligible),
+            Candidates::Full => Choice::Full,
+            Candidates::RateLimited(after) => Choice::RateLimited(after),
+            Candidates::Unavailable => Choice::Unavailable,
         }
     }
 
-    /// A request was sent to an endpoint, which has this many prompt tokens of it to read.
+    /// Records that a request was sent to an endpoint, which has `prefill` prompt tokens of it to read.
     pub fn request_started(&mut self, id: &EndpointId, incarnation: Incarnation, prefill: u64, now: Duration) {
-        if let Some(known) = self.life(id, incarnation) {
-            known.begin(prefill, now);
+        if let Some(state) = self.endpoint_mut(id, incarnation) {
+            state.request_started(prefill, now);
         }
     }
 
-    /// The endpoint has read the prompt of a request that was sent at `began`, or will never read it.
+    /// Records that the endpoint has read the prompt of the request sent at `began`, or will never read it.
     pub fn prefill_finished(&mut self, id: &EndpointId, incarnation: Incarnation, began: Duration) {
-        if let Some(known) = self.life(id, incarnation) {
-            known.prefilled(began);
+        if let Some(state) = self.endpoint_mut(id, incarnation) {
+            state.prefill_finished(began);
         }
     }
 
-    /// A request has left an endpoint.
+    /// Records that a request has ended at an endpoint.
     pub fn request_finished(&mut self, id: &EndpointId, incarnation: Incarnation) {
-        if let Some(known) = self.life(id, incarnation) {
-            known.end();
+        if let Some(state) = self.endpoint_mut(id, incarnation) {
+            state.request_finished();
         }
     }
 
-    /// What this router tells the others of its requests.
+    /// Returns the backlog that this router announces to the other routers.
     pub fn own_backlog(&self, now: Duration) -> Backlog {
-        let known = self.known.values().filter(|known| known.prefill() > 0);
-        let reads = self.lanes.iter();
+        let pending = self.endpoints.values().filter(|state| state.pending_tokens() > 0);
+        let lane_tokens = self.lane_tokens.iter();
         Backlog {
-            tokens: known
-                .map(|known| (ShortKey::from(known.key), known.prefill()))
+            tokens: pending
+                .map(|state| (ShortKey::from(state.key), state.pending_tokens()))
                 .collect(),
-            lane_tokens: reads
-                .map(|(service, lanes)| (service.clone(), lanes.reads(now)))
+            lane_tokens: lane_tokens
+                .map(|(service, lanes)| (service.clone(), lanes.current(now)))
                 .collect(),
         }
     }
 
-    /// Another router told all of its backlogs.
-    pub fn update_backlog(&mut self, router: &VmId, told: &Backlog, now: Duration) {
-        self.others.hear(router, told, now);
+    /// Replaces the backlog announced by another router.
+    pub fn update_backlog(&mut self, router: &VmId, backlog: &Backlog, now: Duration) {
+        self.peer_backlogs.update(router, backlog, now);
     }
 
-    /// An endpoint told its load.
+    /// Records the load that an endpoint reported to this router.
     pub fn record_load(&mut self, id: &EndpointId, report: LoadReport, now: Duration) {
-        if let Some(known) = self.known.get_mut(id) {
-            known.reported(Heard {
+        if let Some(state) = self.endpoints.get_mut(id) {
+            state.record_report(ReceivedReport {
                 report,
-                told: now,
-                heard: now,
-                own: true,
+                reported_at: now,
+                received_at: now,
+                direct: true,
             });
         }
     }
 
-    /// An answer of an endpoint named the requests a second that it takes from all routers together, or none; whether that is new.
+    /// Records the rate limit in an endpoint's answer: requests per second that it accepts from all routers together,
+    /// or none. Returns whether the limit changed.
     pub fn record_rate(&mut self, id: &EndpointId, rate: Option<f64>, now: Duration) -> bool {
-        let Some(known) = self.known.get(id) else {
+        let Some(state) = self.endpoints.get(id) else {
             return false;
         };
-        let news = RateUpdate {
-            endpoint: ShortKey::from(known.key),
+        let update = RateUpdate {
+            endpoint: ShortKey::from(state.key),
             rate,
             reported_at: now,
         };
-        self.rates.hear(news, now)
+        self.rate_limits.merge(update, now)
     }
 
-    /// Other routers were told this by endpoints; whether any of it is new.
-    pub fn merge_rates(&mut self, news: &[RateUpdate], now: Duration) -> bool {
-        let mut new = false;
-        for news in news {
-            new |= self.rates.hear(*news, now);
+    /// Merges rate limits that other routers received from endpoints. Returns whether any limit changed.
+    pub fn merge_rates(&mut self, updates: &[RateUpdate], now: Duration) -> bool {
+        let mut changed = false;
+        for update in updates {
+            changed |= self.rate_limits.merge(*update, now);
         }
-        new
+        changed
     }
 
-    /// What endpoints told lately of their rates, for other routers.
+    /// Returns the recently reported rate limits, for other routers.
     pub fn recent_rates(&self, now: Duration) -> Vec<RateUpdate> {
-        self.rates.news(now)
+        self.rate_limits.recent(now)
     }
 
-    /// Endpoints that name a rate.
+    /// Returns the number of endpoints with a rate limit.
     pub fn rate_limited_count(&self) -> usize {
-        self.rates.count()
+        self.rate_limits.count()
     }
 
-    /// Reports that this router has received after `since`; only those of its own answers, or all.
+    /// Returns the reports received after `since`; with `own`, only those that endpoints sent to this router.
     pub fn loads_since(&self, since: Duration, own: bool) -> Vec<LoadUpdate> {
-        let news = self
-            .known
+        let updates = self
+            .endpoints
             .values()
-            .filter_map(|known| Some((known.key, known.report()?)));
-        let news = news.filter(|(_, heard)| heard.heard > since && (heard.own || !own));
-        let news = news.map(|(key, heard)| LoadUpdate {
+            .filter_map(|state| Some((state.key, state.report()?)));
+        let updates = updates.filter(|(_, received)| received.received_at > since && (received.direct || !own));
+        let updates = updates.map(|(key, received)| LoadUpdate {
             endpoint: ShortKey::from(key),
-            report: heard.report,
-            reported_at: heard.told,
+            report: received.report,
+            reported_at: received.reported_at,
         });
-        news.collect()
-    }
-
-    /// Another router told what it heard. A router meets an endpoint of a large pool once in ten seconds; its neighbours
-    /// together meet it several times a second.
-    pub fn merge_loads(&mut self, news: &[LoadUpdate], now: Duration) {
-        let news: HashMap<ShortKey, &LoadUpdate> = news.iter().map(|news| (news.endpoint, news)).collect();
-        for known in self.known.values_mut() {
-            if let Some(news) = news.get(&ShortKey::from(known.key)) {
-                known.reported(Heard {
-                    report: news.report,
-                    told: news.reported_at,
-                    heard: now,
-                    own: false,
+        updates.collect()
+    }
+
+    /// Merges load reports that another router received. In a large pool a router reaches an endpoint only once in
+    /// ten seconds, but its neighbours together reach it several times a second.
+    pub fn merge_loads(&mut self, updates: &[LoadUpdate], now: Duration) {
+        let updates: HashMap<ShortKey, &LoadUpdate> = updates.iter().map(|update| (update.endpoint, update)).collect();
+        for state in self.endpoints.values_mut() {
+            if let Some(update) = updates.get(&ShortKey::from(state.key)) {
+                state.record_report(ReceivedReport {
+                    report: update.report,
+                    reported_at: update.reported_at,
+                    received_at: now,
+                    direct: false,
                 });
             }
         }
     }
 
-    /// What came of an attempt.
+    /// Records the outcome of an attempt.
     pub fn record_outcome(&mut self, id: &EndpointId, outcome: Outcome, now: Duration) {
-        if let Some(known) = self.known.get_mut(id) {
-            known.outcome(outcome, now);
+        if let Some(state) = self.endpoints.get_mut(id) {
+            state.record_outcome(outcome, now);
         }
-        let event = evidence(id, outcome);
+        let event = health_event(id, outcome);
         self.health.on(event, now);
     }
 
-    /// What came of a probe: it shows whether the endpoint is reached, not how it serves.
+    /// Records the outcome of a probe. It shows only whether the endpoint is reachable, so failure share and latency
+    /// stay unchanged.
     pub fn record_probe(&mut self, id: &EndpointId, outcome: Outcome, now: Duration) {
-        let event = evidence(id, outcome);
+        let event = health_event(id, outcome);
         self.health.on(event, now);
     }
 
-    /// The first event of a streamed answer came this long after its request was sent, or has not come by then.
+    /// Records how long the first event of a streamed answer took, or that it has not arrived after `waited`.
     pub fn record_first_event(&mut self, service: &ServiceId, objective: Duration, waited: Duration, now: Duration) {
         let pressure = self.pressures.entry((service.clone(), objective)).or_default();
         pressure.record(waited, objective, now);
     }
 
-    /// Whether a request for a streamed answer is refused at once, since answers of its kind are late; `draw` is uniform over all
-    /// numbers.
+    /// Returns whether to shed a request for a streamed answer because answers with this objective are late; `draw`
+    /// is uniform over all `u64` values.
     pub fn should_shed(&self, service: &ServiceId, objective: Duration, draw: u64, now: Duration) -> bool {
         let pressure = self.pressures.get(&(service.clone(), objective));
         pressure.is_some_and(|pressure| pressure.should_shed(draw, now))
     }
 
-    /// A request's first attempt at a service.
+    /// Records a request's first attempt at a service.
     pub fn record_first_attempt(&mut self, service: &ServiceId, now: Duration) {
         let window = self.settings.retries.window;
-        self.meters.entry(service.clone()).or_default().first(window, now);
+        self.retry_meters.entry(service.clone()).or_default().first(window, now);
     }
 
-    /// Whether one more attempt may be made at a service; it is counted if so.
+    /// Returns whether the retry budget of a service allows one more attempt, and counts the attempt if so.
     pub fn try_retry(&mut self, service: &ServiceId, now: Duration) -> bool {
         let limits = self.settings.retries;
-        self.meters.entry(service.clone()).or_default().again(&limits, now)
+        self.retry_meters
+            .entry(service.clone())
+            .or_default()
+            .again(&limits, now)
     }
 
-    /// How far weights of a model are behind the newest, for logs.
+    /// Returns how stale the weights of a model are, for logs.
     pub fn staleness(&self, model: &ModelId, weights: u64, now: Duration) -> Staleness {
-        let names = self.wanted.get(model);
-        names.map_or(Staleness::Current, |names| names.behind(weights, now))
+        let targets = self.targets.get(model);
+        targets.map_or(Staleness::Current, |targets| targets.staleness(weights, now))
     }
 
-    fn life(&mut self, id: &EndpointId, incarnation: Incarnation) -> Option<&mut Known> {
-        let known = self.known.get_mut(id)?;
-        (known.entry.incarnation == incarnation).then_some(known)
+    fn endpoint_mut(&mut self, id: &EndpointId, incarnation: Incarnation) -> Option<&mut EndpointState> {
+        let state = self.endpoints.get_mut(id)?;
+        (state.entry.incarnation == incarnation).then_some(state)
     }
 
     fn configure(&mut self, now: Duration) {
-        let ids = self.known.keys().cloned().collect();
+        let ids = self.endpoints.keys().cloned().collect();
         self.health.on(health::Event::Configured(ids), now);
     }
 }
 
-/// What an outcome tells of an endpoint's health.
-fn evidence(id: &EndpointId, outcome: Outcome) -> health::Event {
+/// Translates an outcome to an event of the health tracker.
+fn health_event(id: &EndpointId, outcome: Outcome) -> health::Event {
     let endpoint = id.clone();
     match outcome {
         Outcome::Answered(_) | Outcome::Failed | Outcome::Declined => health::Event::Replied {
--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -1,117 +1,119 @@
-//! The way of one endpoint to new weights: when it is looked at, ordered, and given up.
+//! Loading of new weights by one endpoint: when it is polled, ordered to load, ordered again, and given up.
 
 use crate::rollout::{LoadStep, Ordered, Report, gives_up, load_step};
 use std::time::Duration;
 
-/// Pause between two looks at an endpoint.
-const LOOK: Duration = Duration::from_millis(80);
-/// Pause after an order: no load at the sites is faster.
-const FASTEST_LOAD: Duration = Duration::from_millis(600);
-/// Longest wait for the answer to an order. A sound endpoint answers within a few ms, or 200 ms more if a packet is lost.
+/// Pause between two polls of an endpoint.
+const POLL_INTERVAL: Duration = Duration::from_millis(80);
+/// Pause after an accepted order: no load in production is faster.
+const MIN_LOAD_TIME: Duration = Duration::from_millis(600);
+/// Timeout of an order. A healthy endpoint answers within a few ms, or 200 ms more if a packet is lost.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Orders in a row that are repeated at once: with half of them unanswered, seven in eight endpoints have answered by then.
-const AT_ONCE: u32 = 2;
-/// Longest pause before another order: about the time of a load, which the endpoint may be busy with.
-const REPEAT_MOST: Duration = Duration::from_millis(1_200);
+/// Orders in a row that are repeated without a pause. With half of them unanswered, seven in eight endpoints have
+/// answered by then.
+const IMMEDIATE_RETRIES: u32 = 2;
+/// Longest pause before another order: about the time of a load, which may keep the endpoint busy.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_200);
 
-/// Pause after this many orders in a row without an answer. An endpoint that reports and never answers an order would be ordered
-/// three times a second for as long as a load may take, and each order has the list written anew, which all routers read.
-fn repeat_pause(silent: u32) -> Duration {
-    let Some(more) = silent.checked_sub(AT_ONCE + 1) else {
+/// Pause after this many unanswered orders in a row. Without it an endpoint that reports but never answers an order
+/// would be ordered three times a second for as long as a load may take. Each order rewrites the load list, which all
+/// routers read.
+fn retry_pause(timeouts: u32) -> Duration {
+    let Some(doublings) = timeouts.checked_sub(IMMEDIATE_RETRIES + 1) else {
         return Duration::ZERO;
     };
-    (ORDER_TIMEOUT * 2_u32.saturating_pow(more)).min(REPEAT_MOST)
+    (ORDER_TIMEOUT * 2_u32.saturating_pow(doublings)).min(MAX_RETRY_PAUSE)
 }
 
-/// What is to be done.
+/// The next step of a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Ask for a report after a pause.
+    /// Request a report after this pause.
     Poll(Duration),
-    /// Order the newest weights, once the list of those that load is young; see [`crate::holder::listed`].
+    /// Order the target weights, once the load list is current.
     Order {
-        /// Count of orders that the order expects.
+        /// Number of previous orders that the endpoint must have counted.
         expected: u64,
     },
-    /// These weights are in place.
+    /// These weights are loaded.
     Done(u64),
     /// The load has failed.
     Stop,
 }
 
-/// What came of an order.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is being carried out, or what it asks for holds.
+    /// The endpoint carries it out, or already has what it asks for.
     Accepted,
-    /// No answer came: it may have been taken, or may be carried out seconds later.
+    /// No answer arrived. The endpoint may have accepted the order, or may carry it out seconds later.
     Unanswered,
-    /// Another order is in progress or came first, or the order never left.
+    /// Another order is in progress or came first, or the order was not sent.
     Conflict,
-    /// Refused for good.
+    /// The endpoint refuses the order permanently.
     Rejected,
 }
 
-/// One endpoint that is to load.
+/// State of one endpoint's load.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Loading {
-    /// The order that it is believed to carry out.
+    /// The order that the endpoint is assumed to carry out.
     ordered: Option<Ordered>,
-    /// The first order without an answer since.
+    /// The first unanswered order since the last answer.
     unanswered: Option<Ordered>,
-    /// Orders without an answer in a row.
-    silent: u32,
-    misses: u32,
+    /// Unanswered orders in a row.
+    timeouts: u32,
+    missing_reports: u32,
 }
 
 impl Loading {
-    /// A report has come, or could not be had.
+    /// Handles a report, or `None` if it could not be fetched.
     pub fn on_report(&mut self, report: Option<Report>, wanted: u64, now: Duration) -> Next {
         let Some(report) = report else {
-            self.misses += 1;
-            return if gives_up(self.misses) {
+            self.missing_reports += 1;
+            return if gives_up(self.missing_reports) {
                 Next::Stop
             } else {
-                Next::Poll(LOOK)
+                Next::Poll(POLL_INTERVAL)
             };
         };
-        self.misses = 0;
+        self.missing_reports = 0;
         match load_step(&report, wanted, self.ordered, now) {
             LoadStep::Done => report.weights.map_or(Next::Stop, Next::Done),
-            LoadStep::Wait => Next::Poll(LOOK),
+            LoadStep::Wait => Next::Poll(POLL_INTERVAL),
             LoadStep::Order { expected } => Next::Order { expected },
         }
     }
 
-    /// An order could not be given, since the list could not be written.
+    /// Handles a failure to write the load list, because of which no order was sent.
     pub fn on_list_failure(&self) -> Next {
-        Next::Poll(LOOK)
+        Next::Poll(POLL_INTERVAL)
     }
 
-    /// What came of an order that was sent at `sent.at`.
+    /// Handles the outcome of an order that was sent at `sent.at`.
     ///
-    /// Load pattern: half of the orders get no answer and are carried out seconds later, while every endpoint still has to load.
-    /// Such an order is repeated at once: both expect the same count, so only one of the two takes effect, and the place of a load
-    /// doesn't stay unused for seconds.
+    /// Load pattern: half of the orders get no answer and are carried out seconds later, while every endpoint still
+    /// has to load. Such an order is repeated at once. Both expect the same count, so only one of the two takes
+    /// effect, and no load capacity stays unused for seconds.
     pub fn on_outcome(&mut self, sent: Ordered, outcome: OrderOutcome) -> Next {
         match outcome {
             OrderOutcome::Rejected => Next::Stop,
             OrderOutcome::Accepted => {
                 self.ordered = Some(sent);
                 self.unanswered = None;
-                self.silent = 0;
-                Next::Poll(FASTEST_LOAD + LOOK)
+                self.timeouts = 0;
+                Next::Poll(MIN_LOAD_TIME + POLL_INTERVAL)
             }
             OrderOutcome::Unanswered => {
                 self.unanswered = self.unanswered.or(Some(sent));
-                self.silent += 1;
-                Next::Poll(repeat_pause(self.silent))
+                self.timeouts += 1;
+                Next::Poll(retry_pause(self.timeouts))
             }
-            // The first one was taken, though its answer was lost: only what is reported from now on tells of it.
+            // The first order was accepted although its answer was lost. Only reports from now on reflect it.
             OrderOutcome::Conflict => {
                 self.ordered = self.unanswered.take().map(|first| Ordered { at: sent.at, ..first });
-                Next::Poll(FASTEST_LOAD + LOOK)
+                Next::Poll(MIN_LOAD_TIME + POLL_INTERVAL)
             }
         }
     }
--- a/crates/dispatch/src/pressure.rs
+++ b/crates/dispatch/src/pressure.rs
@@ -1,65 +1,65 @@
-//! How many requests are refused at once while first events are late.
+//! Load shedding: how many requests are refused at once while first events are late.
 //!
-//! Load pattern: engines crash or load weights while callers go on asking, and the pool has a little less than it needs. Queues
-//! inside the engines grow to a second and stay there: every answer is late, callers leave after two seconds, and what was
-//! read of their prompts is lost, so that the queues outlast their cause by tens of seconds. Refusing the few that are too
-//! many at once, with a time to come back, keeps the others in time.
+//! Load pattern: engines crash or load weights while clients keep sending, and the pool has slightly less capacity
+//! than it needs. Queues inside the engines grow to a second and stay there. Every answer is late, clients give up
+//! after two seconds, and the prompt tokens read for them are wasted, so the queues outlast their cause by tens of
+//! seconds. Refusing the few excess requests at once, with a retry-after time, keeps the others in time.
 //!
-//! A router judges by the first events of its own requests, of which it sees a fair sample. Each kind of request is judged by its
-//! own objective, since engines admit the more urgent first.
+//! A router judges by the first events of its own requests, which are a representative sample. Each kind of request
+//! is judged by its own objective, because engines admit more urgent requests first.
 
-use crate::fade;
+use crate::decay;
 use std::time::Duration;
 
-/// Time in which an observation loses half of its weight, seconds: a router of the larger sites sees some five first events in it.
-const HALF: f64 = 1.5;
-/// Observations that are assumed besides those seen, and their ratio to the objective, as on a quiet day.
-const ASSUMED: f64 = 5.0;
-const USUAL: f64 = 0.5;
-/// Bounds of a single observation's ratio.
-const SHORTEST: f64 = 0.1;
-const LONGEST: f64 = 10.0;
-/// Typical ratio from which on some are refused: every second first event is late. From 0.75 on it gained no more in time, and where
-/// late answers are worth half it cost callers more answers than it brought in time.
-const FIRST: f64 = 1.0;
-/// How much more makes all of them refused that may be.
-const RANGE: f64 = 1.0;
-/// Share that is refused at most: the others show when the queues are short again.
-const MOST: f64 = 0.5;
+/// Half-life of an observation: a router of a larger site sees some five first events in it.
+const HALF_LIFE_SECS: f64 = 1.5;
+/// Weight of the prior, in observations, and its ratio of delay to objective, typical of normal load.
+const PRIOR_WEIGHT: f64 = 5.0;
+const PRIOR_RATIO: f64 = 0.5;
+/// Bounds of the ratio of a single observation.
+const MIN_RATIO: f64 = 0.1;
+const MAX_RATIO: f64 = 10.0;
+/// Mean ratio above which requests are shed: every second first event is late. Starting at 0.75 brought no more
+/// answers in time, and where late answers are worth half, clients lost more answers than it brought in time.
+const SHED_RATIO: f64 = 1.0;
+/// Excess over [`SHED_RATIO`] at which every request would be shed, were it not for [`MAX_SHED_SHARE`].
+const SHED_RATIO_RANGE: f64 = 1.0;
+/// Largest share that is shed. The admitted requests show when the queues are short again.
+const MAX_SHED_SHARE: f64 = 0.5;
 
-/// Lateness of the first events of one kind of request, seen lately.
+/// Recent delays of first events for one kind of request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Pressure {
-    /// Sum of the logarithms of ratios, so that one very late event doesn't count as ten.
+    /// Sum of the logarithms of the ratios, so that one very late event doesn't count as ten.
     sum: f64,
     weight: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl Pressure {
-    /// A first event came this long after the request was sent, or has not come by then.
+    /// Records that a first event arrived `waited` after its request was sent, or has not arrived by then.
     pub fn record(&mut self, waited: Duration, objective: Duration, now: Duration) {
-        let fade = self.fade(now);
+        let factor = self.decay(now);
         let ratio = waited.as_secs_f64() / objective.as_secs_f64().max(f64::MIN_POSITIVE);
-        self.sum = self.sum * fade + ratio.clamp(SHORTEST, LONGEST).ln();
-        self.weight = self.weight * fade + 1.0;
-        self.at = now;
+        self.sum = self.sum * factor + ratio.clamp(MIN_RATIO, MAX_RATIO).ln();
+        self.weight = self.weight * factor + 1.0;
+        self.updated_at = now;
     }
 
-    /// Whether a request is refused at once; `draw` is uniform over all numbers.
+    /// Whether to shed a request; `draw` is uniform over all `u64` values.
     pub fn should_shed(&self, draw: u64, now: Duration) -> bool {
-        let share = ((self.typical(now) - FIRST) / RANGE).clamp(0.0, MOST);
+        let share = ((self.mean_ratio(now) - SHED_RATIO) / SHED_RATIO_RANGE).clamp(0.0, MAX_SHED_SHARE);
         (draw as f64 / u64::MAX as f64) < share
     }
 
-    /// Typical ratio of first events to the objective.
-    fn typical(&self, now: Duration) -> f64 {
-        let fade = self.fade(now);
-        let sum = self.sum * fade + USUAL.ln() * ASSUMED;
-        (sum / (self.weight * fade + ASSUMED)).exp()
+    /// Geometric mean of the ratios of first-event delay to objective.
+    fn mean_ratio(&self, now: Duration) -> f64 {
+        let factor = self.decay(now);
+        let sum = self.sum * factor + PRIOR_RATIO.ln() * PRIOR_WEIGHT;
+        (sum / (self.weight * factor + PRIOR_WEIGHT)).exp()
     }
 
-    fn fade(&self, now: Duration) -> f64 {
-        fade::left(now.saturating_sub(self.at), HALF)
+    fn decay(&self, now: Duration) -> f64 {
+        decay::remaining(now.saturating_sub(self.updated_at), HALF_LIFE_SECS)
     }
 }
