--- a/crates/dispatch/src/fleet/backlogs.rs
+++ b/crates/dispatch/src/fleet/backlogs.rs
@@ -1,4 +1,4 @@
-//! Prompt tokens that requests of other routers wait for.
+//! Prompt tokens that requests of peers wait for.
 //!
 //! Load pattern: a dozen routers, each of which sends a long prompt now and then. Endpoints report their load only on
 //! answers, and an endpoint that reads a prompt for a second answers nobody. It looks idle to each router, and all
@@ -19,7 +19,7 @@
 /// How long the announced lane tokens of a router count.
 const ROUTER_TTL: Duration = Duration::from_secs(10);
 
-/// What a router announces to the other routers.
+/// What a router announces to peers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Backlog {
     /// Endpoints with waiting requests, and the prompt tokens not read yet.
@@ -35,7 +35,7 @@
     lane_tokens: Vec<(ServiceId, LaneTokens)>,
 }
 
-/// The latest announcements of all other routers.
+/// The latest announcements of all peers.
 #[derive(Debug, Default)]
 pub(super) struct PeerBacklogs {
     received: HashMap<VmId, ReceivedBacklog>,
@@ -58,7 +58,7 @@
         self.received.insert(router.clone(), received);
     }
 
-    /// Prompt tokens read recently for the requests of other routers to a service.
+    /// Prompt tokens read recently for the requests of peers to a service.
     pub(super) fn lane_tokens(&self, service: &ServiceId) -> LaneTokens {
         let mut sum = LaneTokens::default();
         let received = self.received.values().flat_map(|received| &received.lane_tokens);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Prompt tokens that other routers' requests wait for at an endpoint, as of the last [`Self::refresh_sums`].
+    /// Prompt tokens that peers' requests wait for at an endpoint, as of the last [`Self::refresh_sums`].
     pub(super) fn tokens(&self, endpoint: ShortKey) -> u64 {
         self.sums.get(&endpoint).copied().unwrap_or_default()
     }
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -160,7 +160,7 @@
         self.targets.entry(model.clone()).or_default().add(weights, age, now);
     }
 
-    /// Merges a target age received from another router. Returns whether an uncertain age became certain. Ignores
+    /// Merges a target age received from a peer. Returns whether an uncertain age became certain. Ignores
     /// weights newer than those the store gave this router.
     pub fn merge_target_age(&mut self, model: &ModelId, weights: u64, age: TargetAge, now: Duration) -> bool {
         let targets = self.targets.get_mut(model);
@@ -179,7 +179,7 @@
         ages.collect()
     }
 
-    /// Returns whether an endpoint serves old weights whose staleness another router could tell much more exactly.
+    /// Returns whether an endpoint serves old weights whose staleness a peer could tell much more exactly.
     pub fn has_uncertain_age(&self, now: Duration) -> bool {
         let bound = self.settings.hard_staleness;
         self.targets.iter().any(|(model, targets)| {
@@ -307,7 +307,7 @@
         }
     }
 
-    /// Returns the backlog that this router announces to the other routers.
+    /// Returns the backlog that this router announces to peers.
     pub fn own_backlog(&self, now: Duration) -> Backlog {
         let pending = self.endpoints.values().filter(|state| state.pending_tokens() > 0);
         let lane_tokens = self.lane_tokens.iter();
@@ -321,7 +321,7 @@
         }
     }
 
-    /// Replaces the backlog announced by another router.
+    /// Replaces the backlog announced by a peer.
     pub fn update_backlog(&mut self, router: &VmId, backlog: &Backlog, now: Duration) {
         self.peer_backlogs.update(router, backlog, now);
     }
@@ -352,7 +352,7 @@
         self.rate_limits.merge(update, now)
     }
 
-    /// Merges rate limits that other routers received from endpoints. Returns whether any limit changed.
+    /// Merges rate limits that peers received from endpoints. Returns whether any limit changed.
     pub fn merge_rates(&mut self, updates: &[RateUpdate], now: Duration) -> bool {
         let mut changed = false;
         for update in updates {
@@ -361,7 +361,7 @@
         changed
     }
 
-    /// Returns the recently reported rate limits, for other routers.
+    /// Returns the recently reported rate limits, for peers.
     pub fn recent_rates(&self, now: Duration) -> Vec<RateUpdate> {
         self.rate_limits.recent(now)
     }
@@ -386,7 +386,7 @@
         updates.collect()
     }
 
-    /// Merges load reports that another router received. In a large pool a router reaches an endpoint only once in
+    /// Merges load reports that a peer received. In a large pool a router reaches an endpoint only once in
     /// ten seconds, but its neighbours together reach it several times a second.
     pub fn merge_loads(&mut self, updates: &[LoadUpdate], now: Duration) {
         let updates: HashMap<ShortKey, &LoadUpdate> = updates.iter().map(|update| (update.endpoint, update)).collect();
--- a/crates/dispatch/src/fleet/rate_limits.rs
+++ b/crates/dispatch/src/fleet/rate_limits.rs
@@ -3,7 +3,7 @@
 //! Load pattern: an endpoint that can't keep up reports how many requests per second it accepts from all routers
 //! together, about half of its recent rate. An even split of a small rate serves nobody: of 2.5 requests a second
 //! each of 125 routers would get one request in 50 s. So a rate is split into shares of about one request a second,
-//! and rendezvous hashing decides which routers have a share. The other routers only send rare probe requests that
+//! and rendezvous hashing decides which routers have a share. Routers without a share only send rare probe requests that
 //! show whether the limit has been lifted. Routers exchange the limits they receive, so all resume as soon as one
 //! learns that a limit was lifted.
 
@@ -27,7 +27,7 @@
 const PROBE_SLOT: Duration = Duration::from_secs(2);
 /// Number of routers assumed while none are known: more than the larger fleet has.
 const ASSUMED_ROUTERS: usize = 200;
-/// How long a reported limit is forwarded to other routers.
+/// How long a reported limit is forwarded to peers.
 const FORWARD_PERIOD: Duration = Duration::from_secs(2);
 /// Longest retry-after time.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
@@ -160,7 +160,7 @@
         self.limits.values().filter(|limit| limit.rate.is_some()).count()
     }
 
-    /// Recently reported limits, for other routers.
+    /// Recently reported limits, for peers.
     pub(super) fn recent(&self, now: Duration) -> Vec<RateUpdate> {
         let recent = self
             .limits
--- a/crates/dispatch/src/fleet/targets.rs
+++ b/crates/dispatch/src/fleet/targets.rs
@@ -11,7 +11,7 @@
 /// Targets kept per model: more than are set within any limit on staleness.
 const MAX_TARGETS: usize = 16;
 
-/// Difference of the two age bounds up to which asking another router isn't worthwhile. Routers that reach the store
+/// Difference of the two age bounds up to which asking a peer isn't worthwhile. Routers that reach the store
 /// have read it within the last one to two seconds.
 const MAX_AGE_SPREAD: Duration = Duration::from_millis(2_500);
 
@@ -74,7 +74,7 @@
         self.age(now).upper.is_none_or(|upper| upper >= time)
     }
 
-    /// Whether the age of another router could narrow the bounds considerably.
+    /// Whether a peer's bounds could be considerably tighter.
     fn is_uncertain(&self, now: Duration) -> bool {
         let age = self.age(now);
         age.upper
@@ -88,7 +88,7 @@
         *self = Self::new(self.weights, TargetAge { lower, upper }, now);
     }
 
-    /// Intersects the bounds with those of another router. Both are correct, so the tighter bound of each side holds.
+    /// Intersects the bounds with those of a peer. Both are correct, so the tighter bound of each side holds.
     fn narrow(&mut self, received: TargetAge, now: Duration) {
         let own = self.age(now);
         let upper = match (own.upper, received.upper) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Merges an age received from another router. Returns whether an uncertain age became certain. Adds targets in
+    /// Merges an age received from a peer. Returns whether an uncertain age became certain. Adds targets in
     /// between that this router missed: the upper bound of an age covers all targets set since the previous known
     /// one, so without the missed targets a tighter age of a newer target would allow endpoints with older weights to
     /// serve. Newer targets come from the store only.
--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -69,7 +69,7 @@
 
 impl Loading {
     /// Handles a report, or `None` if it could not be fetched.
-    pub fn on_report(&mut self, report: Option<Report>, wanted: u64, now: Duration) -> Next {
+    pub fn on_report(&mut self, report: Option<Report>, target: u64, now: Duration) -> Next {
         let Some(report) = report else {
             self.missing_reports += 1;
             return if gives_up(self.missing_reports) {
@@ -79,7 +79,7 @@
             };
         };
         self.missing_reports = 0;
-        match load_step(&report, wanted, self.ordered, now) {
+        match load_step(&report, target, self.ordered, now) {
             LoadStep::Done => report.weights.map_or(Next::Stop, Next::Done),
             LoadStep::Wait => Next::Poll(POLL_INTERVAL),
             LoadStep::Order { expected } => Next::Order { expected },
