--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -1,4 +1,4 @@
-//! Time of one choice of an engine, by the size of the pool: `cargo run --release -p dispatch --example choice_cost`.
+//! Measures the time to choose an engine, by pool size: `cargo run --release -p dispatch --example choice_cost`.
 
 use dispatch::fleet::{Backlog, Choice, Fleet, FleetSettings, PickContext, Prompt, PromptPart, ShortKey, TargetAge};
 use dispatch::retries::RetryLimits;
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 const CHOICES: u64 = 5_000;
-/// When the choices begin.
-const BEGIN: Duration = Duration::from_secs(2);
-/// Other routers, and endpoints that requests of each wait for.
+/// Simulated time of the first choice.
+const START: Duration = Duration::from_secs(2);
+/// Number of peers, and of endpoints in the backlog of each.
 const ROUTERS: u64 = 32;
-const BACKLOG: u64 = 8;
+const BACKLOG_ENDPOINTS: u64 = 8;
 
 fn main() {
     for endpoints in [12, 90, 140, 1_000, 6_800] {
@@ -59,22 +59,22 @@
         upper: Some(Duration::ZERO),
     };
     fleet.set_target(&ModelId::from("grain"), 2, age, Duration::ZERO);
-    tell(&mut fleet, endpoints);
+    announce_backlogs(&mut fleet, endpoints);
     fleet
 }
 
-/// Other routers tell what their requests wait for, as many as one router hears.
-fn tell(fleet: &mut Fleet, endpoints: u64) {
+/// Announces the backlogs of as many peers as one router hears from.
+fn announce_backlogs(fleet: &mut Fleet, endpoints: u64) {
     for router in 0..ROUTERS {
-        let waits = (0..BACKLOG).map(|place| {
-            let endpoint = EndpointId::from(format!("i-{:010x}", (router * 31 + place * 7) % endpoints));
+        let tokens = (0..BACKLOG_ENDPOINTS).map(|index| {
+            let endpoint = EndpointId::from(format!("i-{:010x}", (router * 31 + index * 7) % endpoints));
             (ShortKey::from(EndpointKey::from(&endpoint)), 2_000)
         });
         let backlog = Backlog {
-            tokens: waits.collect(),
+            tokens: tokens.collect(),
             lane_tokens: Vec::new(),
         };
-        fleet.update_backlog(&VmId::from(format!("vm-{router}")), &backlog, BEGIN);
+        fleet.update_backlog(&VmId::from(format!("vm-{router}")), &backlog, START);
     }
 }
 
@@ -91,16 +91,16 @@
         max_output: 50,
     };
     let service = ServiceId::from("pool");
-    let wish = PickContext {
+    let context = PickContext {
         service: &service,
         avoid: &[],
         prompt: Some(&prompt),
         isolated: None,
     };
     let draw = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let begun = Instant::now();
-    let choice = fleet.choose(&wish, draw, BEGIN + Duration::from_micros(100 * number));
-    let took = begun.elapsed();
+    let started = Instant::now();
+    let choice = fleet.choose(&context, draw, START + Duration::from_micros(100 * number));
+    let elapsed = started.elapsed();
     assert!(matches!(choice, Choice::Endpoint(_)));
-    took
+    elapsed
 }
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to.
+//! Choice of the endpoint for a request.
 
 mod support;
 
@@ -8,23 +8,23 @@
 use std::sync::Arc;
 use support::fleet::{at, entry, fleet, pool, prompt, send};
 
-/// Endpoints of a plain service have few slots, and a burst of calls comes within a moment. Sent to whichever answered fastest
-/// last time they would queue up there while the others idle.
+/// Endpoints of a plain service have few slots, and a burst of requests arrives at once. Sent to the endpoint with
+/// the lowest last latency, they would queue there while the others idle.
 #[test]
-fn a_burst_spreads_over_the_slots() {
+fn burst_spreads_over_all_slots() {
     let mut fleet = pool(&[1, 1, 1]);
     let mut counts = [0; 3];
     for draw in 0..18 {
-        let name = send(&mut fleet, None, &[], draw, at(0)).expect("an endpoint");
-        counts[usize::from(name.as_bytes()[1] - b'0')] += 1;
+        let endpoint = send(&mut fleet, None, &[], draw, at(0)).expect("an endpoint");
+        counts[usize::from(endpoint.as_bytes()[1] - b'0')] += 1;
     }
     assert_eq!(counts, [6, 6, 6]);
 }
 
-/// Other routers fill an endpoint of which this one sees little. What it reports on an answer keeps new calls away for a while,
+/// Peers fill an endpoint that this router rarely uses. Its load report has to keep new requests away for a while;
 /// then it is tried again.
 #[test]
-fn a_load_report_counts_for_a_moment() {
+fn load_report_diverts_requests_until_it_decays() {
     let mut fleet = pool(&[1, 1]);
     let full = LoadReport { running: 6, waiting: 4 };
     fleet.record_load(&EndpointId::from("e0"), full, at(0));
@@ -35,40 +35,40 @@
     assert_eq!(send(&mut fleet, None, &[], 0, at(3_001)).as_deref(), Some("e0"));
 }
 
-/// An endpoint answers half of its calls with errors while it says that it is well. A caller notices failures for as long
-/// as calls go there.
+/// An endpoint answers half of its requests with errors while it reports that it is healthy. Clients see failures for
+/// as long as requests go there.
 #[test]
-fn an_endpoint_that_fails_half_of_its_calls_is_left() {
+fn endpoint_failing_half_of_its_requests_is_avoided() {
     let mut fleet = pool(&[1, 1, 1]);
-    let (grey, now) = (EndpointId::from("e0"), at(0));
+    let (failing, now) = (EndpointId::from("e0"), at(0));
     for round in 0..20 {
         let outcome = if round % 2 == 0 {
             Outcome::Failed
         } else {
             Outcome::Answered(at(20))
         };
-        fleet.record_outcome(&grey, outcome, now);
-        for sound in ["e1", "e2"] {
-            fleet.record_outcome(&EndpointId::from(sound), Outcome::Answered(at(20)), now);
+        fleet.record_outcome(&failing, outcome, now);
+        for healthy in ["e1", "e2"] {
+            fleet.record_outcome(&EndpointId::from(healthy), Outcome::Answered(at(20)), now);
         }
     }
     let used: BTreeSet<_> = (0..12)
         .filter_map(|draw| send(&mut fleet, None, &[], draw, now))
         .collect();
     assert!(!used.contains("e0"), "{used:?}");
-    // With nothing else left it is still better than a refusal.
+    // With no other endpoint left it is still better than a refusal.
     let others = [EndpointId::from("e1"), EndpointId::from("e2")];
     assert_eq!(send(&mut fleet, None, &others, 0, now).as_deref(), Some("e0"));
 }
 
-/// An endpoint failed and was left; it gets no work, so it cannot show that it is well again. While it is left for ever the
-/// others carry its load, slow down, and are left in their turn.
+/// An endpoint that is avoided for its failures gets no requests, so it can't show that it has recovered. If it were
+/// avoided for ever, the others would carry its load, slow down, and be avoided in turn.
 #[test]
-fn an_endpoint_that_was_left_is_tried_again() {
+fn avoided_endpoint_is_tried_again() {
     let mut fleet = pool(&[1, 1]);
-    let grey = EndpointId::from("e0");
+    let failing = EndpointId::from("e0");
     for _ in 0..20 {
-        fleet.record_outcome(&grey, Outcome::Failed, at(0));
+        fleet.record_outcome(&failing, Outcome::Failed, at(0));
         fleet.record_outcome(&EndpointId::from("e1"), Outcome::Answered(at(20)), at(0));
     }
     assert_eq!(send(&mut fleet, None, &[], 0, at(10)).as_deref(), Some("e1"));
@@ -78,9 +78,9 @@
     assert!(used.contains("e0"), "{used:?}");
 }
 
-/// Engines answer late under load, all of them. None is left for that.
+/// Under load all engines answer late. None of them may be avoided for that.
 #[test]
-fn late_answers_make_no_endpoint_grey() {
+fn timeouts_under_load_do_not_make_an_endpoint_unhealthy() {
     let mut fleet = pool(&[1, 1]);
     for _ in 0..50 {
         fleet.record_outcome(&EndpointId::from("e0"), Outcome::Timeout, at(0));
@@ -92,10 +92,10 @@
     assert_eq!(used.len(), 2, "{used:?}");
 }
 
-/// Prompts of one session share thousands of tokens. Every router must send them to the same engine without asking the others, or
-/// each engine reads them anew.
+/// Prompts of one session share thousands of tokens. Every router has to send them to the same engine without
+/// communicating, or else each engine reads them again.
 #[test]
-fn routers_agree_on_a_prefix_home() {
+fn routers_agree_on_the_home_of_a_prefix() {
     let homes = |draw: u64| -> Vec<Option<String>> {
         let mut fleet = pool(&[1; 9]);
         (10..40)
@@ -104,14 +104,15 @@
     };
     let (one, other) = (homes(1_000), homes(2_000));
     let same = one.iter().zip(&other).filter(|(one, other)| one == other).count();
-    assert!(same >= 24, "{same} of 30 sessions have one home");
+    assert!(same >= 24, "{same} of 30 sessions have the same home");
     let used: BTreeSet<_> = one.iter().collect();
     assert!(used.len() >= 6, "sessions spread over {} engines", used.len());
 }
 
-/// One session becomes hot. All of it at its home would queue there for seconds while other engines idle.
+/// One session gets most of the traffic. If all of it went to its home, it would queue there for seconds while other
+/// engines idle.
 #[test]
-fn a_hot_prefix_spills() {
+fn hot_prefix_spills_to_other_engines() {
     let mut fleet = pool(&[1; 9]);
     let used: BTreeSet<_> = (0..60)
         .filter_map(|own| send(&mut fleet, Some(&prompt(7, 100 + own)), &[], own, at(0)))
@@ -119,9 +120,10 @@
     assert!(used.len() >= 3, "{used:?}");
 }
 
-/// An engine that is about to load weights refuses what hasn't started, and some requests may be sent to one engine only.
+/// An engine that is about to load weights refuses requests that haven't started, and some requests may be sent to
+/// one engine only.
 #[test]
-fn nothing_goes_to_an_endpoint_that_loads_or_leaves() {
+fn loading_and_draining_endpoints_get_no_requests() {
     let mut leaving = entry("e2", 1);
     leaving.leaving = true;
     let mut fleet = fleet(&[entry("e0", 1), entry("e1", 1), leaving]);
@@ -132,54 +134,55 @@
     assert_eq!(used.into_iter().collect::<Vec<_>>(), ["e1"]);
 }
 
-/// Two connections to an endpoint break in a row: it has crashed. New calls there would only lose time until its entry goes.
+/// Two connections to an endpoint fail in a row because it has crashed. New requests there would only lose time until
+/// its entry is removed.
 #[test]
-fn a_dead_endpoint_is_probed_and_not_called() {
+fn unreachable_endpoint_is_probed_and_gets_no_requests() {
     let mut fleet = pool(&[1, 1]);
-    let dead = EndpointId::from("e0");
-    fleet.record_outcome(&dead, Outcome::ConnectFailed, at(0));
-    fleet.record_outcome(&dead, Outcome::ConnectFailed, at(10));
+    let unreachable = EndpointId::from("e0");
+    fleet.record_outcome(&unreachable, Outcome::ConnectFailed, at(0));
+    fleet.record_outcome(&unreachable, Outcome::ConnectFailed, at(10));
     for draw in 0..8 {
         assert_eq!(send(&mut fleet, None, &[], draw, at(20)).as_deref(), Some("e1"));
     }
     let probes = fleet.due_probes(at(300));
     assert_eq!(probes.iter().map(|entry| entry.id.as_str()).collect::<Vec<_>>(), ["e0"]);
-    fleet.record_probe(&dead, Outcome::Answered(at(5)), at(310));
+    fleet.record_probe(&unreachable, Outcome::Answered(at(5)), at(310));
     let used: BTreeSet<_> = (0..8)
         .filter_map(|draw| send(&mut fleet, None, &[], draw, at(320)))
         .collect();
     assert!(used.contains("e0"), "{used:?}");
 }
 
-/// An endpoint restarts under its old name. What ran in its former life must not be counted in the new one.
+/// An endpoint restarts under its old id. Requests of its previous incarnation must not count for the new one.
 #[test]
-fn another_life_begins_without_load() {
+fn new_incarnation_starts_without_load() {
     let mut fleet = pool(&[1, 1]);
     let id = EndpointId::from("e0");
     for _ in 0..6 {
         fleet.request_started(&id, Incarnation(1), 0, at(0));
     }
-    let mut reborn = entry("e0", 1);
-    reborn.incarnation = Incarnation(2);
-    fleet.upsert_endpoint(&Arc::new(reborn), at(10));
+    let mut restarted = entry("e0", 1);
+    restarted.incarnation = Incarnation(2);
+    fleet.upsert_endpoint(&Arc::new(restarted), at(10));
     fleet.request_finished(&id, Incarnation(1));
     fleet.request_started(&EndpointId::from("e1"), Incarnation(1), 0, at(0));
     assert_eq!(send(&mut fleet, None, &[], 0, at(20)).as_deref(), Some("e0"));
 }
 
-/// A router meets each endpoint of a large pool once in ten seconds, and its own reports are too old to tell which is full. What
-/// its neighbours heard keeps requests away from it; an older word of theirs does not replace what the router heard itself.
+/// In a large pool a router reaches each endpoint only once in ten seconds, so its own reports are too old to show
+/// which one is full. Newer reports from peers have to count; older ones must not replace the router's own.
 #[test]
-fn neighbours_reports_count_by_their_age() {
+fn newer_of_own_and_peer_load_report_wins() {
     let id = EndpointId::from("e0");
     let full = LoadReport { running: 6, waiting: 4 };
-    let mut neighbour = pool(&[1, 1]);
-    neighbour.record_load(&id, full, at(1_000));
-    let mut news = neighbour.loads_since(at(900), true);
-    assert_eq!(news.len(), 1);
-    assert_eq!(neighbour.loads_since(at(1_000), true), []);
-    // Clocks differ: the news comes with its age.
-    news[0].reported_at = at(5_000);
+    let mut peer = pool(&[1, 1]);
+    peer.record_load(&id, full, at(1_000));
+    let mut updates = peer.loads_since(at(900), true);
+    assert_eq!(updates.len(), 1);
+    assert_eq!(peer.loads_since(at(1_000), true), []);
+    // Clocks differ between routers, so updates are sent with their age.
+    updates[0].reported_at = at(5_000);
     struct Case {
         own: Option<u64>,
         used: &'static str,
@@ -205,21 +208,22 @@
         if let Some(own) = case.own {
             fleet.record_load(&id, LoadReport::default(), at(own));
         }
-        fleet.merge_loads(&news, at(5_050));
+        fleet.merge_loads(&updates, at(5_050));
         assert_eq!(
             send(&mut fleet, None, &[], 0, at(5_100)).as_deref(),
             Some(case.used),
             "{:?}",
             case.own
         );
-        let passed_on = fleet.loads_since(at(5_010), false);
-        assert_eq!(passed_on.iter().any(|news| news.report == full), case.used == "e1");
+        let forwarded = fleet.loads_since(at(5_010), false);
+        assert_eq!(forwarded.iter().any(|update| update.report == full), case.used == "e1");
     }
 }
 
-/// A short prompt's prefix has fewer tokens than a coarse block: its requests go anywhere, and each engine reads it.
+/// The prefix of a short prompt is shorter than a coarse block. If it were ignored, the requests would go anywhere
+/// and each engine would read the prefix.
 #[test]
-fn short_prompts_stay_where_their_prefix_is() {
+fn short_prompts_stay_with_their_cached_prefix() {
     let mut fleet = pool(&[1; 8]);
     let mut moved = 0;
     for session in 0..50 {
@@ -239,7 +243,7 @@
         let mut used = BTreeSet::new();
         for draw in 0..6_u64 {
             let now = at(1_000 * draw);
-            let name = send(
+            let endpoint = send(
                 &mut fleet,
                 Some(&short),
                 &[],
@@ -247,18 +251,18 @@
                 now,
             )
             .expect("an endpoint");
-            fleet.prefill_finished(&EndpointId::from(name.as_str()), Incarnation(1), now);
-            fleet.request_finished(&EndpointId::from(name.as_str()), Incarnation(1));
-            used.insert(name);
+            fleet.prefill_finished(&EndpointId::from(endpoint.as_str()), Incarnation(1), now);
+            fleet.request_finished(&EndpointId::from(endpoint.as_str()), Incarnation(1));
+            used.insert(endpoint);
         }
         moved += used.len() - 1;
     }
-    assert!(moved <= 5, "{moved} times to another endpoint");
+    assert!(moved <= 5, "sessions moved to another endpoint {moved} times");
 }
 
-/// An engine that reads a long prompt of another router answers nobody, and so tells nobody how long its queue is.
+/// An engine that reads a long prompt from a peer answers nobody, so it can't report how long its queue is.
 #[test]
-fn an_endpoint_where_requests_wait_too_long_is_left() {
+fn endpoint_with_stalled_requests_is_avoided() {
     let mut fleet = pool(&[1, 1]);
     let first = send(&mut fleet, Some(&prompt(7, 8)), &[], 0, at(0)).expect("an endpoint");
     let home = |fleet: &mut Fleet, now| send(fleet, Some(&prompt(7, 9)), &[], 0, at(now));
--- a/crates/dispatch/tests/fleet_weights.rs
+++ b/crates/dispatch/tests/fleet_weights.rs
@@ -1,61 +1,61 @@
-//! Which endpoint a request goes to while new weights are loaded.
+//! Choice of the endpoint for a request while new weights are loaded.
 
 mod support;
 
 use dispatch::fleet::{Fleet, LoadReport, Outcome, Prompt, PromptPart};
 use ids::{EndpointId, Incarnation};
 use std::collections::BTreeSet;
-use support::fleet::{at, model, name, pool, prompt, send};
+use support::fleet::{at, model, pool, prompt, send, set_target};
 
-/// New weights are named and reach one engine after the other. A request that begins on older ones long after is a stale
-/// answer; refusing everything until the last engine has them would be an outage.
+/// New weights become the target and reach one engine after the other. A request that begins on older weights long
+/// after gets a stale answer, but refusing everything until the last engine has the new weights would be an outage.
 #[test]
-fn old_weights_serve_for_a_while_only() {
+fn stale_weights_serve_until_the_soft_limit() {
     struct Case {
         weights: &'static [u64],
-        named: &'static [(u64, Option<u64>)],
+        set_at: &'static [(u64, Option<u64>)],
         now: u64,
         allowed: &'static [&'static str],
     }
     let cases = [
         Case {
             weights: &[1, 1, 2],
-            named: &[(2, Some(0))],
+            set_at: &[(2, Some(0))],
             now: 7_400,
             allowed: &["e0", "e1", "e2"],
         },
         Case {
             weights: &[1, 1, 2],
-            named: &[(2, Some(0))],
+            set_at: &[(2, Some(0))],
             now: 7_500,
             allowed: &["e2"],
         },
-        // Each version counts from its own naming.
+        // The staleness of each version counts from the time its successor was set.
         Case {
             weights: &[1, 2, 3],
-            named: &[(2, Some(0)), (3, Some(4_000))],
+            set_at: &[(2, Some(0)), (3, Some(4_000))],
             now: 7_500,
             allowed: &["e1", "e2"],
         },
-        // Named before this router followed the store: perhaps long ago.
+        // Set before this router first read the store, perhaps long ago.
         Case {
             weights: &[1, 1, 2],
-            named: &[(2, None)],
+            set_at: &[(2, None)],
             now: 0,
             allowed: &["e2"],
         },
-        // An answer on old weights is better than none.
+        // An answer on stale weights is better than none.
         Case {
             weights: &[1, 1, 1],
-            named: &[(2, Some(0))],
+            set_at: &[(2, Some(0))],
             now: 9_000,
             allowed: &["e0", "e1", "e2"],
         },
     ];
     for case in cases {
         let mut fleet = pool(case.weights);
-        for (weights, at_ms) in case.named {
-            name(&mut fleet, *weights, at_ms.map(at));
+        for (weights, at_ms) in case.set_at {
+            set_target(&mut fleet, *weights, at_ms.map(at));
         }
         let used: BTreeSet<String> = (0..200)
             .filter_map(|own| send(&mut fleet, Some(&prompt(own, 1_000 + own)), &[], own * 7, at(case.now)))
@@ -64,16 +64,17 @@
         assert_eq!(
             used, case.allowed,
             "{:?} {:?} at {}",
-            case.weights, case.named, case.now
+            case.weights, case.set_at, case.now
         );
     }
 }
 
-/// New weights are named every few seconds, and an engine finishes what it runs before it loads them. One long answer keeps it
-/// from everything else for seconds, and a pool whose engines take turns at that is full: callers' first events are late.
-/// So engines whose turn is near get none, as long as others serve; long prompts with short answers still go there.
+/// New weights become the target every few seconds, and an engine finishes its running requests before it loads them.
+/// One long answer keeps it from serving others for seconds. A pool whose engines take turns at that is full, and
+/// first events are late. So engines that load soon get no long answers as long as others serve; long prompts with
+/// short answers still go there.
 #[test]
-fn long_answers_keep_away_from_endpoints_that_load_soon() {
+fn decode_heavy_requests_avoid_endpoints_that_load_soon() {
     let long = |session| Prompt {
         parts: vec![
             PromptPart {
@@ -95,54 +96,54 @@
     };
     struct Case<'a> {
         prompt: &'a dyn Fn(u64) -> Prompt,
-        coming: &'static [&'static str],
+        upcoming: &'static [&'static str],
         used: &'static [&'static str],
     }
     let cases = [
         Case {
             prompt: &long,
-            coming: &["e0", "e1"],
+            upcoming: &["e0", "e1"],
             used: &["e2"],
         },
         Case {
             prompt: &long,
-            coming: &["e0", "e1", "e2"],
+            upcoming: &["e0", "e1", "e2"],
             used: &["e0", "e1", "e2"],
         },
         Case {
             prompt: &short,
-            coming: &["e0", "e1"],
+            upcoming: &["e0", "e1"],
             used: &["e0", "e1", "e2"],
         },
     ];
     for case in cases {
         let mut fleet = pool(&[1, 1, 1]);
-        fleet.set_loading(BTreeSet::new(), ids(case.coming));
+        fleet.set_loading(BTreeSet::new(), ids(case.upcoming));
         let used: BTreeSet<EndpointId> = (0..12)
             .filter_map(|session| send(&mut fleet, Some(&(case.prompt)(session)), &[], session, at(0)))
             .map(EndpointId::from)
             .collect();
-        assert_eq!(used, ids(case.used), "{:?} come next", case.coming);
+        assert_eq!(used, ids(case.used), "{:?} load next", case.upcoming);
     }
 }
 
-/// An engine refuses a request that names other weights than it serves. Believed to have the old ones it has the newest by
-/// now; believed to have the newest it has restarted with what its entry says.
+/// An engine refuses a request that names other weights than it serves. If it was assumed to have old weights, it has
+/// the target by now. If it was assumed to have the target, it has restarted with the weights of its entry.
 #[test]
-fn a_refusal_for_other_weights_corrects_the_belief() {
+fn refusal_for_other_weights_corrects_the_assumed_weights() {
     let id = EndpointId::from("e0");
     let mut fleet = pool(&[1, 1]);
-    name(&mut fleet, 3, Some(at(0)));
+    set_target(&mut fleet, 3, Some(at(0)));
     fleet.correct_weights(&id, &model());
     assert_eq!(fleet.weights(&id, &model()), Some(3));
     fleet.correct_weights(&id, &model());
     assert_eq!(fleet.weights(&id, &model()), Some(1));
 }
 
-/// One of five engines has new weights. Were they preferred by all prompts, this one would get the work of five, from routers that
+/// One of five engines has new weights. If all prompts preferred it, it would get the work of five, from routers that
 /// don't see how full it is.
 #[test]
-fn new_weights_get_their_share() {
+fn fresh_engines_get_only_their_share_of_requests() {
     struct Case {
         weights: &'static [u64],
         least: usize,
@@ -162,27 +163,28 @@
     ];
     for case in cases {
         let mut fleet = pool(case.weights);
-        name(&mut fleet, 2, Some(at(0)));
-        let renewed = (0..1_000).filter(|session| {
+        set_target(&mut fleet, 2, Some(at(0)));
+        let fresh = (0..1_000).filter(|session| {
             let used = send(&mut fleet, Some(&prompt(*session, 9)), &[], session * 7, at(2_000));
             let used = used.map(EndpointId::from).expect("an endpoint");
             fleet.request_finished(&used, Incarnation(1));
             fleet.prefill_finished(&used, Incarnation(1), at(2_000));
             fleet.weights(&used, &model()) == Some(2)
         });
-        let renewed = renewed.count();
+        let fresh = fresh.count();
         assert!(
-            (case.least..=case.most).contains(&renewed),
-            "{renewed} with {:?}",
+            (case.least..=case.most).contains(&fresh),
+            "{fresh} requests to fresh engines with weights {:?}",
             case.weights
         );
     }
 }
 
-/// Engines with old weights have queues of seconds, and all prompts leave them at one moment: what waits there begins on weights that
-/// are too old by then. So prompts leave them one after the other, and the queues are short when the last ones go.
+/// Engines with old weights have queues of seconds. If all prompts moved off them at one moment, the queued requests
+/// would begin on weights that are too old by then. So prompts move off gradually, and the queues are short when the
+/// last ones do.
 #[test]
-fn prompts_leave_old_weights_one_after_the_other() {
+fn prompts_move_off_stale_weights_gradually() {
     struct Case {
         now: u64,
         least: usize,
@@ -207,7 +209,7 @@
     ];
     for case in cases {
         let mut fleet = pool(&[2, 1, 1, 1, 1]);
-        name(&mut fleet, 2, Some(at(0)));
+        set_target(&mut fleet, 2, Some(at(0)));
         let old = (0..1_000).filter(|session| {
             let used = send(&mut fleet, Some(&prompt(*session, 9)), &[], session * 7, at(case.now));
             let used = used.map(EndpointId::from).expect("an endpoint");
@@ -216,57 +218,69 @@
             fleet.weights(&used, &model()) == Some(1)
         });
         let old = old.count();
-        assert!((case.least..=case.most).contains(&old), "{old} at {}", case.now);
+        assert!(
+            (case.least..=case.most).contains(&old),
+            "{old} requests on stale weights at {}",
+            case.now
+        );
     }
 }
 
-/// The holder of orders dies in the middle of a rollout, and the engines that have the new weights fill up or go. A request that begins
-/// on the old ones after the bound is a stale answer, worth nothing to its caller; it is refused, and comes back.
+/// The lease holder crashes in the middle of a rollout, and the engines with new weights fill up or disappear. A
+/// request that begins on old weights past the hard limit gets a worthless answer, so it has to be refused; the
+/// client retries.
 #[test]
-fn nothing_begins_on_old_weights_after_the_bound() {
+fn no_request_begins_on_weights_past_the_hard_limit() {
     struct Case {
-        named: Option<u64>,
+        set_at: Option<u64>,
         now: u64,
         served: bool,
     }
     let cases = [
         Case {
-            named: Some(0),
+            set_at: Some(0),
             now: 9_400,
             served: true,
         },
         Case {
-            named: Some(0),
+            set_at: Some(0),
             now: 9_500,
             served: false,
         },
-        // A router that has just started doesn't know when they were named: perhaps too long ago.
+        // A router that has just started doesn't know when the weights became the target, perhaps too long ago.
         Case {
-            named: None,
+            set_at: None,
             now: 0,
             served: false,
         },
         Case {
-            named: None,
+            set_at: None,
             now: 9_500,
             served: false,
         },
     ];
     for case in cases {
         let mut fleet = pool(&[1, 1]);
-        name(&mut fleet, 2, case.named.map(at));
+        set_target(&mut fleet, 2, case.set_at.map(at));
         let sent = send(&mut fleet, Some(&prompt(7, 8)), &[], 1, at(case.now));
-        assert_eq!(sent.is_some(), case.served, "named {:?}, at {}", case.named, case.now);
+        assert_eq!(
+            sent.is_some(),
+            case.served,
+            "set at {:?}, now {}",
+            case.set_at,
+            case.now
+        );
     }
 }
 
-/// Engines with old weights are full, and what is sent there waits a second and more inside the engine. Sent before the bound and begun
-/// after it, the answer is worth nothing to its caller; so an engine is left earlier by the wait that is to be expected there.
+/// Engines with old weights are full, and requests wait there for a second or more. A request sent before the hard
+/// limit that begins after it gets a worthless answer. So such an engine has to be avoided earlier by the expected
+/// wait.
 #[test]
-fn an_engine_with_old_weights_is_left_earlier_by_the_wait_there() {
+fn expected_wait_counts_towards_the_hard_limit() {
     struct Case {
-        what: &'static str,
-        seen: fn(&mut Fleet, &EndpointId),
+        name: &'static str,
+        prepare: fn(&mut Fleet, &EndpointId),
         now: u64,
         used: &'static [&'static str],
     }
@@ -274,32 +288,32 @@
         |fleet, id| fleet.record_outcome(id, Outcome::Answered(at(1_400)), at(8_600));
     let cases = [
         Case {
-            what: "idle",
-            seen: |_, _| {},
+            name: "idle",
+            prepare: |_, _| {},
             now: 8_700,
             used: &["e0", "e1"],
         },
         Case {
-            what: "first events late",
-            seen: late,
+            name: "first events late",
+            prepare: late,
             now: 8_700,
             used: &["e1"],
         },
         Case {
-            what: "first events late, long before the bound",
-            seen: late,
+            name: "first events late, long before the limit",
+            prepare: late,
             now: 7_900,
             used: &["e0", "e1"],
         },
         Case {
-            what: "first events late a while ago",
-            seen: |fleet, id| fleet.record_outcome(id, Outcome::Answered(at(1_400)), at(5_000)),
+            name: "first events late some time ago",
+            prepare: |fleet, id| fleet.record_outcome(id, Outcome::Answered(at(1_400)), at(5_000)),
             now: 8_700,
             used: &["e0", "e1"],
         },
         Case {
-            what: "many wait by its report",
-            seen: |fleet, id| {
+            name: "its report shows many waiting requests",
+            prepare: |fleet, id| {
                 let running = 12;
                 fleet.record_load(id, LoadReport { running, waiting: 60 }, at(8_600));
             },
@@ -307,22 +321,23 @@
             used: &["e1"],
         },
         Case {
-            what: "prompts of this router aren't read yet",
-            seen: |fleet, id| fleet.request_started(id, Incarnation(1), 90_000, at(8_600)),
+            name: "prompts of this router are not read yet",
+            prepare: |fleet, id| fleet.request_started(id, Incarnation(1), 90_000, at(8_600)),
             now: 8_700,
             used: &["e1"],
         },
     ];
     let ids = ["e0", "e1"].map(EndpointId::from);
     for case in cases {
-        // Each engine is asked with the other one out of the way: a full one has work only if it is the last.
-        let used = ["e0", "e1"].into_iter().filter(|asked| {
+        // Each engine is tested with the other one excluded, because a full engine gets requests only if it is the
+        // last.
+        let used = ["e0", "e1"].into_iter().filter(|endpoint| {
             let mut fleet = pool(&[1, 1]);
-            name(&mut fleet, 2, Some(at(0)));
-            (case.seen)(&mut fleet, &ids[0]);
-            let others: Vec<EndpointId> = ids.iter().filter(|id| id.as_str() != *asked).cloned().collect();
+            set_target(&mut fleet, 2, Some(at(0)));
+            (case.prepare)(&mut fleet, &ids[0]);
+            let others: Vec<EndpointId> = ids.iter().filter(|id| id.as_str() != *endpoint).cloned().collect();
             send(&mut fleet, Some(&prompt(7, 8)), &others, 1, at(case.now)).is_some()
         });
-        assert_eq!(used.collect::<Vec<_>>(), case.used, "{}", case.what);
+        assert_eq!(used.collect::<Vec<_>>(), case.used, "{}", case.name);
     }
 }
--- a/crates/dispatch/tests/prefixes.rs
+++ b/crates/dispatch/tests/prefixes.rs
@@ -1,4 +1,4 @@
-//! What engines are told to exchange with the store of cached prefixes.
+//! What engines are told to exchange with the stores of cached prefixes.
 
 use dispatch::fleet::PromptPart;
 use dispatch::prefixes::{PartKey, PrefixEvent, PrefixEvents, PrefixStore, PrefixStores, Transfers};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 const SHARED: [PromptPart; 2] = [PromptPart { id: 1, tokens: 2_520 }, PromptPart { id: 2, tokens: 3_780 }];
-/// Tokens of the part that no other request has.
+/// Tokens of the part that belongs to one request only.
 const OWN: u64 = 100;
 
 fn address() -> SocketAddr {
@@ -42,10 +42,10 @@
 }
 
 fn check(store: &mut PrefixStore, salt: &str, now: u64, fetch: bool, save: bool) {
-    let there = |on: bool| on.then(address);
+    let address_if = |on: bool| on.then(address);
     let expected = Transfers {
-        fetch: there(fetch),
-        save: there(save),
+        fetch: address_if(fetch),
+        save: address_if(save),
     };
     assert_eq!(
         store.transfers(salt, &SHARED, OWN, at(now)),
@@ -54,15 +54,16 @@
     );
 }
 
-/// Every request sends its prefix to the store: parts that nobody asks for again push out the shared ones, and engines
-/// read those again. So only what the store lacks is sent, once. It is always asked: what it holds is heard of late, and
-/// a prompt that is read again costs far more than a vain question.
+/// If every request saved its prefix in the store, parts that are never requested again would push out the shared
+/// ones, and engines would read those again. So only parts that the store lacks are saved, once. The store is always
+/// asked: events about its content arrive late, and reading a prompt again costs far more than a request that finds
+/// nothing.
 #[test]
-fn a_part_is_sent_once_and_always_asked_for() {
+fn parts_are_saved_once_and_always_fetched() {
     let mut store = store(&[page(1, false, &[])]);
     check(&mut store, "3", 0, true, true);
     check(&mut store, "3", 100, true, false);
-    // No event came: it was not sent after all.
+    // No event confirmed it, so it counts as not saved.
     store.told(&page(1, false, &[]), at(1_400));
     check(&mut store, "3", 1_600, true, true);
     store.told(&page(1, false, &[(true, 1), (true, 2)]), at(1_700));
@@ -71,26 +72,26 @@
     check(&mut store, "3", 2_000, true, true);
 }
 
-/// Parts that older weights made, or an isolated workspace, lie under another scope: none of them counts as sent.
+/// Parts made with older weights or for an isolated workspace have another scope, so none of them counts as saved.
 #[test]
-fn scopes_do_not_mix() {
+fn parts_of_different_scopes_are_distinct() {
     let mut store = store(&[page(1, false, &[(true, 1), (true, 2)])]);
     check(&mut store, "4", 0, true, true);
     check(&mut store, "3/paper", 0, true, true);
     check(&mut store, "3", 0, true, false);
 }
 
-/// The store restarts empty. Parts that are wrongly believed there would never be sent again.
+/// The store restarts empty. Parts wrongly assumed to be there would never be saved again.
 #[test]
-fn nothing_is_believed_after_a_restart() {
+fn restarted_store_is_assumed_empty() {
     let mut store = store(&[page(1, false, &[(true, 1), (true, 2)]), page(2, false, &[])]);
     check(&mut store, "3", 0, true, true);
 }
 
-/// Events are lost, among them that a part has gone. It is still fetched, at the price of a millisecond, and sent once more
-/// after a while; were all beliefs dropped at each gap, a busy store would never be used.
+/// Events are lost, among them the removal of a part. The part is still fetched, which costs a millisecond, and saved
+/// again after a while. If each gap invalidated all parts, a busy store would never be used.
 #[test]
-fn a_gap_ends_trust_after_a_while() {
+fn confirmations_expire_after_an_event_gap() {
     let mut store = store(&[page(1, false, &[(true, 1), (true, 2)]), page(1, true, &[])]);
     check(&mut store, "3", 1_000, true, false);
     for at_ms in (2_000..=16_000).step_by(1_000) {
@@ -101,9 +102,10 @@
     check(&mut store, "3", 16_100, true, false);
 }
 
-/// An engine sends a prompt's own part along, which nobody asks for: it would take the room of shared parts in the store.
+/// An engine saves the request's own part along with the prefix. Nobody requests it again, and it would take the room
+/// of shared parts in the store.
 #[test]
-fn a_prefix_is_sent_only_with_a_shorter_own_part() {
+fn prefix_is_saved_only_with_a_shorter_own_part() {
     struct Case {
         own: u64,
         held: &'static [(bool, u64)],
@@ -136,15 +138,15 @@
         let transfers = store.transfers("3", &SHARED, case.own, at(0));
         assert_eq!(transfers.save.is_some(), case.save, "own {}", case.own);
         assert!(transfers.fetch.is_some());
-        // What was not sent is not taken for sent.
+        // Parts that were not saved must not count as saved.
         let next = store.transfers("3", &SHARED, 0, at(10));
-        assert_eq!(next.save.is_some(), !case.save, "own {}, then", case.own);
+        assert_eq!(next.save.is_some(), !case.save, "own {}, second request", case.own);
     }
 }
 
-/// An engine that asks a dead store waits for some hundred milliseconds before it reads the prompt itself.
+/// An engine that asks a failed store waits for some hundred milliseconds before it reads the prompt itself.
 #[test]
-fn a_silent_store_is_left_alone() {
+fn silent_store_is_not_used() {
     let mut store = store(&[page(1, false, &[(true, 1), (true, 2)])]);
     check(&mut store, "3", 1_499, true, false);
     check(&mut store, "3", 1_500, false, false);
@@ -158,17 +160,18 @@
         .collect()
 }
 
-/// Where each of a hundred sessions' prefixes is kept.
-fn places(stores: &mut PrefixStores, now: u64) -> Vec<Option<SocketAddr>> {
+/// The store that each of a hundred sessions' prefixes is assigned to.
+fn assigned_stores(stores: &mut PrefixStores, now: u64) -> Vec<Option<SocketAddr>> {
     let session = |id| [SHARED[0], PromptPart { id, tokens: 3_780 }];
-    let place = |id| stores.transfers("3", None, &session(id), OWN, at(now)).fetch;
-    (100..200).map(place).collect()
+    let store = |id| stores.transfers("3", None, &session(id), OWN, at(now)).fetch;
+    (100..200).map(store).collect()
 }
 
-/// A site has three stores of cached prefixes, each with room for half of its prefixes, and only one is used: it drops them
-/// within seconds, and engines read them again. Every router must look for a prefix in the same store.
+/// A site has three stores of cached prefixes, each with room for half of its prefixes. If only one were used, it
+/// would drop prefixes within seconds, and engines would read them again. Every router has to look for a prefix in
+/// the same store.
 #[test]
-fn prefixes_are_spread_over_all_stores() {
+fn prefixes_spread_over_all_stores() {
     let addresses = stores(3);
     let mut first = PrefixStores::default();
     let mut second = PrefixStores::default();
@@ -178,46 +181,47 @@
             stores.told(*address, &page(1, false, &[]), at(0));
         }
     }
-    let kept = places(&mut first, 10);
-    assert_eq!(kept, places(&mut second, 20));
+    let assigned = assigned_stores(&mut first, 10);
+    assert_eq!(assigned, assigned_stores(&mut second, 20));
     for address in addresses {
-        let share = kept.iter().filter(|place| **place == Some(address)).count();
-        assert!(share > 20, "{address} keeps {share} of 100");
+        let share = assigned.iter().filter(|store| **store == Some(address)).count();
+        assert!(share > 20, "{address} is assigned {share} of 100");
     }
 }
 
-/// One of the stores dies: engines that ask it wait for some hundred milliseconds. Its prefixes get a place in the others, and
-/// those of the others stay where they are.
+/// One of the stores fails, and engines that ask it wait for some hundred milliseconds. Its prefixes have to move to
+/// the others, and the prefixes of the others must stay.
 #[test]
-fn a_dead_stores_prefixes_go_to_the_others() {
+fn prefixes_of_a_failed_store_move_to_the_others() {
     let addresses = stores(3);
     let mut stores = PrefixStores::default();
     stores.located(&addresses);
     for address in &addresses {
         stores.told(*address, &page(1, false, &[]), at(0));
     }
-    let before = places(&mut stores, 10);
-    let dead = addresses[0];
+    let before = assigned_stores(&mut stores, 10);
+    let failed = addresses[0];
     for address in &addresses[1..] {
         stores.told(*address, &page(1, false, &[]), at(1_500));
     }
-    let after = places(&mut stores, 1_600);
+    let after = assigned_stores(&mut stores, 1_600);
     for (before, after) in before.into_iter().zip(after) {
-        assert_ne!(after, Some(dead));
-        assert!(after.is_some() && (before == Some(dead) || before == after));
+        assert_ne!(after, Some(failed));
+        assert!(after.is_some() && (before == Some(failed) || before == after));
     }
     stores.located(&addresses[1..2]);
     assert!(
-        places(&mut stores, 1_700)
+        assigned_stores(&mut stores, 1_700)
             .iter()
-            .all(|place| *place == Some(addresses[1]))
+            .all(|store| *store == Some(addresses[1]))
     );
 }
 
-/// An isolated workspace asks seldom, and shares its outermost part with nobody. With its sessions spread over three stores that part
-/// was read by engines once for each store and anew with all weights; so they stay together, and workspaces are spread.
+/// An isolated workspace sends few requests and shares its outermost part with no other. With its sessions spread
+/// over three stores, engines would read that part once for each store, and again with all weights. So its sessions
+/// stay together, and only workspaces are spread.
 #[test]
-fn an_isolated_workspaces_sessions_stay_together() {
+fn sessions_of_an_isolated_workspace_share_a_store() {
     let addresses = stores(3);
     let mut stores = PrefixStores::default();
     stores.located(&addresses);
@@ -228,14 +232,14 @@
     for workspace in ["paper", "wheat", "bags", "rice", "ink", "glue"].map(WorkspaceId::from) {
         let salt = format!("3/{workspace}");
         let session = |id| [SHARED[0], PromptPart { id, tokens: 3_780 }];
-        let place = |id| {
+        let store = |id| {
             stores
                 .transfers(&salt, Some(&workspace), &session(id), OWN, at(10))
                 .fetch
         };
-        let places: std::collections::BTreeSet<_> = (100..200).map(place).collect();
-        assert_eq!(places.len(), 1, "{workspace}");
-        used.extend(places);
+        let assigned_stores: std::collections::BTreeSet<_> = (100..200).map(store).collect();
+        assert_eq!(assigned_stores.len(), 1, "{workspace}");
+        used.extend(assigned_stores);
     }
-    assert!(used.len() > 1, "all workspaces in {used:?}");
+    assert!(used.len() > 1, "all workspaces assigned to {used:?}");
 }
--- a/crates/dispatch/tests/pressure.rs
+++ b/crates/dispatch/tests/pressure.rs
@@ -1,4 +1,4 @@
-//! How many requests are refused at once while first events are late.
+//! Load shedding while first events are late.
 
 use dispatch::pressure::Pressure;
 use std::time::Duration;
@@ -9,8 +9,8 @@
     Duration::from_millis(ms)
 }
 
-/// Share of a thousand requests that is refused.
-fn refused(pressure: &Pressure, now: u64) -> f64 {
+/// Share of a thousand requests that is shed.
+fn shed_share(pressure: &Pressure, now: u64) -> f64 {
     let step = u64::MAX / 1_000;
     let count = (0..1_000)
         .filter(|draw| pressure.should_shed(draw * step, at(now)))
@@ -18,18 +18,18 @@
     count as f64 / 1_000.0
 }
 
-/// First events every 200 ms, each this late in turn; returns when the last one came.
-fn seen(pressure: &mut Pressure, waits: &[u64], count: u64) -> u64 {
+/// Records a first event every 200 ms, with the given delays in turn. Returns when the last one arrived.
+fn record_waits(pressure: &mut Pressure, waits: &[u64], count: u64) -> u64 {
     for (number, wait) in (0..count).zip(waits.iter().cycle()) {
         pressure.record(at(*wait), OBJECTIVE, at(number * 200));
     }
     count.saturating_sub(1) * 200
 }
 
-/// Queues inside the engines stand at a second while callers go on asking: all answers are late, and callers leave. On an ordinary
-/// day, with one late answer in five, nobody must be refused.
+/// Queues inside the engines stay at a second while clients keep sending: all answers are late, and clients give up.
+/// In normal operation, with one late answer in five, no request may be shed.
 #[test]
-fn some_are_refused_while_most_first_events_are_late() {
+fn requests_are_shed_while_most_first_events_are_late() {
     struct Case {
         waits: &'static [u64],
         count: u64,
@@ -49,7 +49,7 @@
             least: 0.0,
             most: 0.0,
         },
-        // One answer that never came says little.
+        // A single answer that never arrived is weak evidence.
         Case {
             waits: &[2_000],
             count: 1,
@@ -71,8 +71,8 @@
     ];
     for case in cases {
         let mut pressure = Pressure::default();
-        let last = seen(&mut pressure, case.waits, case.count);
-        let share = refused(&pressure, last);
+        let last = record_waits(&mut pressure, case.waits, case.count);
+        let share = shed_share(&pressure, last);
         assert!(
             (case.least..=case.most).contains(&share),
             "{share} after {:?}",
@@ -81,21 +81,21 @@
     }
 }
 
-/// The queues are short again, or nothing was seen for a while: whoever comes is served.
+/// Once the queues are short again, or nothing was observed for a while, all requests are admitted.
 #[test]
-fn refusals_end_with_their_cause() {
+fn shedding_ends_with_its_cause() {
     let mut pressure = Pressure::default();
-    let last = seen(&mut pressure, &[2_000], 50);
-    assert!(refused(&pressure, last) > 0.4);
+    let last = record_waits(&mut pressure, &[2_000], 50);
+    assert!(shed_share(&pressure, last) > 0.4);
     assert!(
-        refused(&pressure, last + 10_000) < 0.05,
-        "without a word for ten seconds"
+        shed_share(&pressure, last + 10_000) < 0.05,
+        "after ten seconds without observations"
     );
     for number in 1..=20 {
         pressure.record(at(150), OBJECTIVE, at(last + number * 200));
     }
     assert!(
-        refused(&pressure, last + 4_000) < 0.05,
+        shed_share(&pressure, last + 4_000) < 0.05,
         "after twenty first events in time"
     );
 }
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of endpoints, and where its requests go.
+//! Builds a fleet of endpoints and sends requests to it.
 
 use dispatch::fleet::{Choice, Fleet, FleetSettings, PickContext, Prompt, PromptPart, TargetAge};
 use dispatch::retries::RetryLimits;
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub const OLD: Duration = Duration::from_millis(7_500);
+pub const SOFT_STALENESS: Duration = Duration::from_millis(7_500);
 
 pub fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -43,7 +43,7 @@
             window: Duration::from_secs(10),
             routers: 0,
         },
-        soft_staleness: OLD,
+        soft_staleness: SOFT_STALENESS,
         hard_staleness: at(9_500),
     });
     for entry in entries {
@@ -60,13 +60,13 @@
     fleet(&entries.collect::<Vec<_>>())
 }
 
-/// New weights are named at a time that the router saw, or before it knew of any.
-pub fn name(fleet: &mut Fleet, weights: u64, named: Option<Duration>) {
+/// Sets new target weights at a time that the router saw, or, with `None`, before it first read the store.
+pub fn set_target(fleet: &mut Fleet, weights: u64, set_at: Option<Duration>) {
     let age = TargetAge {
         lower: Duration::ZERO,
-        upper: named.map(|_| Duration::ZERO),
+        upper: set_at.map(|_| Duration::ZERO),
     };
-    fleet.set_target(&model(), weights, age, named.unwrap_or_default());
+    fleet.set_target(&model(), weights, age, set_at.unwrap_or_default());
 }
 
 pub fn prompt(session: u64, own: u64) -> Prompt {
@@ -85,7 +85,7 @@
     }
 }
 
-/// Where a request goes; it is counted there.
+/// Chooses an endpoint for a request and records the request there.
 pub fn send(
     fleet: &mut Fleet,
     prompt: Option<&Prompt>,
@@ -94,13 +94,13 @@
     now: Duration,
 ) -> Option<String> {
     let service = service();
-    let wish = PickContext {
+    let context = PickContext {
         service: &service,
         avoid,
         prompt,
         isolated: None,
     };
-    match fleet.choose(&wish, draw, now) {
+    match fleet.choose(&context, draw, now) {
         Choice::Endpoint(picked) => {
             let endpoint = &picked.endpoint;
             fleet.request_started(&endpoint.id, endpoint.incarnation, picked.prefill, now);
--- a/crates/dispatch/tests/support/pool.rs
+++ b/crates/dispatch/tests/support/pool.rs
@@ -1,4 +1,4 @@
-//! A pool of engines whose weights a holder renews, simulated without I/O in steps of 10 ms.
+//! Simulates a pool of engines that a lease holder orders to load new weights, without I/O and in steps of 10 ms.
 
 use dispatch::holder::{TURN_SLACK, Turns, listed};
 use dispatch::loading::{Loading, Next, ORDER_TIMEOUT, OrderOutcome};
@@ -7,37 +7,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long after new weights were named requests may begin on older ones, ms.
-pub const BOUND: u64 = 10_000;
-const STEP: u64 = 10;
-/// A load by itself, and how many run at full speed.
-const LOAD: u64 = 760;
-/// How old a report is.
-const REPORT_AGE: u64 = 300;
-/// From the decision that an endpoint takes part to the first look at it: the list is written, and the other routers hear of it.
-const NOTICE: u64 = 270;
-/// Within this time two holders may not order one engine, ms.
-const TURN_BOUND: u64 = 3_000;
-/// How long it takes to write the list once more.
-const WRITE: u64 = 50;
-/// How long a successor leaves those alone that its predecessor may have ordered.
-const TURN: Duration = Duration::from_millis(TURN_BOUND).saturating_add(TURN_SLACK);
+/// How long requests may begin on older weights after new ones became the target.
+pub const STALENESS_LIMIT_MS: u64 = 10_000;
+const STEP_MS: u64 = 10;
+/// Duration of a load at full speed. Only [`max_full_speed`] loads run at full speed at once.
+const LOAD_MS: u64 = 760;
+/// Age of a report.
+const REPORT_AGE_MS: u64 = 300;
+/// Time from the start of a load to its first poll: the load list is written, and the peers read it.
+const LIST_DELAY_MS: u64 = 270;
+/// Within this time two holders may not order the same engine.
+const HANDOVER_MS: u64 = 3_000;
+/// Duration of a further write of the load list.
+const WRITE_MS: u64 = 50;
+/// How long a new holder leaves alone the engines that its predecessor may have ordered.
+const HANDOVER_DELAY: Duration = Duration::from_millis(HANDOVER_MS).saturating_add(TURN_SLACK);
 
-/// What comes over the pool.
+/// Size of the pool, its timing and its faults.
 #[derive(Debug, Clone, Default)]
-pub struct Trouble {
-    /// Engines.
+pub struct Scenario {
+    /// Number of engines.
     pub engines: usize,
-    /// When weights 2, 3, … are named, ms.
-    pub named: Vec<u64>,
-    /// Longest answer that runs when an engine begins to run empty, ms; engines differ.
-    pub answers: u64,
+    /// When weights 2, 3, … become the target, ms.
+    pub set_at: Vec<u64>,
+    /// Duration of the longest answer that runs when an engine stops getting requests; it differs by engine.
+    pub answer_ms: u64,
     /// When the holder is lost, ms.
-    pub lost: Vec<u64>,
-    /// How long nobody has the right to order then, ms.
-    pub vacant: u64,
-    /// Every so many orders one gets no answer, and is carried out this much later, ms. 0: none.
-    pub late: (u64, u64),
+    pub lost_at: Vec<u64>,
+    /// Time after that in which nobody holds the order lease.
+    pub vacant_ms: u64,
+    /// `(every, delay)`: one in `every` orders gets no answer and is carried out `delay` ms later. 0 for none.
+    pub late_orders: (u64, u64),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -50,42 +50,44 @@
 struct Engine {
     weights: u64,
     orders: u64,
-    /// Weights to load, and what is left of the load in tenths of ms.
+    /// Weights being loaded, and the rest of the load in tenths of ms.
     load: Option<(u64, u64)>,
-    /// When its last answer ends, once it gets no requests.
-    empty: u64,
-    late: Vec<(u64, Order)>,
-    /// Its reports, one a step.
+    /// When its last answer ends after it stopped getting requests.
+    idle_at: u64,
+    late_orders: Vec<(u64, Order)>,
+    /// Its reports, one per step.
     reports: Vec<Report>,
-    /// Who ordered last, and when.
-    last: Option<(u64, u64)>,
+    /// Holder that sent the last order, and when.
+    last_order: Option<(u64, u64)>,
 }
 
 impl Engine {
-    fn take(&mut self, order: Order) -> OrderOutcome {
+    fn accept(&mut self, order: Order) -> OrderOutcome {
         if self.load.is_some() || order.expected != self.orders {
             return OrderOutcome::Conflict;
         }
         self.orders += 1;
-        self.load = Some((order.weights, LOAD * 10));
+        self.load = Some((order.weights, LOAD_MS * 10));
         OrderOutcome::Accepted
     }
 
-    fn loads(&self, now: u64) -> bool {
-        self.load.is_some() && now >= self.empty
+    fn is_loading(&self, now: u64) -> bool {
+        self.load.is_some() && now >= self.idle_at
     }
 
     fn step(&mut self, now: u64, speed: u64) {
         let due: Vec<Order> = self
-            .late
+            .late_orders
             .extract_if(.., |(at, _)| *at <= now)
             .map(|late| late.1)
             .collect();
         for order in due {
-            self.take(order);
+            self.accept(order);
         }
-        if self.loads(now) {
-            self.load = self.load.map(|(weights, left)| (weights, left.saturating_sub(speed)));
+        if self.is_loading(now) {
+            self.load = self
+                .load
+                .map(|(weights, remaining)| (weights, remaining.saturating_sub(speed)));
         }
         if let Some((weights, 0)) = self.load {
             self.weights = weights;
@@ -99,45 +101,45 @@
     }
 
     fn report(&self, now: u64) -> Report {
-        let at = now.saturating_sub(REPORT_AGE) / STEP;
+        let at = now.saturating_sub(REPORT_AGE_MS) / STEP_MS;
         self.reports[(at as usize).min(self.reports.len() - 1)]
     }
 }
 
-/// One endpoint that takes part.
+/// An engine that is to load.
 #[derive(Debug, Clone, Copy)]
-struct Part {
+struct ActiveLoad {
     loading: Loading,
-    /// When it is looked at next.
-    look: u64,
-    /// When an order that gets no answer is given up.
-    waits: Option<(u64, Ordered)>,
+    /// When it is polled next.
+    poll_at: u64,
+    /// When an unanswered order was sent, and the order.
+    pending: Option<(u64, Ordered)>,
 }
 
 /// A simulated rollout.
 pub struct Pool {
-    trouble: Trouble,
+    scenario: Scenario,
     engines: BTreeMap<EndpointId, Engine>,
-    parts: BTreeMap<EndpointId, Part>,
-    /// What the routers know of the holder's list.
-    turns: Turns,
-    ended: BTreeMap<EndpointId, u64>,
-    /// The list, and when it was told.
-    listed: Vec<EndpointId>,
-    told: u64,
-    /// Who holds the right, and from when on.
+    active: BTreeMap<EndpointId, ActiveLoad>,
+    /// What the routers know of the holder's load list.
+    foreign_orders: Turns,
+    finished: BTreeMap<EndpointId, u64>,
+    /// The load list, and when it was written.
+    load_list: Vec<EndpointId>,
+    list_sent: u64,
+    /// Current holder, and from when on it holds the order lease.
     holder: u64,
-    vacant: u64,
-    /// Orders that were sent.
+    vacant_until: u64,
+    /// Orders sent.
     pub orders: u64,
-    /// Orders that two holders gave to one engine within a turn.
-    pub crossed: u64,
-    /// Most engines whose weights were past the bound at one time: callers aren't sent there.
-    pub past: usize,
+    /// Orders that two holders sent to one engine within [`HANDOVER_MS`].
+    pub conflicting: u64,
+    /// Largest number of engines with weights past the limit at one time; they get no requests.
+    pub max_expired: usize,
 }
 
 impl Pool {
-    pub fn new(trouble: Trouble) -> Self {
+    pub fn new(scenario: Scenario) -> Self {
         let engine = |at| {
             let engine = Engine {
                 weights: 1,
@@ -146,164 +148,166 @@
             (EndpointId::from(format!("e{at:03}").as_str()), engine)
         };
         Self {
-            engines: (0..trouble.engines).map(engine).collect(),
-            trouble,
-            parts: BTreeMap::new(),
-            turns: Turns::default(),
-            ended: BTreeMap::new(),
-            listed: Vec::new(),
-            told: 0,
+            engines: (0..scenario.engines).map(engine).collect(),
+            scenario,
+            active: BTreeMap::new(),
+            foreign_orders: Turns::default(),
+            finished: BTreeMap::new(),
+            load_list: Vec::new(),
+            list_sent: 0,
             holder: 0,
-            vacant: 0,
+            vacant_until: 0,
             orders: 0,
-            crossed: 0,
-            past: 0,
+            conflicting: 0,
+            max_expired: 0,
         }
     }
 
-    /// How long after some weights were named the last engine got them or newer ones, for all of them, ms.
+    /// Runs the simulation. Returns the longest time from setting a target until all engines had it or a newer one,
+    /// in ms.
     pub fn run(&mut self) -> u64 {
         let mut slowest = 0;
-        let end = self.trouble.named.last().unwrap_or(&0) + 60_000;
-        for now in (0..end).step_by(STEP as usize) {
+        let end = self.scenario.set_at.last().unwrap_or(&0) + 60_000;
+        for now in (0..end).step_by(STEP_MS as usize) {
             self.step(now);
-            self.past = self.past.max(self.count_past(now));
+            self.max_expired = self.max_expired.max(self.count_expired(now));
             let oldest = self.engines.values().map(|engine| engine.weights).min().unwrap_or(0);
-            let named = self.trouble.named.clone();
-            let missing = (2..).zip(named).find(|(weights, _)| *weights > oldest);
+            let set_at = self.scenario.set_at.clone();
+            let missing = (2..).zip(set_at).find(|(weights, _)| *weights > oldest);
             let Some((_, at)) = missing else { return slowest };
             slowest = slowest.max(now.saturating_sub(at));
         }
         slowest
     }
 
-    fn count_past(&self, now: u64) -> usize {
-        let named = &self.trouble.named;
-        let past = |engine: &&Engine| {
-            named
+    fn count_expired(&self, now: u64) -> usize {
+        let set_at = &self.scenario.set_at;
+        let expired = |engine: &&Engine| {
+            set_at
                 .get(engine.weights as usize - 1)
-                .is_some_and(|at| now > at + BOUND)
+                .is_some_and(|at| now > at + STALENESS_LIMIT_MS)
         };
-        self.engines.values().filter(past).count()
+        self.engines.values().filter(expired).count()
     }
 
     fn step(&mut self, now: u64) {
-        let loads = self.engines.values().filter(|engine| engine.loads(now)).count() as u64;
-        let full = most_full(self.engines.len()) as u64;
-        let speed = (STEP * 10 * full / loads.max(1)).min(STEP * 10);
+        let loading = self.engines.values().filter(|engine| engine.is_loading(now)).count() as u64;
+        let full = max_full_speed(self.engines.len()) as u64;
+        let speed = (STEP_MS * 10 * full / loading.max(1)).min(STEP_MS * 10);
         for engine in self.engines.values_mut() {
             engine.step(now, speed);
         }
-        if self.trouble.lost.contains(&now) {
-            self.vacant = now + self.trouble.vacant;
+        if self.scenario.lost_at.contains(&now) {
+            self.vacant_until = now + self.scenario.vacant_ms;
             self.holder += 1;
-            for id in std::mem::take(&mut self.listed) {
-                self.turns.other(&id, Duration::from_millis(self.told));
+            for id in std::mem::take(&mut self.load_list) {
+                self.foreign_orders.other(&id, Duration::from_millis(self.list_sent));
             }
-            self.parts.clear();
-            self.ended.clear();
+            self.active.clear();
+            self.finished.clear();
         }
-        let named = self.trouble.named.iter().filter(|at| **at <= now).count() as u64;
-        if named == 0 || now < self.vacant {
+        let count = self.scenario.set_at.iter().filter(|at| **at <= now).count() as u64;
+        if count == 0 || now < self.vacant_until {
             return;
         }
-        let wanted = named + 1;
-        self.begin(wanted, now);
-        let parts: Vec<EndpointId> = self.parts.keys().cloned().collect();
-        for id in parts {
-            self.look(&id, wanted, now);
+        let target = count + 1;
+        self.begin(target, now);
+        let active: Vec<EndpointId> = self.active.keys().cloned().collect();
+        for id in active {
+            self.poll(&id, target, now);
         }
     }
 
-    fn begin(&mut self, wanted: u64, now: u64) {
+    fn begin(&mut self, target: u64, now: u64) {
         let at = Duration::from_millis(now);
-        let free = |id: &&EndpointId| self.turns.may_order(id, TURN, at);
+        let free = |id: &&EndpointId| self.foreign_orders.may_order(id, HANDOVER_DELAY, at);
         let runner = |id: &EndpointId| Runner {
             endpoint: id.clone(),
             weights: self.engines[id].weights,
             leaving: false,
         };
         let runners: Vec<Runner> = self.engines.keys().filter(free).map(runner).collect();
-        let loading: BTreeSet<EndpointId> = self.parts.keys().cloned().collect();
-        let begin = next_loads(&runners, wanted, &loading).begin;
+        let loading: BTreeSet<EndpointId> = self.active.keys().cloned().collect();
+        let begin = next_loads(&runners, target, &loading).begin;
         let changed = !begin.is_empty();
         for id in begin {
-            let part = Part {
+            let active_load = ActiveLoad {
                 loading: Loading::default(),
-                look: now + NOTICE,
-                waits: None,
+                poll_at: now + LIST_DELAY_MS,
+                pending: None,
             };
-            let engine = self.engines.get_mut(&id).expect("it was listed");
-            // The longest answer of each engine ends at another moment.
+            let engine = self.engines.get_mut(&id).expect("a known engine");
+            // The longest answer ends at a different time on each engine.
             let share = xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes()) % 8;
-            engine.empty = now + self.trouble.answers * (share + 1) / 8;
-            self.parts.insert(id, part);
+            engine.idle_at = now + self.scenario.answer_ms * (share + 1) / 8;
+            self.active.insert(id, active_load);
         }
         if changed {
-            self.tell(now);
+            self.write_list(now);
         }
     }
 
-    /// The holder's list reaches the other routers.
-    fn tell(&mut self, now: u64) {
-        self.ended.retain(|_, at| now < *at + TURN.as_millis() as u64);
-        self.listed = self.parts.keys().chain(self.ended.keys()).cloned().collect();
-        self.told = now;
+    /// Writes the load list, from which the peers learn of it.
+    fn write_list(&mut self, now: u64) {
+        self.finished
+            .retain(|_, at| now < *at + HANDOVER_DELAY.as_millis() as u64);
+        self.load_list = self.active.keys().chain(self.finished.keys()).cloned().collect();
+        self.list_sent = now;
     }
 
-    fn look(&mut self, id: &EndpointId, wanted: u64, now: u64) {
-        let sent = Duration::from_millis(self.told);
+    fn poll(&mut self, id: &EndpointId, target: u64, now: u64) {
+        let sent = Duration::from_millis(self.list_sent);
         let fresh = listed(Some(sent), Duration::from_millis(now));
-        let part = self.parts.get_mut(id).expect("it takes part");
-        let engine = self.engines.get_mut(id).expect("it was listed");
+        let active_load = self.active.get_mut(id).expect("an active load");
+        let engine = self.engines.get_mut(id).expect("a known engine");
         let at = Duration::from_millis(now);
-        if now < part.look {
+        if now < active_load.poll_at {
             return;
         }
-        let mut next = match part.waits.take() {
-            Some((_, sent)) => part.loading.on_outcome(sent, OrderOutcome::Unanswered),
-            None => part.loading.on_report(Some(engine.report(now)), wanted, at),
+        let mut next = match active_load.pending.take() {
+            Some((_, sent)) => active_load.loading.on_outcome(sent, OrderOutcome::Unanswered),
+            None => active_load.loading.on_report(Some(engine.report(now)), target, at),
         };
         if let Next::Order { expected } = next {
             if !fresh {
-                part.look = now + WRITE;
-                return self.tell(now);
+                active_load.poll_at = now + WRITE_MS;
+                return self.write_list(now);
             }
             self.orders += 1;
-            let crossed = |(holder, at): (u64, u64)| holder != self.holder && now < at + TURN_BOUND;
-            self.crossed += u64::from(engine.last.is_some_and(crossed));
-            engine.last = Some((self.holder, now));
+            let conflicting = |(holder, at): (u64, u64)| holder != self.holder && now < at + HANDOVER_MS;
+            self.conflicting += u64::from(engine.last_order.is_some_and(conflicting));
+            engine.last_order = Some((self.holder, now));
             let sent = Ordered {
                 expected,
-                weights: wanted,
+                weights: target,
                 at,
             };
             let order = Order {
-                weights: wanted,
+                weights: target,
                 expected,
             };
-            let (every, later) = self.trouble.late;
+            let (every, delay) = self.scenario.late_orders;
             if every > 0 && self.orders.is_multiple_of(every) {
-                engine.late.push((now + later, order));
-                part.look = now + ORDER_TIMEOUT.as_millis() as u64;
-                part.waits = Some((now, sent));
+                engine.late_orders.push((now + delay, order));
+                active_load.poll_at = now + ORDER_TIMEOUT.as_millis() as u64;
+                active_load.pending = Some((now, sent));
                 return;
             }
-            next = part.loading.on_outcome(sent, engine.take(order));
+            next = active_load.loading.on_outcome(sent, engine.accept(order));
         }
         match next {
-            Next::Poll(pause) => part.look = now + pause.as_millis() as u64,
+            Next::Poll(pause) => active_load.poll_at = now + pause.as_millis() as u64,
             Next::Done(_) | Next::Stop => {
-                self.parts.remove(id);
-                self.ended.insert(id.clone(), now);
-                self.tell(now);
+                self.active.remove(id);
+                self.finished.insert(id.clone(), now);
+                self.write_list(now);
             }
             Next::Order { .. } => {}
         }
     }
 }
 
-/// How many load at full speed.
-fn most_full(engines: usize) -> usize {
+/// Number of loads that run at full speed at once.
+fn max_full_speed(engines: usize) -> usize {
     (engines / 5).max(2)
 }
