--- a/crates/dispatch/src/fleet/lanes.rs
+++ b/crates/dispatch/src/fleet/lanes.rs
@@ -6,8 +6,8 @@
 //! lanes assigned by hash they don't need to.
 
 use super::Prompt;
-use super::endpoint_state::EndpointState;
-use crate::decay;
+use super::known::EndpointState;
+use crate::fade;
 use placement::{EndpointKey, score};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -71,7 +71,7 @@
     }
 
     pub(super) fn current(&self, now: Duration) -> LaneTokens {
-        let factor = decay::remaining(now.saturating_sub(self.updated_at), HALF_LIFE_SECS);
+        let factor = fade::remaining(now.saturating_sub(self.updated_at), HALF_LIFE_SECS);
         LaneTokens {
             reading: self.tokens.reading * factor,
             generating: self.tokens.generating * factor,
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -16,7 +16,7 @@
 //! | [`loading`] | when one endpoint is ordered to load, once more or no more |
 
 pub mod attempt;
-mod decay;
+mod fade;
 pub mod fleet;
 pub mod freshness;
 pub mod holder;
