--- a/crates/dispatch/examples/choice_cost.rs
+++ b/crates/dispatch/examples/choice_cost.rs
@@ -63,7 +63,7 @@
     fleet
 }
 
-/// Announces the backlogs of as many peers as one router hears from.
+/// Announces the backlogs of as many peers as one router receives them from.
 fn announce_backlogs(fleet: &mut Fleet, endpoints: u64) {
     for router in 0..ROUTERS {
         let tokens = (0..BACKLOG_ENDPOINTS).map(|index| {
--- a/crates/dispatch/src/fleet/backlogs.rs
+++ b/crates/dispatch/src/fleet/backlogs.rs
@@ -3,7 +3,7 @@
 //! Load pattern: a dozen routers, each of which sends a long prompt now and then. Endpoints report their load only on
 //! answers, and an endpoint that reads a prompt for a second answers nobody. It looks idle to each router, and all
 //! send their next request there. So routers announce their backlogs to each other. An announcement expires after
-//! [`BACKLOG_TTL`], because a router that dies withdraws nothing.
+//! [`BACKLOG_TTL`], because a router that crashes can't withdraw it.
 
 use super::{LaneTokens, ShortKey};
 use ids::{ServiceId, VmId};
@@ -45,7 +45,7 @@
 }
 
 impl PeerBacklogs {
-    /// Replaces the announcement of a router.
+    /// Replaces the announcement of a peer.
     pub(super) fn update(&mut self, router: &VmId, backlog: &Backlog, now: Duration) {
         self.summed_at = None;
         self.received
--- a/crates/dispatch/src/fleet/candidates.rs
+++ b/crates/dispatch/src/fleet/candidates.rs
@@ -48,8 +48,8 @@
         Candidates::Available(eligible)
     }
 
-    /// Returns a predicate for endpoints outside the lane of a prompt: the decode lane for prefill-heavy prompts, all
-    /// other endpoints for decode-heavy ones.
+    /// Returns a predicate for endpoints outside the lane of a prompt: the decode lane for prefill-heavy prompts, the
+    /// prefill lane for decode-heavy ones.
     pub(super) fn off_lane(
         &self,
         context: &PickContext<'_>,
--- a/crates/dispatch/src/fleet/lanes.rs
+++ b/crates/dispatch/src/fleet/lanes.rs
@@ -1,4 +1,5 @@
-//! Splits a pool into two lanes: the decode lane for decode-heavy requests and the rest for prefill-heavy ones.
+//! Splits a pool into two lanes: the decode lane for decode-heavy requests, and the prefill lane for prefill-heavy
+//! ones.
 //!
 //! Load pattern: prompts of thousands of tokens mixed with short prompts that have long answers. An engine reads a
 //! piece of a prompt between two generated tokens, so a long prompt, or several in a row, interrupts all of its
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -179,7 +179,7 @@
         ages.collect()
     }
 
-    /// Returns whether an endpoint serves old weights whose staleness a peer could tell much more exactly.
+    /// Returns whether an endpoint serves old weights whose staleness a peer may know much more exactly.
     pub fn has_uncertain_age(&self, now: Duration) -> bool {
         let bound = self.settings.hard_staleness;
         self.targets.iter().any(|(model, targets)| {
@@ -195,7 +195,7 @@
             .filter_map(|(model, targets)| Some((model, targets.newest()?.weights)))
     }
 
-    /// Sets the endpoints that are loading weights or about to, which get no requests, and those that load next,
+    /// Sets the endpoints that load weights now or are about to, which get no requests, and those that load next,
     /// which get no decode-heavy requests.
     pub fn set_loading(&mut self, loading: BTreeSet<EndpointId>, upcoming: BTreeSet<EndpointId>) {
         self.loading = loading;
--- a/crates/dispatch/src/fleet/names.rs
+++ b/crates/dispatch/src/fleet/names.rs
@@ -1,10 +1,10 @@
 //! Target weights of a model and how long ago they became the target.
 //!
-//! The store tells which weights are the target, not since when. A router that has just started finds the target
-//! there, and a router that was frozen or cut off learns of it late. If it counted from that moment, it would take
-//! the target for younger than it is, and clients would get answers on weights that were replaced long before. So a
-//! target's age has two bounds: the target is at least as old as the first time any router saw it, and at most as old
-//! as the last read of the store without it. A missing upper bound counts as too old.
+//! The store holds the target weights, but not since when they are the target. A router that has just started finds
+//! the target there, and a router that was frozen or cut off learns of it late. If it counted from that moment, it
+//! would take the target for younger than it is, and clients would get answers on weights that were replaced long
+//! before. So a target's age has two bounds: the target is at least as old as the first time any router saw it, and
+//! at most as old as the last read of the store without it. A missing upper bound counts as too old.
 
 use std::time::Duration;
 
@@ -124,8 +124,7 @@
         }
     }
 
-    /// Removes the oldest targets. Each remaining oldest target takes over the age of the removed one, which it
-    /// stands in for.
+    /// Removes the oldest targets. The age bounds of the oldest remaining target then also cover the removed ones.
     fn prune(&mut self, now: Duration) {
         while self.0.len() > MAX_TARGETS {
             let oldest = self.0.remove(0);
--- a/crates/dispatch/src/fleet/rates.rs
+++ b/crates/dispatch/src/fleet/rates.rs
@@ -3,9 +3,9 @@
 //! Load pattern: an endpoint that can't keep up reports how many requests per second it accepts from all routers
 //! together, about half of its recent rate. An even split of a small rate serves nobody: of 2.5 requests a second
 //! each of 125 routers would get one request in 50 s. So a rate is split into shares of about one request a second,
-//! and rendezvous hashing decides which routers have a share. Routers without a share only send rare probe requests that
-//! show whether the limit has been lifted. Routers exchange the limits they receive, so all resume as soon as one
-//! learns that a limit was lifted.
+//! and rendezvous hashing decides which routers have a share. Routers without a share send only rare probe requests,
+//! which show whether the limit has been lifted. Routers exchange the limits they receive, so all resume as soon as
+//! one learns that a limit was lifted.
 
 use super::ShortKey;
 use control::rendezvous;
@@ -16,8 +16,8 @@
 /// Fraction of a rate that is split into shares. The rest is a reserve, because routers may briefly disagree on the
 /// set of routers.
 const SHARED_FRACTION: f64 = 0.8;
-/// Fraction of a rate that all routers without a share use together for probes. They detect a lifted limit even if no
-/// other router reports it.
+/// Fraction of a rate that all routers without a share use together for probes. Probes detect a lifted limit even if
+/// no peer reports it.
 const PROBE_FRACTION: f64 = 0.1;
 /// Smallest share, in requests per second.
 const MIN_SHARE_RPS: f64 = 1.0;
--- a/crates/dispatch/src/pressure.rs
+++ b/crates/dispatch/src/pressure.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Pressure {
     /// Sum of the logarithms of the ratios, so that one very late event doesn't count as ten.
-    sum: f64,
+    log_sum: f64,
     weight: f64,
     updated_at: Duration,
 }
@@ -41,7 +41,7 @@
     pub fn record(&mut self, waited: Duration, objective: Duration, now: Duration) {
         let factor = self.decay(now);
         let ratio = waited.as_secs_f64() / objective.as_secs_f64().max(f64::MIN_POSITIVE);
-        self.sum = self.sum * factor + ratio.clamp(MIN_RATIO, MAX_RATIO).ln();
+        self.log_sum = self.log_sum * factor + ratio.clamp(MIN_RATIO, MAX_RATIO).ln();
         self.weight = self.weight * factor + 1.0;
         self.updated_at = now;
     }
@@ -55,7 +55,7 @@
     /// Geometric mean of the ratios of first-event delay to objective.
     fn mean_ratio(&self, now: Duration) -> f64 {
         let factor = self.decay(now);
-        let sum = self.sum * factor + PRIOR_RATIO.ln() * PRIOR_WEIGHT;
+        let sum = self.log_sum * factor + PRIOR_RATIO.ln() * PRIOR_WEIGHT;
         (sum / (self.weight * factor + PRIOR_WEIGHT)).exp()
     }
 
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -46,11 +46,11 @@
 /// Results of a simulation.
 struct Results {
     /// Most requests counted in any window at any overloaded endpoint.
-    most: usize,
+    max_in_window: usize,
     /// Mean requests per second at an overloaded endpoint, from two seconds after the start of the overload.
     used: f64,
     /// Mean requests per second at such an endpoint, from one second after the end of the overload.
-    after: f64,
+    used_after: f64,
     /// Requests that were refused.
     refused: usize,
 }
@@ -165,7 +165,7 @@
     }
 
     /// Most requests counted at an endpoint in any window.
-    fn most(&self, endpoint: usize) -> usize {
+    fn max_in_window(&self, endpoint: usize) -> usize {
         let counts = |(when, router): &&(Duration, usize)| {
             let first_limited = self.first_limited.get(&(*router, endpoint));
             first_limited.is_some_and(|first_limited| *when >= *first_limited + SETTLE_TIME) && *when < at(OVERLOAD.end)
@@ -223,12 +223,12 @@
         }
     }
     Results {
-        most: (0..case.overloaded)
-            .map(|endpoint| simulation.most(endpoint))
+        max_in_window: (0..case.overloaded)
+            .map(|endpoint| simulation.max_in_window(endpoint))
             .max()
             .unwrap_or_default(),
         used: simulation.mean(case, OVERLOAD.start + 2_000, OVERLOAD.end),
-        after: simulation.mean(case, OVERLOAD.end + 1_000, OVERLOAD.end + 4_000),
+        used_after: simulation.mean(case, OVERLOAD.end + 1_000, OVERLOAD.end + 4_000),
         refused: simulation.refused,
     }
 }
@@ -329,9 +329,14 @@
             let allowed = (6.0 * case.rate) as usize + 5;
             println!(
                 "{}: at most {} of {allowed} in a window, used {:.2} of {}, afterwards {:.2}, refused {}",
-                case.name, results.most, results.used, case.rate, results.after, results.refused
+                case.name, results.max_in_window, results.used, case.rate, results.used_after, results.refused
+            );
+            assert!(
+                results.max_in_window <= allowed,
+                "{}, seed {seed}: {}",
+                case.name,
+                results.max_in_window
             );
-            assert!(results.most <= allowed, "{}, seed {seed}: {}", case.name, results.most);
             assert!(results.used >= case.min_used * case.rate, "{}, seed {seed}", case.name);
         }
     }
@@ -344,6 +349,10 @@
     for seed in 1..=3 {
         let results = simulate(&SMALL, seed);
         let even = SMALL.load as f64 / SMALL.endpoints as f64;
-        assert!(results.after >= even / 2.0, "seed {seed}: {} of {even}", results.after);
+        assert!(
+            results.used_after >= even / 2.0,
+            "seed {seed}: {} of {even}",
+            results.used_after
+        );
     }
 }
