--- a/crates/dispatch/src/fade.rs
+++ b/crates/dispatch/src/fade.rs
@@ -1,8 +1,8 @@
-//! How what was seen loses weight with its age.
+//! Exponential decay of observations with their age.
 
 use std::time::Duration;
 
-/// Weight that is left after `age` of what loses half of it in `half` seconds.
-pub(crate) fn left(age: Duration, half: f64) -> f64 {
-    0.5_f64.powf(age.as_secs_f64() / half)
+/// Fraction of a weight that remains after `age`, with a half-life of `half_life` seconds.
+pub(crate) fn remaining(age: Duration, half_life: f64) -> f64 {
+    0.5_f64.powf(age.as_secs_f64() / half_life)
 }
--- a/crates/dispatch/src/fleet/known.rs
+++ b/crates/dispatch/src/fleet/known.rs
@@ -1,4 +1,4 @@
-//! One endpoint as a router knows it.
+//! One router's state of a single endpoint.
 
 use crate::fade;
 use crate::site::EndpointEntry;
@@ -8,44 +8,43 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Weight of one more outcome in the running means: about ten requests back count, which a router of a small site sees
-/// of one endpoint in a few seconds.
-const FADE: f64 = 0.1;
-/// Time in which a load report loses half of its weight: about two answers' time of the sites' slower service.
-const REPORT_HALF: f64 = 1.0;
+/// Weight of a new outcome in the moving averages. The averages cover about ten requests; at a small site a router
+/// sends one endpoint that many in a few seconds.
+const OUTCOME_WEIGHT: f64 = 0.1;
+/// Half-life of a load report: about the duration of two answers of the slower production service.
+const REPORT_HALF_LIFE_SECS: f64 = 1.0;
 
-/// Time in which the share of failures loses half of its weight, seconds: a grey endpoint is tried again after about this
-/// time, and its next failures count at once.
-const TROUBLE_HALF: f64 = 4.0;
-/// What no answer in time counts as a failure: endpoints that are full answer late too, and leaving them for it would fill
-/// the others.
-const SILENT: f64 = 0.3;
+/// Half-life of the failure share. A degraded endpoint is tried again after about this time, and its next failures
+/// count at once.
+const FAILURE_HALF_LIFE_SECS: f64 = 4.0;
+/// Failure value of a timeout. Full endpoints answer late too, and avoiding them for that would fill the others.
+const TIMEOUT_FAILURE: f64 = 0.3;
 
-/// Time in which a late answer loses half of its weight, seconds: queues of one to two seconds are worked off in about that time
-/// once requests go elsewhere.
-const LATE_HALF: f64 = 1.0;
+/// Half-life of a late answer. Queues of one to two seconds drain in about this time once requests go elsewhere.
+const DELAY_HALF_LIFE_SECS: f64 = 1.0;
 
-/// Load that an endpoint tells on its answers.
+/// Load that an endpoint reports on its answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait inside the endpoint.
+    /// Requests that are queued inside the endpoint.
     pub waiting: u32,
 }
 
-/// A load report that routers tell each other.
+/// A load report as routers exchange it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadUpdate {
-    /// Whose.
+    /// The endpoint that sent the report.
     pub endpoint: ShortKey,
-    /// The report.
+    /// The reported load.
     pub report: LoadReport,
-    /// When an endpoint's answer told it, to this router or another.
+    /// When the endpoint sent the report, to this router or another one.
     pub reported_at: Duration,
 }
 
-/// Stands for an endpoint between routers, in 32 bits: a domain's routers tell each other hundreds of reports a second.
+/// Identifies an endpoint in messages between routers. Has 32 bits because the routers of a domain exchange hundreds
+/// of reports a second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShortKey(pub u32);
 
@@ -55,210 +54,213 @@
     }
 }
 
-/// The newest report, and how it was heard of.
+/// The latest load report of an endpoint and where it came from.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Heard {
+pub(super) struct ReceivedReport {
     pub(super) report: LoadReport,
-    /// When an endpoint's answer told it.
-    pub(super) told: Duration,
-    /// When this router heard of it.
-    pub(super) heard: Duration,
-    /// Whether the answer was to this router.
-    pub(super) own: bool,
+    /// When the endpoint sent the report.
+    pub(super) reported_at: Duration,
+    /// When this router received the report.
+    pub(super) received_at: Duration,
+    /// Whether the endpoint sent the report to this router.
+    pub(super) direct: bool,
 }
 
-/// What came of an attempt.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Whole answer, or a stream's first event, after this time.
+    /// A whole answer, or the first event of a stream, arrived after this time.
     Answered(Duration),
-    /// The endpoint refused and has not run it.
+    /// The endpoint refused the request and has not run it.
     Declined,
-    /// The endpoint ran it and answered with an error.
+    /// The endpoint ran the request and answered with an error.
     Failed,
-    /// The answer was broken, cut or spoilt.
+    /// The answer was malformed, truncated or corrupted.
     Broken,
-    /// No connection.
+    /// No connection could be established.
     ConnectFailed,
-    /// No answer in time.
+    /// No answer arrived in time.
     Timeout,
 }
 
-/// A request of this router whose prompt its endpoint has not read.
+/// A request of this router whose prompt the endpoint has not read yet.
 #[derive(Debug, Clone, Copy)]
-struct Unread {
+struct PendingPrefill {
     since: Duration,
     tokens: u64,
 }
 
 #[derive(Debug)]
-pub(super) struct Known {
+pub(super) struct EndpointState {
     pub(super) entry: Arc<EndpointEntry>,
-    /// Its id in hashes.
+    /// Hash of the endpoint's id.
     pub(super) key: EndpointKey,
-    /// Requests of this router there.
+    /// Requests of this router that are in flight.
     in_flight: u32,
-    /// This router's requests there whose prompts have not been read, the oldest first.
-    unread: Vec<Unread>,
-    report: Option<Heard>,
-    /// Share of attempts that failed, running mean, and when it last changed.
-    trouble: (f64, Duration),
-    /// Seconds until an answer, running mean.
+    /// This router's requests whose prompts have not been read, oldest first.
+    pending_prefills: Vec<PendingPrefill>,
+    report: Option<ReceivedReport>,
+    /// Moving average of the share of failed attempts, and when it last changed.
+    failure_share: (f64, Duration),
+    /// Moving average of the time until an answer, in seconds.
     latency: Option<f64>,
-    /// Longest time until an answer, faded, and when it last changed.
-    late: (Duration, Duration),
-    /// Weights that answers named, which are ahead of the entry.
+    /// Longest recent time until an answer, decayed, and when it last changed.
+    recent_delay: (Duration, Duration),
+    /// Weights by model, as named in answers; may be newer than those of the entry.
     weights: Vec<(ModelId, u64)>,
 }
 
-impl Known {
+impl EndpointState {
     pub(super) fn new(entry: Arc<EndpointEntry>) -> Self {
         let weights = entry.weights.clone();
         Self {
             key: EndpointKey::from(&entry.id),
             entry,
             in_flight: 0,
-            unread: Vec::new(),
+            pending_prefills: Vec::new(),
             report: None,
-            trouble: (0.0, Duration::ZERO),
+            failure_share: (0.0, Duration::ZERO),
             latency: None,
-            late: (Duration::ZERO, Duration::ZERO),
+            recent_delay: (Duration::ZERO, Duration::ZERO),
             weights,
         }
     }
 
     pub(super) fn update(&mut self, entry: Arc<EndpointEntry>) {
         for (model, weights) in &entry.weights {
-            self.learn_weights(model, *weights);
+            self.raise_weights(model, *weights);
         }
         self.entry = entry;
     }
 
-    /// Within one life an endpoint's weights only get newer.
-    pub(super) fn learn_weights(&mut self, model: &ModelId, weights: u64) {
-        match self.weights.iter_mut().find(|(known, _)| known == model) {
-            Some((_, known)) => *known = weights.max(*known),
+    /// Records newer weights. Within one incarnation the weights of an endpoint only get newer.
+    pub(super) fn raise_weights(&mut self, model: &ModelId, weights: u64) {
+        match self.weights.iter_mut().find(|(name, _)| name == model) {
+            Some((_, current)) => *current = weights.max(*current),
             None => self.weights.push((model.clone(), weights)),
         }
     }
 
     pub(super) fn correct_weights(&mut self, model: &ModelId, newest: Option<u64>) {
-        let listed = self.entry.weights.iter().find(|(known, _)| known == model);
+        let listed = self.entry.weights.iter().find(|(name, _)| name == model);
         let listed = listed.map(|(_, weights)| *weights);
-        if let Some((_, known)) = self.weights.iter_mut().find(|(known, _)| known == model) {
-            let behind = newest.filter(|newest| *known < *newest);
-            *known = behind.or(listed).unwrap_or(*known);
+        if let Some((_, current)) = self.weights.iter_mut().find(|(name, _)| name == model) {
+            let newer = newest.filter(|newest| *current < *newest);
+            *current = newer.or(listed).unwrap_or(*current);
         }
     }
 
     pub(super) fn weights(&self, model: &ModelId) -> Option<u64> {
-        let served = self.weights.iter().find(|(known, _)| known == model)?;
+        let served = self.weights.iter().find(|(name, _)| name == model)?;
         Some(served.1)
     }
 
-    /// Whether it has these weights of a model or newer ones, as far as is known.
-    pub(super) fn serves(&self, model: &ModelId, least: u64) -> bool {
-        self.weights(model).is_none_or(|weights| weights >= least)
+    /// Whether the endpoint serves at least `min_weights`. Unknown weights count as new enough.
+    pub(super) fn serves(&self, model: &ModelId, min_weights: u64) -> bool {
+        self.weights(model).is_none_or(|weights| weights >= min_weights)
     }
 
-    pub(super) fn begin(&mut self, prefill: u64, now: Duration) {
+    pub(super) fn request_started(&mut self, prefill: u64, now: Duration) {
         self.in_flight += 1;
-        self.unread.push(Unread {
+        self.pending_prefills.push(PendingPrefill {
             since: now,
             tokens: prefill,
         });
     }
 
-    pub(super) fn prefilled(&mut self, since: Duration) {
-        let place = self.unread.iter().position(|unread| unread.since == since);
-        if let Some(place) = place {
-            self.unread.remove(place);
+    pub(super) fn prefill_finished(&mut self, since: Duration) {
+        let index = self.pending_prefills.iter().position(|pending| pending.since == since);
+        if let Some(index) = index {
+            self.pending_prefills.remove(index);
         }
     }
 
-    pub(super) fn end(&mut self) {
+    pub(super) fn request_finished(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Keeps the newest report, by when it was told.
-    pub(super) fn reported(&mut self, heard: Heard) {
-        if self.report.is_none_or(|known| known.told <= heard.told) {
-            self.report = Some(heard);
+    /// Keeps the report that was sent last.
+    pub(super) fn record_report(&mut self, received: ReceivedReport) {
+        if self
+            .report
+            .is_none_or(|latest| latest.reported_at <= received.reported_at)
+        {
+            self.report = Some(received);
         }
     }
 
-    pub(super) fn report(&self) -> Option<&Heard> {
+    pub(super) fn report(&self) -> Option<&ReceivedReport> {
         self.report.as_ref()
     }
 
-    pub(super) fn outcome(&mut self, outcome: Outcome, now: Duration) {
-        let failed = match outcome {
+    pub(super) fn record_outcome(&mut self, outcome: Outcome, now: Duration) {
+        let failure = match outcome {
             Outcome::Answered(after) => {
-                self.late = (after.max(self.late(now)), now);
+                self.recent_delay = (after.max(self.recent_delay(now)), now);
                 let seconds = after.as_secs_f64();
                 let mean = self.latency.unwrap_or(seconds);
-                self.latency = Some(mean + FADE * (seconds - mean));
+                self.latency = Some(mean + OUTCOME_WEIGHT * (seconds - mean));
                 0.0
             }
             Outcome::Declined => return,
-            Outcome::Timeout => SILENT,
+            Outcome::Timeout => TIMEOUT_FAILURE,
             Outcome::Failed | Outcome::Broken | Outcome::ConnectFailed => 1.0,
         };
-        let trouble = self.trouble(now);
-        self.trouble = (trouble + FADE * (failed - trouble), now);
+        let share = self.failure_share(now);
+        self.failure_share = (share + OUTCOME_WEIGHT * (failure - share), now);
     }
 
     pub(super) fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Prompt tokens of this router's requests there that have not been read.
-    pub(super) fn prefill(&self) -> u64 {
-        self.unread.iter().map(|unread| unread.tokens).sum()
+    /// Prompt tokens of this router's requests that the endpoint has not read yet.
+    pub(super) fn pending_tokens(&self) -> u64 {
+        self.pending_prefills.iter().map(|pending| pending.tokens).sum()
     }
 
-    /// How much longer this router's requests have waited there than their own prompts take to be read at `rate` tokens a second.
-    pub(super) fn held_up(&self, rate: f64, now: Duration) -> Duration {
+    /// How much longer this router's requests have waited than reading their prompts takes at `rate` tokens a second.
+    pub(super) fn excess_wait(&self, rate: f64, now: Duration) -> Duration {
         let mut ahead = 0;
-        let held_up = self.unread.iter().map(|unread| {
-            ahead += unread.tokens;
-            let reading = Duration::from_secs_f64(ahead as f64 / rate);
-            now.saturating_sub(unread.since).saturating_sub(reading)
+        let excess = self.pending_prefills.iter().map(|pending| {
+            ahead += pending.tokens;
+            let read_time = Duration::from_secs_f64(ahead as f64 / rate);
+            now.saturating_sub(pending.since).saturating_sub(read_time)
         });
-        held_up.max().unwrap_or_default()
+        excess.max().unwrap_or_default()
     }
 
-    /// Share of attempts that fail. What was seen fades, or an endpoint that is left for its failures would get no work,
-    /// succeed in nothing, and be left for ever.
-    pub(super) fn trouble(&self, now: Duration) -> f64 {
-        let (trouble, at) = self.trouble;
-        trouble * fade::left(now.saturating_sub(at), TROUBLE_HALF)
+    /// Share of failed attempts, decayed over time. Without the decay an endpoint avoided for its failures would get
+    /// no requests, could not succeed and would be avoided for ever.
+    pub(super) fn failure_share(&self, now: Duration) -> f64 {
+        let (share, at) = self.failure_share;
+        share * fade::remaining(now.saturating_sub(at), FAILURE_HALF_LIFE_SECS)
     }
 
     pub(super) fn latency(&self) -> Option<f64> {
         self.latency
     }
 
-    /// How late answers came lately. An engine admits urgent requests first, so a quick answer doesn't show that its queue is short:
-    /// what was seen fades instead.
-    pub(super) fn late(&self, now: Duration) -> Duration {
-        let (late, at) = self.late;
-        late.mul_f64(fade::left(now.saturating_sub(at), LATE_HALF))
+    /// How late recent answers came, decayed over time. A quick answer doesn't lower the value: engines admit urgent
+    /// requests first, so it doesn't show that the queue is short.
+    pub(super) fn recent_delay(&self, now: Duration) -> Duration {
+        let (delay, at) = self.recent_delay;
+        delay.mul_f64(fade::remaining(now.saturating_sub(at), DELAY_HALF_LIFE_SECS))
     }
 
-    /// Requests expected to run there, whoever sent them.
+    /// Estimated number of requests running or waiting at the endpoint, from all routers.
     pub(super) fn running(&self, now: Duration) -> f64 {
-        let told = self.faded(now, |report| report.running + report.waiting);
-        told.max(f64::from(self.in_flight))
+        let reported = self.decayed(now, |report| report.running + report.waiting);
+        reported.max(f64::from(self.in_flight))
     }
 
-    /// Requests expected to wait there, whoever sent them.
+    /// Estimated number of requests waiting at the endpoint, from all routers.
     pub(super) fn waiting(&self, now: Duration) -> f64 {
-        self.faded(now, |report| report.waiting)
+        self.decayed(now, |report| report.waiting)
     }
 
-    fn faded(&self, now: Duration, count: impl Fn(LoadReport) -> u32) -> f64 {
-        let Some(known) = self.report else { return 0.0 };
-        f64::from(count(known.report)) * fade::left(now.saturating_sub(known.told), REPORT_HALF)
+    fn decayed(&self, now: Duration, count: impl Fn(LoadReport) -> u32) -> f64 {
+        let Some(latest) = self.report else { return 0.0 };
+        f64::from(count(latest.report)) * fade::remaining(now.saturating_sub(latest.reported_at), REPORT_HALF_LIFE_SECS)
     }
 }
--- a/crates/dispatch/src/fleet/names.rs
+++ b/crates/dispatch/src/fleet/names.rs
@@ -1,56 +1,57 @@
-//! Weights that were named for a model, and how long ago.
+//! Target weights of a model and how long ago they became the target.
 //!
-//! What goes wrong without an age that holds: the store tells which weights were named, not when. A router that has just started finds
-//! the name there, and one that was frozen or cut off hears of it late. Counted from then, the name is younger than it is, and callers
-//! get answers on weights that were replaced long before. So a name has two ages: it is at least as old as the first word of it that
-//! some router had, and at most as old as the last word of the store without it. What is not known counts as too old.
+//! The store holds the target weights, but not since when they are the target. A router that has just started finds
+//! the target there, and a router that was frozen or cut off learns of it late. If it counted from that moment, it
+//! would take the target for younger than it is, and clients would get answers on weights that were replaced long
+//! before. So a target's age has two bounds: the target is at least as old as the first time any router saw it, and
+//! at most as old as the last read of the store without it. A missing upper bound counts as too old.
 
 use std::time::Duration;
 
-/// Names of weights that are remembered of a model: more than are named within any bound on old ones.
-const REMEMBERED: usize = 16;
+/// Targets kept per model: more than are set within any limit on staleness.
+const MAX_TARGETS: usize = 16;
 
-/// A difference between the two ages that is not worth a question to another router: routers in touch have a word of the store
-/// that is one to two seconds old.
-const LOOSE: Duration = Duration::from_millis(2_500);
+/// Difference of the two age bounds up to which asking a peer isn't worthwhile. Routers that reach the store
+/// have read it within the last one to two seconds.
+const MAX_AGE_SPREAD: Duration = Duration::from_millis(2_500);
 
-/// How long ago weights were named.
+/// Bounds on how long ago weights became the target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TargetAge {
-    /// At least so long ago.
+    /// Lower bound.
     pub lower: Duration,
-    /// At most so long ago; absent if this router can't tell.
+    /// Upper bound; `None` if this router doesn't know one.
     pub upper: Option<Duration>,
 }
 
-/// Something that was so old at a time, and gets older.
+/// An age at a point in time, from which the current age follows.
 #[derive(Debug, Clone, Copy)]
-struct Aged {
+struct AgeSample {
     age: Duration,
-    at: Duration,
+    sampled_at: Duration,
 }
 
-impl Aged {
+impl AgeSample {
     fn age(&self, now: Duration) -> Duration {
-        self.age + now.saturating_sub(self.at)
+        self.age + now.saturating_sub(self.sampled_at)
     }
 }
 
-/// Weights that were named.
+/// Weights that became the target of their model, with the bounds on when.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Named {
+pub(super) struct Target {
     pub(super) weights: u64,
-    lower: Aged,
-    upper: Option<Aged>,
+    lower: AgeSample,
+    upper: Option<AgeSample>,
 }
 
-impl Named {
+impl Target {
     fn new(weights: u64, age: TargetAge, now: Duration) -> Self {
-        let aged = |age| Aged { age, at: now };
+        let sample = |age| AgeSample { age, sampled_at: now };
         Self {
             weights,
-            lower: aged(age.lower),
-            upper: age.upper.map(aged),
+            lower: sample(age.lower),
+            upper: age.upper.map(sample),
         }
     }
 
@@ -61,121 +62,124 @@
         }
     }
 
-    /// Whether they were named so long ago, as far as this router can tell; what it can't tell counts as long ago.
-    pub(super) fn for_longer(&self, time: Duration, now: Duration) -> bool {
+    /// Whether the weights became the target at least `time` ago, by the lower bound. Without an upper bound the
+    /// answer is yes.
+    pub(super) fn is_older_than(&self, time: Duration, now: Duration) -> bool {
         let age = self.age(now);
         age.upper.is_none() || age.lower >= time
     }
 
-    /// Whether they may have been named so long ago.
-    pub(super) fn maybe_for_longer(&self, time: Duration, now: Duration) -> bool {
+    /// Whether the weights may have become the target at least `time` ago, by the upper bound.
+    pub(super) fn may_be_older_than(&self, time: Duration, now: Duration) -> bool {
         self.age(now).upper.is_none_or(|upper| upper >= time)
     }
 
-    /// Whether another router's word could make the age much clearer.
-    fn vague(&self, now: Duration) -> bool {
+    /// Whether a peer's bounds could be considerably tighter.
+    fn is_uncertain(&self, now: Duration) -> bool {
         let age = self.age(now);
-        age.upper.is_none_or(|upper| upper.saturating_sub(age.lower) > LOOSE)
+        age.upper
+            .is_none_or(|upper| upper.saturating_sub(age.lower) > MAX_AGE_SPREAD)
     }
 
-    fn stands_for(&mut self, older: &Self, now: Duration) {
+    fn absorb(&mut self, older: &Self, now: Duration) {
         let (own, older) = (self.age(now), older.age(now));
         let upper = own.upper.zip(older.upper).map(|(own, older)| own.max(older));
         let lower = own.lower.max(older.lower);
         *self = Self::new(self.weights, TargetAge { lower, upper }, now);
     }
 
-    /// Takes in what another router knows: both are right, so the narrower bound of each side holds.
-    fn narrow(&mut self, told: TargetAge, now: Duration) {
+    /// Intersects the bounds with those of a peer. Both are correct, so the tighter bound of each side holds.
+    fn narrow(&mut self, received: TargetAge, now: Duration) {
         let own = self.age(now);
-        let upper = match (own.upper, told.upper) {
-            (Some(own), Some(told)) => Some(own.min(told)),
-            (own, told) => own.or(told),
+        let upper = match (own.upper, received.upper) {
+            (Some(own), Some(received)) => Some(own.min(received)),
+            (own, received) => own.or(received),
         };
-        let lower = own.lower.max(told.lower);
+        let lower = own.lower.max(received.lower);
         *self = Self::new(self.weights, TargetAge { lower, upper }, now);
     }
 }
 
-/// How far some weights are behind the newest.
+/// How stale some weights are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Staleness {
-    /// They are the newest, as far as this router knows.
+    /// They are the newest target, as far as this router knows.
     Current,
-    /// Newer ones have been named for this long at least.
+    /// A newer target has been set for at least this long.
     Stale(Duration),
-    /// Newer ones have been named, and this router doesn't know since when.
+    /// A newer target has been set, but this router doesn't know since when.
     Unknown,
 }
 
-/// Names of one model's weights, the newest last.
+/// Targets of one model, the newest last.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Names(Vec<Named>);
+pub(super) struct Targets(Vec<Target>);
 
-impl Names {
-    /// Weights were named; others than newer ones change nothing.
-    pub(super) fn name(&mut self, weights: u64, age: TargetAge, now: Duration) {
+impl Targets {
+    /// Adds a target if it is newer than the last one.
+    pub(super) fn add(&mut self, weights: u64, age: TargetAge, now: Duration) {
         if self.0.last().is_none_or(|last| last.weights < weights) {
-            self.0.push(Named::new(weights, age, now));
-            self.forget(now);
+            self.0.push(Target::new(weights, age, now));
+            self.prune(now);
         }
     }
 
-    /// Forgets the oldest names; the first that stays stands for them, and takes their age.
-    fn forget(&mut self, now: Duration) {
-        while self.0.len() > REMEMBERED {
+    /// Removes the oldest targets. The age bounds of the oldest remaining target then also cover the removed ones.
+    fn prune(&mut self, now: Duration) {
+        while self.0.len() > MAX_TARGETS {
             let oldest = self.0.remove(0);
-            self.0[0].stands_for(&oldest, now);
+            self.0[0].absorb(&oldest, now);
         }
     }
 
-    /// Another router tells how long ago these weights were named; whether that made clear what was vague. Names in between that
-    /// this router missed are taken in: a name's greatest age holds for whatever was named since the one before it, so without them
-    /// a narrower age of a newer name would let engines serve that are further behind. Newer names come from the store.
-    pub(super) fn told(&mut self, weights: u64, age: TargetAge, now: Duration) -> bool {
+    /// Merges an age received from a peer. Returns whether an uncertain age became certain. Adds targets in
+    /// between that this router missed: the upper bound of an age covers all targets set since the previous known
+    /// one, so without the missed targets a tighter age of a newer target would allow endpoints with older weights to
+    /// serve. Newer targets come from the store only.
+    pub(super) fn merge_age(&mut self, weights: u64, age: TargetAge, now: Duration) -> bool {
         if self.newest().is_none_or(|newest| newest.weights < weights) {
             return false;
         }
-        match self.0.binary_search_by_key(&weights, |named| named.weights) {
+        match self.0.binary_search_by_key(&weights, |target| target.weights) {
             Ok(index) => {
-                let named = &mut self.0[index];
-                let vague = named.vague(now);
-                named.narrow(age, now);
-                vague && !named.vague(now)
+                let target = &mut self.0[index];
+                let uncertain = target.is_uncertain(now);
+                target.narrow(age, now);
+                uncertain && !target.is_uncertain(now)
             }
             Err(index) => {
-                self.0.insert(index, Named::new(weights, age, now));
-                self.forget(now);
+                self.0.insert(index, Target::new(weights, age, now));
+                self.prune(now);
                 false
             }
         }
     }
 
-    pub(super) fn newest(&self) -> Option<&Named> {
+    pub(super) fn newest(&self) -> Option<&Target> {
         self.0.last()
     }
 
-    pub(super) fn all(&self) -> &[Named] {
+    pub(super) fn all(&self) -> &[Target] {
         &self.0
     }
 
-    /// The newest that a test holds for.
-    pub(super) fn newest_that(&self, test: impl Fn(&Named) -> bool) -> Option<&Named> {
-        self.0.iter().rev().find(|named| test(named))
+    /// Newest target that satisfies `test`.
+    pub(super) fn newest_matching(&self, test: impl Fn(&Target) -> bool) -> Option<&Target> {
+        self.0.iter().rev().find(|target| test(target))
     }
 
-    /// Whether another router's word on weights newer than these could make their age much clearer, as long as that matters: nothing
-    /// clears up an age that is past `bound` at least.
-    pub(super) fn vague_after(&self, weights: u64, bound: Duration, now: Duration) -> bool {
-        let newer = self.0.iter().filter(|named| named.weights > weights);
-        let mut young = newer.filter(|named| named.age(now).lower < bound);
-        young.any(|named| named.vague(now))
+    /// Whether a target newer than `weights` has an uncertain age that still matters. Targets whose lower bound has
+    /// passed `bound` are too old whatever the exact age.
+    pub(super) fn has_uncertain_newer(&self, weights: u64, bound: Duration, now: Duration) -> bool {
+        let newer = self.0.iter().filter(|target| target.weights > weights);
+        let mut recent = newer.filter(|target| target.age(now).lower < bound);
+        recent.any(|target| target.is_uncertain(now))
     }
 
-    /// How far `weights` are behind: the first newer ones count.
-    pub(super) fn behind(&self, weights: u64, now: Duration) -> Staleness {
-        let newer = self.0.iter().find(|named| named.weights > weights);
-        match newer.map(|named| named.age(now)) {
+    /// How stale `weights` are, counted from the first newer target.
+    pub(super) fn staleness(&self, weights: u64, now: Duration) -> Staleness {
+        let newer = self.0.iter().find(|target| target.weights > weights);
+        match newer.map(|target| target.age(now)) {
             None => Staleness::Current,
             Some(TargetAge { upper: None, .. }) => Staleness::Unknown,
             Some(TargetAge { lower, .. }) => Staleness::Stale(lower),
--- a/crates/dispatch/src/fleet/rates.rs
+++ b/crates/dispatch/src/fleet/rates.rs
@@ -1,10 +1,11 @@
-//! Rates that endpoints in need name, kept by all routers together.
+//! Rate limits of overloaded endpoints, shared by all routers.
 //!
-//! Load pattern: an endpoint that can't keep up names the requests a second that it takes from all routers together, about half of
-//! what it got. An even split of a small rate serves nobody: of 2.5 a second each of 125 routers has one request in 50 s. So a
-//! rate is split into shares of about one request a second, rendezvous hashing tells which routers have one, and the others send
-//! nothing there but a rare request that shows whether the need is over. Routers tell each other what endpoints named, so that all come
-//! back as soon as one was told that the need is over.
+//! Load pattern: an endpoint that can't keep up reports how many requests per second it accepts from all routers
+//! together, about half of its recent rate. An even split of a small rate serves nobody: of 2.5 requests a second
+//! each of 125 routers would get one request in 50 s. So a rate is split into shares of about one request a second,
+//! and rendezvous hashing decides which routers have a share. Routers without a share send only rare probe requests,
+//! which show whether the limit has been lifted. Routers exchange the limits they receive, so all resume as soon as
+//! one learns that a limit was lifted.
 
 use super::ShortKey;
 use control::rendezvous;
@@ -12,200 +13,205 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Part of a rate that is split into shares. Routers may differ for a moment about who the others are.
-const SHARED: f64 = 0.8;
-/// Part of a rate that routers without a share use together, to find that the need is over when nobody tells them.
-const CHECKED: f64 = 0.1;
-/// Least size of a share, requests a second.
-const SHARE: f64 = 1.0;
-/// Most requests that a share saves up.
-const SAVED: f64 = 2.0;
-/// Time in which one router out of many may send its request without a share.
-const SLOT: Duration = Duration::from_secs(2);
-/// Routers that are assumed while none are known: more than the larger fleet has.
-const UNKNOWN: usize = 200;
-/// How long what an endpoint named is told on.
-const TOLD_FOR: Duration = Duration::from_secs(2);
-/// Longest time until a caller is told to come back.
-const LATEST: Duration = Duration::from_secs(2);
-
-/// What an endpoint said of its rate last, as routers tell each other.
+/// Fraction of a rate that is split into shares. The rest is a reserve, because routers may briefly disagree on the
+/// set of routers.
+const SHARED_FRACTION: f64 = 0.8;
+/// Fraction of a rate that all routers without a share use together for probes. Probes detect a lifted limit even if
+/// no peer reports it.
+const PROBE_FRACTION: f64 = 0.1;
+/// Smallest share, in requests per second.
+const MIN_SHARE_RPS: f64 = 1.0;
+/// Largest unused allowance of a share, in requests.
+const MAX_CREDIT: f64 = 2.0;
+/// Length of a probe slot. In each slot only a few of the routers without a share may send a probe.
+const PROBE_SLOT: Duration = Duration::from_secs(2);
+/// Number of routers assumed while none are known: more than the larger fleet has.
+const ASSUMED_ROUTERS: usize = 200;
+/// How long a reported limit is forwarded to peers.
+const FORWARD_PERIOD: Duration = Duration::from_secs(2);
+/// Longest retry-after time.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
+
+/// The latest rate limit of an endpoint, as routers exchange it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateUpdate {
-    /// Whose.
+    /// The endpoint that reported the limit.
     pub endpoint: ShortKey,
-    /// Requests a second from all routers together; none if it is no longer in need.
+    /// Requests per second from all routers together; `None` if the limit was lifted.
     pub rate: Option<f64>,
-    /// When an answer of the endpoint said so.
+    /// When the endpoint sent the answer with the limit.
     pub reported_at: Duration,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Named {
+struct RateLimit {
     rate: Option<f64>,
-    told: Duration,
-    /// This router's share, requests a second; none if it has none.
+    reported_at: Duration,
+    /// Requests per second that this router may send; `None` if it has no share.
     share: Option<f64>,
-    /// Requests that the share has saved up, and when that was counted.
-    saved: (f64, Duration),
-    /// When the last request left without a share.
-    checked: Option<Duration>,
+    /// Unused requests of the share, and when they were counted.
+    credit: (f64, Duration),
+    /// When this router last sent a request without a share.
+    last_probe: Option<Duration>,
 }
 
-/// What endpoints have named.
+/// The latest limits of all endpoints.
 #[derive(Debug, Default)]
-pub(super) struct Rates {
+pub(super) struct RateLimits {
     own: Option<VmId>,
     routers: Vec<VmId>,
-    named: HashMap<ShortKey, Named>,
+    limits: HashMap<ShortKey, RateLimit>,
 }
 
-impl Rates {
-    /// The routers of the deployment, of which `own` is this one.
-    pub(super) fn routers(&mut self, own: &VmId, routers: &[VmId]) {
+impl RateLimits {
+    /// Sets the routers of the deployment; `own` is this router.
+    pub(super) fn set_routers(&mut self, own: &VmId, routers: &[VmId]) {
         if self.own.as_ref() == Some(own) && self.routers == routers {
             return;
         }
         self.own = Some(own.clone());
         self.routers = routers.to_vec();
-        let keys: Vec<ShortKey> = self.named.keys().copied().collect();
+        let keys: Vec<ShortKey> = self.limits.keys().copied().collect();
         for key in keys {
-            self.split(key);
+            self.update_share(key);
         }
     }
 
-    /// Takes in what an endpoint said; whether that is new.
-    pub(super) fn hear(&mut self, news: RateUpdate, now: Duration) -> bool {
-        let known = self.named.get(&news.endpoint);
-        if known.is_some_and(|known| known.told >= news.reported_at) || (known.is_none() && news.rate.is_none()) {
+    /// Merges a limit that an endpoint reported. Returns whether the rate changed.
+    pub(super) fn merge(&mut self, update: RateUpdate, now: Duration) -> bool {
+        let previous = self.limits.get(&update.endpoint);
+        if previous.is_some_and(|previous| previous.reported_at >= update.reported_at)
+            || (previous.is_none() && update.rate.is_none())
+        {
             return false;
         }
-        let before = known.and_then(|known| known.rate);
-        let begins = before.is_none();
-        let named = self.named.entry(news.endpoint).or_insert(Named {
+        let before = previous.and_then(|previous| previous.rate);
+        let starts = before.is_none();
+        let limit = self.limits.entry(update.endpoint).or_insert(RateLimit {
             rate: None,
-            told: news.reported_at,
+            reported_at: update.reported_at,
             share: None,
-            saved: (0.0, now),
-            checked: None,
+            credit: (0.0, now),
+            last_probe: None,
         });
-        named.rate = news.rate;
-        named.told = news.reported_at;
-        if begins {
-            // It has just got more than it takes.
-            named.saved = (0.0, now);
-            named.checked = Some(now);
+        limit.rate = update.rate;
+        limit.reported_at = update.reported_at;
+        if starts {
+            // The endpoint was overloaded until now, so neither saved credit nor an immediate probe is allowed.
+            limit.credit = (0.0, now);
+            limit.last_probe = Some(now);
         }
-        if before != news.rate {
-            self.split(news.endpoint);
+        if before != update.rate {
+            self.update_share(update.endpoint);
         }
-        before != news.rate
+        before != update.rate
     }
 
-    /// Another life of an endpoint begins, or it is gone: what it named holds no more, nor does what others heard before.
-    pub(super) fn forget(&mut self, endpoint: ShortKey, now: Duration) {
-        if let Some(named) = self.named.get_mut(&endpoint) {
-            named.rate = None;
-            named.told = now;
+    /// Clears the limit of an endpoint that was removed or restarted, and makes earlier reports outdated.
+    pub(super) fn clear(&mut self, endpoint: ShortKey, now: Duration) {
+        if let Some(limit) = self.limits.get_mut(&endpoint) {
+            limit.rate = None;
+            limit.reported_at = now;
         }
     }
 
-    /// Whether an endpoint may get a request now.
+    /// Whether this router may send a request to the endpoint now.
     pub(super) fn allow(&self, endpoint: ShortKey, now: Duration) -> bool {
-        let Some((named, rate)) = self.limited(endpoint) else {
+        let Some((limit, rate)) = self.active(endpoint) else {
             return true;
         };
-        match named.share {
-            Some(share) => saved(named, share, now) >= 1.0,
+        match limit.share {
+            Some(share) => credit(limit, share, now) >= 1.0,
             None => {
-                let since = named.checked.map(|checked| now.saturating_sub(checked));
-                since.is_none_or(|since| since >= SLOT) && self.in_slot(endpoint, rate, now)
+                let since = limit.last_probe.map(|last_probe| now.saturating_sub(last_probe));
+                since.is_none_or(|since| since >= PROBE_SLOT) && self.in_probe_slot(endpoint, rate, now)
             }
         }
     }
 
-    /// An endpoint gets a request.
-    pub(super) fn take(&mut self, endpoint: ShortKey, now: Duration) {
-        let Some(named) = self.named.get_mut(&endpoint) else {
+    /// Records a request sent to the endpoint.
+    pub(super) fn record_request(&mut self, endpoint: ShortKey, now: Duration) {
+        let Some(limit) = self.limits.get_mut(&endpoint) else {
             return;
         };
-        match named.share {
-            Some(share) => named.saved = (saved(named, share, now) - 1.0, now),
-            None => named.checked = Some(now),
+        match limit.share {
+            Some(share) => limit.credit = (credit(limit, share, now) - 1.0, now),
+            None => limit.last_probe = Some(now),
         }
     }
 
-    /// When a caller had better come back for an endpoint: when this router's share has a request, or any router may have one.
-    pub(super) fn after(&self, endpoint: ShortKey, now: Duration) -> Duration {
-        let Some((named, rate)) = self.limited(endpoint) else {
+    /// Time after which a client should retry: when this router's share allows a request, or else when the total rate
+    /// allows one to some router.
+    pub(super) fn retry_after(&self, endpoint: ShortKey, now: Duration) -> Duration {
+        let Some((limit, rate)) = self.active(endpoint) else {
             return Duration::ZERO;
         };
-        let seconds = match named.share {
-            Some(share) => (1.0 - saved(named, share, now)).max(0.0) / share,
+        let seconds = match limit.share {
+            Some(share) => (1.0 - credit(limit, share, now)).max(0.0) / share,
             None => 1.0 / rate,
         };
-        let longest = LATEST.as_secs_f64();
-        // A rate of nothing has no such time.
-        Duration::from_secs_f64(if seconds < longest { seconds } else { longest })
+        let max_seconds = MAX_RETRY_AFTER.as_secs_f64();
+        // A rate of zero gives infinity, which `from_secs_f64` rejects.
+        Duration::from_secs_f64(if seconds < max_seconds { seconds } else { max_seconds })
     }
 
-    /// Endpoints that name a rate.
+    /// Number of endpoints with a rate limit.
     pub(super) fn count(&self) -> usize {
-        self.named.values().filter(|named| named.rate.is_some()).count()
+        self.limits.values().filter(|limit| limit.rate.is_some()).count()
     }
 
-    /// What endpoints said lately, to tell it to other routers.
-    pub(super) fn news(&self, now: Duration) -> Vec<RateUpdate> {
-        let lately = self
-            .named
+    /// Recently reported limits, for peers.
+    pub(super) fn recent(&self, now: Duration) -> Vec<RateUpdate> {
+        let recent = self
+            .limits
             .iter()
-            .filter(|(_, named)| now.saturating_sub(named.told) < TOLD_FOR);
-        let news = lately.map(|(endpoint, named)| RateUpdate {
+            .filter(|(_, limit)| now.saturating_sub(limit.reported_at) < FORWARD_PERIOD);
+        let updates = recent.map(|(endpoint, limit)| RateUpdate {
             endpoint: *endpoint,
-            rate: named.rate,
-            reported_at: named.told,
+            rate: limit.rate,
+            reported_at: limit.reported_at,
         });
-        news.collect()
+        updates.collect()
     }
 
-    fn limited(&self, endpoint: ShortKey) -> Option<(&Named, f64)> {
-        let named = self.named.get(&endpoint)?;
-        Some((named, named.rate?))
+    fn active(&self, endpoint: ShortKey) -> Option<(&RateLimit, f64)> {
+        let limit = self.limits.get(&endpoint)?;
+        Some((limit, limit.rate?))
     }
 
-    /// Finds out whether this router has a share of an endpoint's rate.
-    fn split(&mut self, endpoint: ShortKey) {
-        let Some(named) = self.named.get_mut(&endpoint) else {
+    /// Recomputes whether this router has a share of an endpoint's rate, and its size.
+    fn update_share(&mut self, endpoint: ShortKey) {
+        let Some(limit) = self.limits.get_mut(&endpoint) else {
             return;
         };
-        let shares = (named.rate.unwrap_or_default() / SHARE).floor().max(1.0);
+        let shares = (limit.rate.unwrap_or_default() / MIN_SHARE_RPS).floor().max(1.0);
         let count = (shares as usize).min(self.routers.len());
         let chosen = rendezvous::choose(&endpoint.0.to_string(), &self.routers, count);
-        let has = self.own.as_ref().is_some_and(|own| chosen.contains(&own));
-        let rate = named.rate.filter(|rate| has && *rate > 0.0);
-        named.share = rate.map(|rate| rate * SHARED / count as f64);
+        let has_share = self.own.as_ref().is_some_and(|own| chosen.contains(&own));
+        let rate = limit.rate.filter(|rate| has_share && *rate > 0.0);
+        limit.share = rate.map(|rate| rate * SHARED_FRACTION / count as f64);
     }
 
-    /// Whether it is this router's turn to send an endpoint a request without a share. Turns come so seldom that all such routers together
-    /// use little of the rate.
-    fn in_slot(&self, endpoint: ShortKey, rate: f64, now: Duration) -> bool {
+    /// Whether it is this router's slot to probe an endpoint without a share. Slots are so rare that all such routers
+    /// together use only a small fraction of the rate.
+    fn in_probe_slot(&self, endpoint: ShortKey, rate: f64, now: Duration) -> bool {
         let routers = if self.routers.is_empty() {
-            UNKNOWN
+            ASSUMED_ROUTERS
         } else {
             self.routers.len()
         };
-        let each = (rate * CHECKED * SLOT.as_secs_f64()).max(f64::MIN_POSITIVE);
+        let each = (rate * PROBE_FRACTION * PROBE_SLOT.as_secs_f64()).max(f64::MIN_POSITIVE);
         let slots = ((routers as f64 / each).ceil() as u64).max(1);
-        let turn = self
+        let own_slot = self
             .own
             .as_ref()
             .map_or(0, |own| rendezvous::weight(&endpoint.0.to_string(), own));
-        let slot = (now.as_millis() / SLOT.as_millis()) as u64;
-        slot % slots == turn % slots
+        let slot = (now.as_millis() / PROBE_SLOT.as_millis()) as u64;
+        slot % slots == own_slot % slots
     }
 }
 
-fn saved(named: &Named, share: f64, now: Duration) -> f64 {
-    let (saved, counted) = named.saved;
-    (saved + share * now.saturating_sub(counted).as_secs_f64()).min(SAVED)
+fn credit(limit: &RateLimit, share: f64, now: Duration) -> f64 {
+    let (credit, updated_at) = limit.credit;
+    (credit + share * now.saturating_sub(updated_at).as_secs_f64()).min(MAX_CREDIT)
 }
--- a/crates/dispatch/tests/crowd.rs
+++ b/crates/dispatch/tests/crowd.rs
@@ -1,92 +1,110 @@
-//! Many routers before a few engines: what callers get.
+//! Service quality with many routers in front of a few engines.
 
 mod support;
 
 use dispatch::fleet::Prompt;
 use std::collections::BTreeSet;
-use support::crowd::{Load, Served, play};
+use support::crowd::{Served, Workload, simulate};
 use support::fleet::{at, entry, fleet, prompt, send};
 
-const LOAD: Load = Load {
+const WORKLOAD: Workload = Workload {
     routers: 12,
     engines: 9,
-    verdicts: 16.0,
-    chats: 40.0,
+    long_prompts: 16.0,
+    long_answers: 40.0,
     seconds: 30,
-    news: true,
+    announcements: true,
     seed: 1,
 };
 
-fn over_seeds(load: &Load) -> Served {
+fn over_seeds(workload: &Workload) -> Served {
     let mut sum = Served::default();
     for seed in 1..=6 {
-        let served = play(&Load {
+        let served = simulate(&Workload {
             seed: seed * 7_919,
-            ..*load
+            ..*workload
         });
-        sum.verdicts += served.verdicts;
-        sum.late_verdicts += served.late_verdicts;
-        sum.chats += served.chats;
-        sum.late_chats += served.late_chats;
-        sum.paused_chats += served.paused_chats;
-        sum.read_again += served.read_again;
+        sum.long_prompts += served.long_prompts;
+        sum.late_prompts += served.late_prompts;
+        sum.long_answers += served.long_answers;
+        sum.late_answers += served.late_answers;
+        sum.interrupted_answers += served.interrupted_answers;
+        sum.reread_tokens += served.reread_tokens;
     }
     sum
 }
 
-/// Engines tell their load on answers only, and an engine that reads long prompts answers nobody: all routers send their next one there.
+/// Engines report their load only on answers, and an engine that reads long prompts answers nobody. Without announced
+/// backlogs all routers send their next long prompt to it.
 #[test]
-fn routers_that_tell_what_they_wait_for_spread_long_prompts() {
-    let alone = over_seeds(&Load { news: false, ..LOAD });
-    let told = over_seeds(&LOAD);
-    assert!(told.paused_chats * 2 < alone.paused_chats, "{told:?}, {alone:?}");
-    assert!(told.late_verdicts + told.late_chats <= 5, "{told:?}");
+fn announced_backlogs_spread_long_prompts() {
+    let alone = over_seeds(&Workload {
+        announcements: false,
+        ..WORKLOAD
+    });
+    let together = over_seeds(&WORKLOAD);
+    assert!(
+        together.interrupted_answers * 2 < alone.interrupted_answers,
+        "{together:?}, {alone:?}"
+    );
+    assert!(together.late_prompts + together.late_answers <= 5, "{together:?}");
 }
 
-/// With two lanes a router alone moves prefixes between them as it sees other shares than the others, and engines read them again.
+/// Without announcements each router sees other shares of the lanes, so it moves prefixes between them on its own,
+/// and engines read them again.
 #[test]
-fn routers_that_agree_on_the_lanes_read_less_again() {
-    let alone = over_seeds(&Load { news: false, ..LOAD });
-    let told = over_seeds(&LOAD);
-    assert!(told.read_again < alone.read_again * 3 / 4, "{told:?}, {alone:?}");
+fn announced_lane_tokens_avoid_repeated_prefills() {
+    let alone = over_seeds(&Workload {
+        announcements: false,
+        ..WORKLOAD
+    });
+    let together = over_seeds(&WORKLOAD);
+    assert!(
+        together.reread_tokens < alone.reread_tokens * 3 / 4,
+        "{together:?}, {alone:?}"
+    );
 }
 
-/// Long answers stop for as long as their engine reads a long prompt.
+/// Long answers are interrupted while their engine reads a long prompt.
 #[test]
-fn long_answers_are_not_held_up_by_long_prompts() {
+fn long_prompts_do_not_interrupt_long_answers() {
     struct Case {
-        what: &'static str,
-        load: Load,
+        name: &'static str,
+        workload: Workload,
     }
     let cases = [
         Case {
-            what: "a busy hour",
-            load: LOAD,
+            name: "peak load",
+            workload: WORKLOAD,
         },
         Case {
-            what: "routers that have just started",
-            load: Load { seconds: 5, ..LOAD },
+            name: "routers just started",
+            workload: Workload { seconds: 5, ..WORKLOAD },
         },
         Case {
-            what: "a smaller pool",
-            load: Load {
+            name: "smaller pool",
+            workload: Workload {
                 engines: 5,
-                verdicts: 9.0,
-                chats: 22.0,
-                ..LOAD
+                long_prompts: 9.0,
+                long_answers: 22.0,
+                ..WORKLOAD
             },
         },
     ];
-    for Case { what, load } in cases {
-        let served = over_seeds(&load);
-        assert!(served.paused_chats * 200 <= served.chats, "{what}: {served:?}");
-        assert!(served.late_verdicts * 50 <= served.verdicts, "{what}: {served:?}");
+    for Case { name, workload } in cases {
+        let served = over_seeds(&workload);
+        assert!(
+            served.interrupted_answers * 200 <= served.long_answers,
+            "{name}: {served:?}"
+        );
+        assert!(served.late_prompts * 50 <= served.long_prompts, "{name}: {served:?}");
     }
 }
 
-/// A tenth of a large pool whose engines have few slots is full of long answers, and callers wait for a slot.
+/// With few slots per engine, a decode lane of a tenth of a large pool would be full of long answers, and clients
+/// would wait for a slot.
 #[test]
-fn engines_of_few_slots_share_all_long_answers() {
+fn pools_with_few_slots_per_engine_are_not_split() {
     let mut used = BTreeSet::new();
     let entries = (0..40).map(|at| entry(&format!("e{at}"), 1));
     let mut fleet = fleet(&entries.collect::<Vec<_>>());
--- a/crates/dispatch/tests/name_ages.rs
+++ b/crates/dispatch/tests/name_ages.rs
@@ -1,4 +1,4 @@
-//! How long ago weights were named, as far as routers can tell that start, freeze and ask each other.
+//! Target ages as seen by routers that start, freeze and ask each other.
 
 use dispatch::fleet::{Choice, Fleet, FleetSettings, PickContext, Prompt, PromptPart, TargetAge};
 use dispatch::retries::RetryLimits;
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Nobody may begin on weights after newer ones have been named for this long.
-const LAST: Duration = Duration::from_millis(9_500);
+/// No request may begin on weights after newer ones have been the target for this long.
+const HARD_STALENESS: Duration = Duration::from_millis(9_500);
 const ROUTERS: usize = 4;
 
 fn ms(ms: u64) -> Duration {
@@ -43,12 +43,12 @@
             routers: 1,
         },
         soft_staleness: ms(7_500),
-        hard_staleness: LAST,
+        hard_staleness: HARD_STALENESS,
     })
 }
 
-/// Whether a router would let a prompt begin on an engine with these weights, the only one there is.
-fn begins(fleet: &mut Fleet, weights: u64, now: Duration) -> bool {
+/// Whether a router would let a prompt begin on an engine with these weights, the only one in the pool.
+fn can_begin(fleet: &mut Fleet, weights: u64, now: Duration) -> bool {
     fleet.remove_endpoint(&EndpointId::from("e"), now);
     fleet.upsert_endpoint(&Arc::new(entry(weights)), now);
     let prompt = Prompt {
@@ -57,47 +57,47 @@
         tokens: 100,
         max_output: 10,
     };
-    let wish = PickContext {
+    let context = PickContext {
         service: &ServiceId::from("s"),
         avoid: &[],
         prompt: Some(&prompt),
         isolated: None,
     };
-    matches!(fleet.choose(&wish, 1, now), Choice::Endpoint(_))
+    matches!(fleet.choose(&context, 1, now), Choice::Endpoint(_))
 }
 
-/// A router of the model: what it knows, and when the store last told it everything.
+/// A simulated router and when it last read the store.
 struct Router {
     fleet: Fleet,
-    /// The store's last word, absent since its start.
-    confirmed: Option<Duration>,
-    frozen: Duration,
+    /// Last read of the store; `None` after a start.
+    last_read: Option<Duration>,
+    frozen_until: Duration,
 }
 
 impl Router {
     fn start() -> Self {
         Self {
             fleet: fleet(),
-            confirmed: None,
-            frozen: Duration::ZERO,
+            last_read: None,
+            frozen_until: Duration::ZERO,
         }
     }
 
-    /// The store tells the newest weights, not those in between nor when they were named.
-    fn hears(&mut self, newest: u64, now: Duration) {
+    /// Reads the newest target. The store shows neither the targets in between nor when they were set.
+    fn read_store(&mut self, newest: u64, now: Duration) {
         let age = TargetAge {
             lower: Duration::ZERO,
-            upper: self.confirmed.map(|confirmed| now - confirmed),
+            upper: self.last_read.map(|last_read| now - last_read),
         };
         self.fleet.set_target(&model(), newest, age, now);
-        self.confirmed = Some(now);
+        self.last_read = Some(now);
     }
 
-    fn asks(&mut self, told: &[(ModelId, u64, TargetAge)], under_way: Duration, now: Duration) {
-        for (model, weights, age) in told {
+    fn merge_ages(&mut self, ages: &[(ModelId, u64, TargetAge)], transit: Duration, now: Duration) {
+        for (model, weights, age) in ages {
             let age = TargetAge {
                 lower: age.lower,
-                upper: age.upper.map(|most| most + under_way),
+                upper: age.upper.map(|upper| upper + transit),
             };
             self.fleet.merge_target_age(model, *weights, age, now);
         }
@@ -105,22 +105,22 @@
 }
 
 #[derive(Debug, Clone)]
-enum Move {
-    Name,
-    Follow(usize),
+enum Action {
+    SetTarget,
+    ReadStore(usize),
     Freeze(usize, u64),
     Restart(usize),
-    Ask(usize, usize, u64),
+    AskPeer(usize, usize, u64),
 }
 
 #[derive(Debug, Clone)]
-struct Moves(Vec<(u64, Move)>);
+struct Actions(Vec<(u64, Action)>);
 
-impl Arbitrary for Moves {
+impl Arbitrary for Actions {
     fn arbitrary(random: &mut Gen) -> Self {
         let count = 20 + usize::arbitrary(random) % 120;
         let pause = |random: &mut Gen| u64::arbitrary(random) % 700;
-        Self((0..count).map(|_| (pause(random), Move::arbitrary(random))).collect())
+        Self((0..count).map(|_| (pause(random), Action::arbitrary(random))).collect())
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
@@ -128,50 +128,50 @@
     }
 }
 
-impl Arbitrary for Move {
+impl Arbitrary for Action {
     fn arbitrary(random: &mut Gen) -> Self {
         let router = |random: &mut Gen| usize::arbitrary(random) % ROUTERS;
         match u8::arbitrary(random) % 20 {
-            0 => Self::Name,
+            0 => Self::SetTarget,
             1 => Self::Restart(router(random)),
             2 => Self::Freeze(router(random), u64::arbitrary(random) % 8_000),
-            3..=7 => Self::Ask(router(random), router(random), u64::arbitrary(random) % 300),
-            _ => Self::Follow(router(random)),
+            3..=7 => Self::AskPeer(router(random), router(random), u64::arbitrary(random) % 300),
+            _ => Self::ReadStore(router(random)),
         }
     }
 }
 
-/// When the first weights newer than these were named.
-fn replaced(named: &[Duration], weights: u64) -> Option<Duration> {
-    named.get(weights as usize).copied()
+/// When the first target newer than these weights was set.
+fn replaced_at(set_at: &[Duration], weights: u64) -> Option<Duration> {
+    set_at.get(weights as usize).copied()
 }
 
-fn holds(moves: Moves) -> bool {
+fn no_stale_begin(actions: Actions) -> bool {
     let mut now = ms(1_000);
-    // Weights 1 were there before; `named[w]` is when weights `w + 1` were named.
-    let mut named = vec![Duration::ZERO];
+    // Weights 1 were there before; `set_at[w]` is when weights `w + 1` were set.
+    let mut set_at = vec![Duration::ZERO];
     let mut routers: Vec<Router> = (0..ROUTERS).map(|_| Router::start()).collect();
-    for (pause, next) in moves.0 {
+    for (pause, next) in actions.0 {
         now += ms(pause);
-        let newest = named.len() as u64;
-        let awake = |router: &Router| router.frozen <= now;
+        let newest = set_at.len() as u64;
+        let is_running = |router: &Router| router.frozen_until <= now;
         match next {
-            Move::Name => named.push(now),
-            Move::Restart(at) => routers[at] = Router::start(),
-            Move::Freeze(at, time) => routers[at].frozen = now + ms(time),
-            Move::Follow(at) if awake(&routers[at]) => routers[at].hears(newest, now),
-            Move::Ask(at, other, under_way) if awake(&routers[at]) && awake(&routers[other]) => {
-                let told = routers[other].fleet.target_ages(now - ms(under_way));
-                routers[at].asks(&told, ms(under_way), now);
+            Action::SetTarget => set_at.push(now),
+            Action::Restart(at) => routers[at] = Router::start(),
+            Action::Freeze(at, time) => routers[at].frozen_until = now + ms(time),
+            Action::ReadStore(at) if is_running(&routers[at]) => routers[at].read_store(newest, now),
+            Action::AskPeer(at, other, transit) if is_running(&routers[at]) && is_running(&routers[other]) => {
+                let ages = routers[other].fleet.target_ages(now - ms(transit));
+                routers[at].merge_ages(&ages, ms(transit), now);
             }
-            Move::Follow(_) | Move::Ask(..) => {}
+            Action::ReadStore(_) | Action::AskPeer(..) => {}
         }
-        for router in routers.iter_mut().filter(|router| router.frozen <= now) {
-            // A router that heard nothing of the store for longer than the bound is not in touch.
-            let in_touch = router.confirmed.is_some_and(|confirmed| now - confirmed < ms(1_000));
-            for weights in 1..=named.len() as u64 {
-                let late = replaced(&named, weights).is_some_and(|at| now - at >= LAST + ms(1_000));
-                if in_touch && late && begins(&mut router.fleet, weights, now) {
+        for router in routers.iter_mut().filter(|router| router.frozen_until <= now) {
+            // A router that hasn't read the store for longer than this counts as cut off.
+            let in_touch = router.last_read.is_some_and(|last_read| now - last_read < ms(1_000));
+            for weights in 1..=set_at.len() as u64 {
+                let expired = replaced_at(&set_at, weights).is_some_and(|at| now - at >= HARD_STALENESS + ms(1_000));
+                if in_touch && expired && can_begin(&mut router.fleet, weights, now) {
                     return false;
                 }
             }
@@ -180,77 +180,73 @@
     true
 }
 
-/// Routers start, freeze, miss names and ask each other in any order, while weights are named in quick succession. No router that
-/// is in touch with the store lets a request begin on weights that were replaced before the bound.
+/// Routers start, freeze, miss targets and ask each other in any order, while new targets are set in quick
+/// succession. No router that can read the store may let a request begin on weights that were replaced before the
+/// hard limit.
 #[test]
-fn no_interleaving_makes_a_name_younger_than_it_is() {
-    QuickCheck::new().tests(3_000).quickcheck(holds as fn(Moves) -> bool);
+fn no_interleaving_allows_weights_past_the_hard_limit() {
+    QuickCheck::new()
+        .tests(3_000)
+        .quickcheck(no_stale_begin as fn(Actions) -> bool);
 }
 
-/// A router missed the naming in between: it was frozen, and the store tells the newest weights only. A neighbour's word that the newest
-/// are a second old must not let engines serve that are two names behind.
+/// A frozen router missed a target, because the store shows only the newest one. A peer's answer that the newest
+/// target is a second old must not allow engines that are two targets behind.
 #[test]
-fn a_name_that_was_missed_counts() {
+fn missed_target_counts_towards_staleness() {
     struct Case {
-        told: &'static [(u64, u64, Option<u64>)],
+        ages: &'static [(u64, u64, Option<u64>)],
         serves: [bool; 3],
     }
     let cases = [
-        // Nobody tells anything: all old ones may be too old.
+        // Without any age all old weights may be too old.
         Case {
-            told: &[],
+            ages: &[],
             serves: [false, false, true],
         },
         Case {
-            told: &[(2, 9_500, Some(9_600)), (3, 900, Some(1_000))],
+            ages: &[(2, 9_500, Some(9_600)), (3, 900, Some(1_000))],
             serves: [false, true, true],
         },
         Case {
-            told: &[(2, 4_000, Some(5_000)), (3, 900, Some(1_000))],
+            ages: &[(2, 4_000, Some(5_000)), (3, 900, Some(1_000))],
             serves: [true, true, true],
         },
-        // A neighbour that started in between knows the last name's age only.
+        // A peer that started in between knows only the age of the last target.
         Case {
-            told: &[(2, 100, None), (3, 900, Some(1_000))],
+            ages: &[(2, 100, None), (3, 900, Some(1_000))],
             serves: [false, true, true],
         },
-        // Newer names come from the store.
+        // Newer targets come from the store only.
         Case {
-            told: &[(4, 100, Some(200))],
+            ages: &[(4, 100, Some(200))],
             serves: [false, false, true],
         },
     ];
     for case in cases {
         let mut router = Router::start();
         let now = ms(100);
-        router.hears(3, now);
-        let told = |(weights, least, most): &(u64, u64, Option<u64>)| {
-            let (least, most) = (ms(*least), most.map(ms));
-            (
-                model(),
-                *weights,
-                TargetAge {
-                    lower: least,
-                    upper: most,
-                },
-            )
+        router.read_store(3, now);
+        let ages = |(weights, lower, upper): &(u64, u64, Option<u64>)| {
+            let (lower, upper) = (ms(*lower), upper.map(ms));
+            (model(), *weights, TargetAge { lower, upper })
         };
-        let told: Vec<_> = case.told.iter().map(told).collect();
-        router.asks(&told, ms(0), now);
-        let serves = [1, 2, 3].map(|weights| begins(&mut router.fleet, weights, now));
-        assert_eq!(serves, case.serves, "{:?}", case.told);
+        let ages: Vec<_> = case.ages.iter().map(ages).collect();
+        router.merge_ages(&ages, ms(0), now);
+        let serves = [1, 2, 3].map(|weights| can_begin(&mut router.fleet, weights, now));
+        assert_eq!(serves, case.serves, "{:?}", case.ages);
     }
 }
 
-/// Names that are too many to be remembered are too old as well, or stay in the age of the first that is.
+/// Weights of pruned targets are past the limit, or their age is covered by the oldest target that is kept.
 #[test]
-fn forgotten_names_keep_their_age() {
+fn pruned_targets_keep_their_age() {
     let mut router = Router::start();
-    router.hears(1, ms(0));
+    router.read_store(1, ms(0));
     for weights in 2..=40 {
-        router.hears(weights, ms(weights * 300));
+        router.read_store(weights, ms(weights * 300));
     }
     let now = ms(40 * 300);
-    assert!(!begins(&mut router.fleet, 1, now));
-    assert!(begins(&mut router.fleet, 39, now));
+    assert!(!can_begin(&mut router.fleet, 1, now));
+    assert!(can_begin(&mut router.fleet, 39, now));
 }
--- a/crates/dispatch/tests/rates.rs
+++ b/crates/dispatch/tests/rates.rs
@@ -1,4 +1,5 @@
-//! Rates that endpoints in need name, before fleets of two sizes: what endpoints get of all routers together.
+//! Simulates rate-limited endpoints with deployments of two sizes: the requests that endpoints get from all routers
+//! together.
 
 mod support;
 
@@ -8,87 +9,87 @@
 use std::time::Duration;
 use support::fleet::{at, entry, fleet, service};
 
-/// Time over which requests are counted.
+/// Length of the window in which requests are counted.
 const WINDOW: Duration = Duration::from_millis(4_000);
-/// Time after its first answer with a rate from which on a router's requests count.
-const TOLD: Duration = Duration::from_millis(500);
-/// Time until an endpoint's answer begins.
-const ANSWER: Duration = Duration::from_millis(200);
-/// Routers that one router tells its news, and how long that takes at most, milliseconds.
-const HEARERS: u64 = 32;
-const HOP: u64 = 300;
-/// Time between two tellings, milliseconds.
-const REPEAT: u64 = 500;
-/// The need begins and ends, milliseconds.
-const NEED: std::ops::Range<u64> = 2_000..14_000;
-/// End of a play, milliseconds.
-const END: u64 = 18_000;
+/// Time after the first answer with a rate limit from which a router's requests count.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Time until an endpoint answers.
+const ANSWER_TIME: Duration = Duration::from_millis(200);
+/// Peers that a router sends its updates to, and the longest delivery time.
+const FANOUT: u64 = 32;
+const MAX_DELIVERY_MS: u64 = 300;
+/// Interval between two updates of a router.
+const REPEAT_MS: u64 = 500;
+/// Start and end of the overload, in ms.
+const OVERLOAD: std::ops::Range<u64> = 2_000..14_000;
+/// End of a simulation.
+const END_MS: u64 = 18_000;
 
-/// A play.
+/// Parameters of a simulation.
 struct Case {
     name: &'static str,
     routers: usize,
     endpoints: usize,
-    /// Endpoints that name a rate.
-    needy: usize,
+    /// Number of endpoints that report a rate limit.
+    overloaded: usize,
     rate: f64,
-    /// Requests a second from all callers.
+    /// Requests per second from all clients.
     load: u64,
-    /// Share of news that is lost, percent.
-    lost: u64,
-    /// Part of the routers that each router knows, percent.
-    known: u64,
-    /// Least part of the rate that is used.
-    least: f64,
+    /// Share of updates that are lost, in percent.
+    lost_percent: u64,
+    /// Share of the routers that each router knows, in percent.
+    known_percent: u64,
+    /// Smallest acceptable part of the rate that is used.
+    min_used: f64,
 }
 
-/// What came of a play.
-struct Played {
-    /// Most requests that counted in any window, of any endpoint in need.
-    most: usize,
-    /// Requests a second that an endpoint in need got on average, from two seconds after its need began.
+/// Results of a simulation.
+struct Results {
+    /// Most requests counted in any window at any overloaded endpoint.
+    max_in_window: usize,
+    /// Mean requests per second at an overloaded endpoint, from two seconds after the start of the overload.
     used: f64,
-    /// Requests a second that it got after its need had been over for a second.
-    after: f64,
+    /// Mean requests per second at such an endpoint, from one second after the end of the overload.
+    used_after: f64,
     /// Requests that were refused.
     refused: usize,
 }
 
-struct World {
+struct Simulation {
     seed: u64,
     fleets: Vec<Fleet>,
-    /// When each router was first told of an endpoint's rate.
-    told: BTreeMap<(usize, usize), Duration>,
-    /// Arrivals at endpoints: when, and from whom.
+    /// When each router first received a rate limit from each endpoint.
+    first_limited: BTreeMap<(usize, usize), Duration>,
+    /// Requests by endpoint: arrival time and router.
     arrivals: Vec<Vec<(Duration, usize)>>,
     answers: BTreeMap<(Duration, u64), (usize, usize)>,
-    news: BTreeMap<(Duration, u64), (usize, Vec<RateUpdate>)>,
+    updates: BTreeMap<(Duration, u64), (usize, Vec<RateUpdate>)>,
     refused: usize,
 }
 
-impl World {
+impl Simulation {
     fn new(case: &Case, seed: u64) -> Self {
         let entries: Vec<_> = (0..case.endpoints).map(|number| entry(&name(number), 1)).collect();
         let vms: Vec<VmId> = (0..case.routers)
             .map(|number| VmId::from(format!("vm-{number}")))
             .collect();
-        let mut world = Self {
+        let mut simulation = Self {
             seed,
             fleets: Vec::new(),
-            told: BTreeMap::new(),
+            first_limited: BTreeMap::new(),
             arrivals: vec![Vec::new(); case.endpoints],
             answers: BTreeMap::new(),
-            news: BTreeMap::new(),
+            updates: BTreeMap::new(),
             refused: 0,
         };
         for own in &vms {
             let mut fleet = fleet(&entries);
-            let knows = |vm: &&VmId| *vm == own || world.draw(100) < case.known;
+            let knows = |vm: &&VmId| *vm == own || simulation.draw(100) < case.known_percent;
             let known: Vec<VmId> = vms.iter().filter(knows).cloned().collect();
             fleet.set_routers(own, &known);
-            world.fleets.push(fleet);
+            simulation.fleets.push(fleet);
         }
-        world
+        simulation
     }
 
     fn draw(&mut self, below: u64) -> u64 {
@@ -100,74 +101,74 @@
     }
 
     fn send(&mut self, router: usize, now: Duration) {
-        let wish = PickContext {
+        let context = PickContext {
             service: &service(),
             avoid: &[],
             prompt: None,
             isolated: None,
         };
         let draw = self.draw(u64::MAX);
-        match self.fleets[router].choose(&wish, draw, now) {
+        match self.fleets[router].choose(&context, draw, now) {
             Choice::Endpoint(picked) => {
                 let endpoint = number(&picked.endpoint.id);
                 self.arrivals[endpoint].push((now, router));
-                let key = (now + ANSWER, self.draw(u64::MAX));
+                let key = (now + ANSWER_TIME, self.draw(u64::MAX));
                 self.answers.insert(key, (router, endpoint));
             }
             Choice::RateLimited(after) => {
                 assert!(after <= Duration::from_secs(2), "{after:?}");
                 self.refused += 1;
             }
-            Choice::Full | Choice::Unavailable => panic!("no endpoint is full"),
+            Choice::Full | Choice::Unavailable => panic!("no endpoint is full or unavailable"),
         }
     }
 
     fn answer(&mut self, case: &Case, now: Duration) {
         while let Some(due) = self.answers.first_entry().filter(|first| first.key().0 <= now) {
             let (router, endpoint) = due.remove();
-            let in_need = endpoint < case.needy && (at(NEED.start)..at(NEED.end)).contains(&now);
-            let rate = in_need.then_some(case.rate);
-            if in_need {
-                self.told.entry((router, endpoint)).or_insert(now);
+            let is_overloaded = endpoint < case.overloaded && (at(OVERLOAD.start)..at(OVERLOAD.end)).contains(&now);
+            let rate = is_overloaded.then_some(case.rate);
+            if is_overloaded {
+                self.first_limited.entry((router, endpoint)).or_insert(now);
             }
             if self.fleets[router].record_rate(&EndpointId::from(name(endpoint)), rate, now) {
-                self.tell(case, router, now);
+                self.announce(case, router, now);
             }
         }
     }
 
-    fn tell(&mut self, case: &Case, router: usize, now: Duration) {
-        let news = self.fleets[router].recent_rates(now);
-        if news.is_empty() {
+    fn announce(&mut self, case: &Case, router: usize, now: Duration) {
+        let updates = self.fleets[router].recent_rates(now);
+        if updates.is_empty() {
             return;
         }
-        for _ in 0..HEARERS.min(case.routers as u64 - 1) {
-            let hearer = self.draw(case.routers as u64) as usize;
-            if self.draw(100) >= case.lost {
-                let due = now + at(self.draw(HOP));
+        for _ in 0..FANOUT.min(case.routers as u64 - 1) {
+            let receiver = self.draw(case.routers as u64) as usize;
+            if self.draw(100) >= case.lost_percent {
+                let due = now + at(self.draw(MAX_DELIVERY_MS));
                 let key = (due, self.draw(u64::MAX));
-                self.news.insert(key, (hearer, news.clone()));
+                self.updates.insert(key, (receiver, updates.clone()));
             }
         }
     }
 
-    fn hear(&mut self, case: &Case, now: Duration) {
-        while let Some(due) = self.news.first_entry().filter(|first| first.key().0 <= now) {
-            let (hearer, mut news) = due.remove();
-            for news in &mut news {
-                news.reported_at = news.reported_at.saturating_sub(at(HOP));
+    fn deliver(&mut self, case: &Case, now: Duration) {
+        while let Some(due) = self.updates.first_entry().filter(|first| first.key().0 <= now) {
+            let (receiver, mut updates) = due.remove();
+            for update in &mut updates {
+                update.reported_at = update.reported_at.saturating_sub(at(MAX_DELIVERY_MS));
             }
-            if self.fleets[hearer].merge_rates(&news, now) {
-                self.tell(case, hearer, now);
+            if self.fleets[receiver].merge_rates(&updates, now) {
+                self.announce(case, receiver, now);
             }
         }
     }
 
-    /// Most arrivals that count at an endpoint in any window.
-    fn most(&self, endpoint: usize) -> usize {
+    /// Most requests counted at an endpoint in any window.
+    fn max_in_window(&self, endpoint: usize) -> usize {
         let counts = |(when, router): &&(Duration, usize)| {
-            let told = self.told.get(&(*router, endpoint));
-            told.is_some_and(|told| *when >= *told + TOLD) && *when < at(NEED.end)
+            let first_limited = self.first_limited.get(&(*router, endpoint));
+            first_limited.is_some_and(|first_limited| *when >= *first_limited + SETTLE_TIME) && *when < at(OVERLOAD.end)
         };
         let times: Vec<Duration> = self.arrivals[endpoint]
             .iter()
@@ -183,13 +184,13 @@
         times.iter().map(within).max().unwrap_or_default()
     }
 
-    /// Mean arrivals a second of endpoints in need, between two times in milliseconds.
+    /// Mean requests per second at the overloaded endpoints between two times in ms.
     fn mean(&self, case: &Case, from: u64, until: u64) -> f64 {
-        let arrivals = self.arrivals[..case.needy].iter().flatten();
+        let arrivals = self.arrivals[..case.overloaded].iter().flatten();
         let count = arrivals
             .filter(|(when, _)| (at(from)..at(until)).contains(when))
             .count();
-        count as f64 * 1_000.0 / (until - from) as f64 / case.needy as f64
+        count as f64 * 1_000.0 / (until - from) as f64 / case.overloaded as f64
     }
 }
 
@@ -201,34 +202,34 @@
     id.as_str()[1..].parse().expect("a number")
 }
 
-fn play(case: &Case, seed: u64) -> Played {
-    let mut world = World::new(case, seed);
-    for ms in 0..END {
+fn simulate(case: &Case, seed: u64) -> Results {
+    let mut simulation = Simulation::new(case, seed);
+    for ms in 0..END_MS {
         let now = at(ms);
-        world.answer(case, now);
-        world.hear(case, now);
+        simulation.answer(case, now);
+        simulation.deliver(case, now);
         for router in 0..case.routers {
-            if (ms + router as u64 * 37).is_multiple_of(REPEAT) {
-                world.tell(case, router, now);
+            if (ms + router as u64 * 37).is_multiple_of(REPEAT_MS) {
+                simulation.announce(case, router, now);
             }
         }
-        if world.draw(1_000) < case.load % 1_000 {
-            let router = world.draw(case.routers as u64) as usize;
-            world.send(router, now);
+        if simulation.draw(1_000) < case.load % 1_000 {
+            let router = simulation.draw(case.routers as u64) as usize;
+            simulation.send(router, now);
         }
         for _ in 0..case.load / 1_000 {
-            let router = world.draw(case.routers as u64) as usize;
-            world.send(router, now);
+            let router = simulation.draw(case.routers as u64) as usize;
+            simulation.send(router, now);
         }
     }
-    Played {
-        most: (0..case.needy)
-            .map(|endpoint| world.most(endpoint))
+    Results {
+        max_in_window: (0..case.overloaded)
+            .map(|endpoint| simulation.max_in_window(endpoint))
             .max()
             .unwrap_or_default(),
-        used: world.mean(case, NEED.start + 2_000, NEED.end),
-        after: world.mean(case, NEED.end + 1_000, NEED.end + 4_000),
-        refused: world.refused,
+        used: simulation.mean(case, OVERLOAD.start + 2_000, OVERLOAD.end),
+        used_after: simulation.mean(case, OVERLOAD.end + 1_000, OVERLOAD.end + 4_000),
+        refused: simulation.refused,
     }
 }
 
@@ -236,111 +237,122 @@
     name: "small",
     routers: 13,
     endpoints: 9,
-    needy: 1,
+    overloaded: 1,
     rate: 2.5,
     load: 90,
-    lost: 0,
-    known: 100,
-    least: 0.3,
+    lost_percent: 0,
+    known_percent: 100,
+    min_used: 0.3,
 };
 const LARGE: Case = Case {
     name: "large",
     routers: 125,
     endpoints: 40,
-    needy: 3,
+    overloaded: 3,
     rate: 2.5,
     load: 400,
-    lost: 0,
-    known: 100,
-    least: 0.0,
+    lost_percent: 0,
+    known_percent: 100,
+    min_used: 0.0,
 };
 
-/// Routers that keep to a rate each by itself send an endpoint in need as much as ever; those that split it evenly send nothing.
+/// Routers that each keep to the whole rate would send an overloaded endpoint as much as before; routers that split
+/// it evenly would send nothing.
 #[test]
-fn all_routers_together_keep_to_a_rate() {
+fn routers_together_stay_within_a_rate_limit() {
     let cases = [
         SMALL,
         LARGE,
         Case {
-            name: "small, little",
+            name: "small, low rate",
             rate: 0.5,
             ..SMALL
         },
         Case {
-            name: "small, much",
+            name: "small, high rate",
             rate: 9.1,
             load: 200,
             ..SMALL
         },
         Case {
-            name: "small, nothing",
+            name: "small, zero rate",
             rate: 0.0,
-            least: 0.0,
+            min_used: 0.0,
             ..SMALL
         },
         Case {
-            name: "large, little",
+            name: "large, low rate",
             rate: 0.5,
             ..LARGE
         },
         Case {
-            name: "large, much",
+            name: "large, high rate",
             rate: 6.0,
             ..LARGE
         },
         Case {
-            name: "small, news is lost",
-            lost: 100,
+            name: "small, updates lost",
+            lost_percent: 100,
             ..SMALL
         },
         Case {
-            name: "large, news is lost",
-            lost: 100,
+            name: "large, updates lost",
+            lost_percent: 100,
             ..LARGE
         },
         Case {
-            name: "small, others are half known",
-            known: 50,
+            name: "small, half of the routers known",
+            known_percent: 50,
             ..SMALL
         },
         Case {
-            name: "large, others are half known",
-            known: 50,
+            name: "large, half of the routers known",
+            known_percent: 50,
             ..LARGE
         },
         Case {
-            name: "small, all in need",
-            needy: 9,
-            least: 0.8,
+            name: "small, all overloaded",
+            overloaded: 9,
+            min_used: 0.8,
             ..SMALL
         },
         Case {
-            name: "large, all in need",
-            needy: 40,
-            least: 0.8,
+            name: "large, all overloaded",
+            overloaded: 40,
+            min_used: 0.8,
             ..LARGE
         },
     ];
     for case in &cases {
         for seed in 1..=2 {
-            let played = play(case, seed);
+            let results = simulate(case, seed);
             let allowed = (6.0 * case.rate) as usize + 5;
             println!(
-                "{}: most {} of {allowed}, used {:.2} of {}, after {:.2}, refused {}",
-                case.name, played.most, played.used, case.rate, played.after, played.refused
+                "{}: at most {} of {allowed} in a window, used {:.2} of {}, afterwards {:.2}, refused {}",
+                case.name, results.max_in_window, results.used, case.rate, results.used_after, results.refused
             );
-            assert!(played.most <= allowed, "{}, seed {seed}: {}", case.name, played.most);
-            assert!(played.used >= case.least * case.rate, "{}, seed {seed}", case.name);
+            assert!(
+                results.max_in_window <= allowed,
+                "{}, seed {seed}: {}",
+                case.name,
+                results.max_in_window
+            );
+            assert!(results.used >= case.min_used * case.rate, "{}, seed {seed}", case.name);
         }
     }
 }
 
-/// Routers that send an endpoint nothing get no answer that says that its need is over, and would stay away.
+/// Routers that send no requests to an endpoint get no answer that shows the end of its overload, and would never
+/// resume.
 #[test]
-fn routers_come_back_when_the_need_is_over() {
+fn routers_resume_when_the_limit_is_lifted() {
     for seed in 1..=3 {
-        let played = play(&SMALL, seed);
+        let results = simulate(&SMALL, seed);
         let even = SMALL.load as f64 / SMALL.endpoints as f64;
-        assert!(played.after >= even / 2.0, "seed {seed}: {} of {even}", played.after);
+        assert!(
+            results.used_after >= even / 2.0,
+            "seed {seed}: {} of {even}",
+            results.used_after
+        );
     }
 }
--- a/crates/dispatch/tests/support/crowd.rs
+++ b/crates/dispatch/tests/support/crowd.rs
@@ -1,4 +1,4 @@
-//! Routers that send long and short prompts to engines, simulated without I/O in steps of a millisecond.
+//! Simulates routers that send long and short prompts to engines, without I/O and in steps of a millisecond.
 
 use super::fleet::{at, fleet, model, service};
 use dispatch::fleet::{Choice, Fleet, LoadReport, Outcome, PickContext, PickedEndpoint, Prompt, PromptPart};
@@ -7,40 +7,40 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Prompt tokens that an engine reads in a millisecond.
-const RATE: u64 = 43;
-/// Milliseconds of a generated token while nothing is read.
-const TOKEN: u64 = 7;
-/// Reading without a break for longer than this makes the answers late that are generated meanwhile, ms.
-const PAUSE: u64 = 280;
-/// Time until another router has the news, ms.
-const NEWS: u64 = 12;
+/// Prompt tokens that an engine reads per millisecond.
+const PREFILL_TOKENS_PER_MS: u64 = 43;
+/// Time per generated token while no prompt is read.
+const DECODE_MS: u64 = 7;
+/// Reading prompts without a break for longer than this delays the running answers too much.
+const MAX_PAUSE_MS: u64 = 280;
+/// Time until an announcement arrives at the peers.
+const DELIVERY_MS: u64 = 12;
 
-/// What the callers ask for.
+/// The simulated traffic and pool.
 #[derive(Debug, Clone, Copy)]
-pub struct Load {
+pub struct Workload {
     pub routers: usize,
     pub engines: usize,
-    /// Long prompts and long answers a second.
-    pub verdicts: f64,
-    pub chats: f64,
+    /// Requests per second with long prompts, and with long answers.
+    pub long_prompts: f64,
+    pub long_answers: f64,
     pub seconds: u64,
-    /// Whether routers tell each other what they wait for.
-    pub news: bool,
+    /// Whether routers announce their backlogs to each other.
+    pub announcements: bool,
     pub seed: u64,
 }
 
-/// What the callers got.
+/// Results of a simulation.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Served {
-    pub verdicts: usize,
-    pub late_verdicts: usize,
-    pub chats: usize,
-    pub late_chats: usize,
-    /// Long answers with a pause that is too long.
-    pub paused_chats: usize,
-    /// Tokens of shared parts that some engine had read before.
-    pub read_again: u64,
+    pub long_prompts: usize,
+    pub late_prompts: usize,
+    pub long_answers: usize,
+    pub late_answers: usize,
+    /// Long answers that were interrupted for longer than [`MAX_PAUSE_MS`].
+    pub interrupted_answers: usize,
+    /// Tokens of shared parts that an engine read although some engine had read them before.
+    pub reread_tokens: u64,
 }
 
 #[derive(Debug)]
@@ -49,55 +49,55 @@
     prompt: Prompt,
     picked: PickedEndpoint,
     sent: u64,
-    left: u64,
-    /// When its answer ends, once its prompt is read.
-    ends: Option<u64>,
-    paused: bool,
+    unread_tokens: u64,
+    /// When its answer ends; `None` until its prompt has been read.
+    ends_at: Option<u64>,
+    interrupted: bool,
 }
 
 #[derive(Debug, Default)]
 struct Engine {
     waiting: Vec<Request>,
     running: Vec<Request>,
-    held: BTreeSet<u64>,
-    /// Since when it has read without a break.
-    reads: u64,
+    cached: BTreeSet<u64>,
+    /// Time for which it has read prompts without a break.
+    reading_ms: u64,
 }
 
 impl Engine {
-    /// Prompt tokens that it has to read; the shared parts are held from now on.
-    fn lacks(&mut self, prompt: &Prompt) -> u64 {
+    /// Returns the prompt tokens that the engine has to read. The shared parts are cached from now on.
+    fn missing_tokens(&mut self, prompt: &Prompt) -> u64 {
         let shared = prompt.shared().iter();
-        let held = shared.take_while(|part| self.held.contains(&part.id));
-        let held: u64 = held.map(|part| part.tokens).sum();
-        self.held.extend(prompt.shared().iter().map(|part| part.id));
-        prompt.tokens - held
+        let cached = shared.take_while(|part| self.cached.contains(&part.id));
+        let cached: u64 = cached.map(|part| part.tokens).sum();
+        self.cached.extend(prompt.shared().iter().map(|part| part.id));
+        prompt.tokens - cached
     }
 
-    /// Reads for a millisecond; a request whose prompt is read by now.
+    /// Reads prompts for a millisecond. Returns the index of a running request whose prompt is now read.
     fn step(&mut self, now: u64) -> Option<usize> {
         let Some(first) = self.waiting.first_mut() else {
-            self.reads = 0;
+            self.reading_ms = 0;
             return None;
         };
-        self.reads += 1;
-        if self.reads > PAUSE {
+        self.reading_ms += 1;
+        if self.reading_ms > MAX_PAUSE_MS {
             for request in &mut self.running {
-                request.paused = true;
+                request.interrupted = true;
             }
         }
-        first.left = first.left.saturating_sub(RATE);
-        if first.left > 0 {
+        first.unread_tokens = first.unread_tokens.saturating_sub(PREFILL_TOKENS_PER_MS);
+        if first.unread_tokens > 0 {
             return None;
         }
         let mut request = self.waiting.remove(0);
-        request.ends = Some(now + request.prompt.max_output * TOKEN);
+        request.ends_at = Some(now + request.prompt.max_output * DECODE_MS);
         self.running.push(request);
         Some(self.running.len() - 1)
     }
 }
 
-/// A small generator, the same on every machine.
+/// Small pseudo-random generator that is the same on every machine.
 struct Random(u64);
 
 impl Random {
@@ -108,7 +108,7 @@
         self.0
     }
 
-    fn share(&mut self) -> f64 {
+    fn fraction(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
@@ -117,24 +117,24 @@
     }
 }
 
-/// Plays a load.
-pub fn play(load: &Load) -> Served {
-    Crowd::new(load).run()
+/// Runs a simulation.
+pub fn simulate(workload: &Workload) -> Served {
+    Simulation::new(workload).run()
 }
 
-struct Crowd<'a> {
-    load: &'a Load,
+struct Simulation<'a> {
+    workload: &'a Workload,
     random: Random,
     fleets: Vec<Fleet>,
     engines: BTreeMap<EndpointId, Engine>,
-    /// Routers whose news is on its way, and when it is there.
-    news: Vec<(u64, usize)>,
-    read: BTreeSet<u64>,
+    /// Arrival times of announcements in transit, and the routers that sent them.
+    announcements: Vec<(u64, usize)>,
+    read_parts: BTreeSet<u64>,
     served: Served,
 }
 
-impl<'a> Crowd<'a> {
-    fn new(load: &'a Load) -> Self {
+impl<'a> Simulation<'a> {
+    fn new(workload: &'a Workload) -> Self {
         let entry = |at: usize| EndpointEntry {
             id: EndpointId::from(format!("e{at}").as_str()),
             incarnation: Incarnation(1),
@@ -145,130 +145,130 @@
             draining: false,
             weights: vec![(model(), 1)],
         };
-        let entries: Vec<EndpointEntry> = (0..load.engines).map(entry).collect();
+        let entries: Vec<EndpointEntry> = (0..workload.engines).map(entry).collect();
         Self {
-            load,
-            random: Random(load.seed | 1),
-            fleets: (0..load.routers).map(|_| fleet(&entries)).collect(),
+            workload,
+            random: Random(workload.seed | 1),
+            fleets: (0..workload.routers).map(|_| fleet(&entries)).collect(),
             engines: entries
                 .iter()
                 .map(|entry| (entry.id.clone(), Engine::default()))
                 .collect(),
-            news: Vec::new(),
-            read: BTreeSet::new(),
+            announcements: Vec::new(),
+            read_parts: BTreeSet::new(),
             served: Served::default(),
         }
     }
 
     fn run(mut self) -> Served {
-        for now in 0..self.load.seconds * 1_000 {
-            if self.random.share() < self.load.verdicts / 1_000.0 {
-                let subject = self.random.below(59);
+        for now in 0..self.workload.seconds * 1_000 {
+            if self.random.fraction() < self.workload.long_prompts / 1_000.0 {
+                let topic = self.random.below(59);
                 let own = 500 + self.random.below(4_800);
-                self.arrive(prompt(subject, 2_520, 3_780, own, 13), now);
+                self.submit(prompt(topic, 2_520, 3_780, own, 13), now);
             }
-            if self.random.share() < self.load.chats / 1_000.0 {
+            if self.random.fraction() < self.workload.long_answers / 1_000.0 {
                 let session = 1_000 + self.random.below(223);
                 let own = 200 + self.random.below(850);
-                self.arrive(prompt(session, 119, 79, own, 73), now);
+                self.submit(prompt(session, 119, 79, own, 73), now);
             }
             self.step(now);
-            self.tell(now);
+            self.announce(now);
         }
         self.served
     }
 
-    fn arrive(&mut self, prompt: Prompt, now: u64) {
-        let router = self.random.below(self.load.routers as u64) as usize;
+    fn submit(&mut self, prompt: Prompt, now: u64) {
+        let router = self.random.below(self.workload.routers as u64) as usize;
         let draw = self.random.next();
         let service = service();
-        let wish = PickContext {
+        let context = PickContext {
             service: &service,
             avoid: &[],
             prompt: Some(&prompt),
             isolated: None,
         };
-        let Choice::Endpoint(picked) = self.fleets[router].choose(&wish, draw, at(now)) else {
+        let Choice::Endpoint(picked) = self.fleets[router].choose(&context, draw, at(now)) else {
             panic!("no endpoint at {now}");
         };
         let entry = Arc::clone(&picked.endpoint);
         self.fleets[router].request_started(&entry.id, entry.incarnation, picked.prefill, at(now));
-        self.news.push((now + NEWS, router));
-        let engine = self.engines.get_mut(&entry.id).expect("it was listed");
-        let left = engine.lacks(&prompt);
+        self.announcements.push((now + DELIVERY_MS, router));
+        let engine = self.engines.get_mut(&entry.id).expect("a known engine");
+        let unread_tokens = engine.missing_tokens(&prompt);
         let shared: u64 = prompt.shared().iter().map(|part| part.tokens).sum();
-        let known = prompt.shared().iter().all(|part| !self.read.insert(part.id));
-        if known {
-            self.served.read_again += left.saturating_sub(prompt.tokens - shared);
+        let seen = prompt.shared().iter().all(|part| !self.read_parts.insert(part.id));
+        if seen {
+            self.served.reread_tokens += unread_tokens.saturating_sub(prompt.tokens - shared);
         }
         engine.waiting.push(Request {
             router,
             prompt,
             picked,
             sent: now,
-            left,
-            ends: None,
-            paused: false,
+            unread_tokens,
+            ends_at: None,
+            interrupted: false,
         });
     }
 
     fn step(&mut self, now: u64) {
         for (id, engine) in &mut self.engines {
-            if let Some(read) = engine.step(now) {
+            if let Some(index) = engine.step(now) {
                 let waiting = engine.waiting.len() as u32;
                 let running = engine.running.len() as u32;
-                let request = &engine.running[read];
+                let request = &engine.running[index];
                 let waited = now - request.sent;
-                let chat = request.prompt.is_decode_heavy();
-                self.served.late_chats += usize::from(chat && waited > 400);
-                self.served.late_verdicts += usize::from(!chat && waited > 600);
+                let is_answer = request.prompt.is_decode_heavy();
+                self.served.late_answers += usize::from(is_answer && waited > 400);
+                self.served.late_prompts += usize::from(!is_answer && waited > 600);
                 let fleet = &mut self.fleets[request.router];
                 fleet.prefill_finished(id, Incarnation(1), at(request.sent));
                 fleet.record_outcome(id, Outcome::Answered(at(waited)), at(now));
                 fleet.record_load(id, LoadReport { running, waiting }, at(now));
-                self.news.push((now + NEWS, request.router));
+                self.announcements.push((now + DELIVERY_MS, request.router));
             }
             for ended in engine
                 .running
-                .extract_if(.., |request| request.ends.is_some_and(|at| now >= at))
+                .extract_if(.., |request| request.ends_at.is_some_and(|at| now >= at))
             {
-                let chat = ended.prompt.is_decode_heavy();
-                self.served.chats += usize::from(chat);
-                self.served.verdicts += usize::from(!chat);
-                self.served.paused_chats += usize::from(chat && ended.paused);
+                let is_answer = ended.prompt.is_decode_heavy();
+                self.served.long_answers += usize::from(is_answer);
+                self.served.long_prompts += usize::from(!is_answer);
+                self.served.interrupted_answers += usize::from(is_answer && ended.interrupted);
                 self.fleets[ended.router].request_finished(&ended.picked.endpoint.id, Incarnation(1));
             }
         }
     }
 
-    fn tell(&mut self, now: u64) {
+    fn announce(&mut self, now: u64) {
         let due: Vec<usize> = self
-            .news
+            .announcements
             .extract_if(.., |(at, _)| *at <= now)
             .map(|(_, router)| router)
             .collect();
-        if !self.load.news {
+        if !self.workload.announcements {
             return;
         }
         for from in due {
-            let told = self.fleets[from].own_backlog(at(now));
-            let name = VmId::from(format!("router-{from}").as_str());
+            let backlog = self.fleets[from].own_backlog(at(now));
+            let sender = VmId::from(format!("router-{from}").as_str());
             for (to, fleet) in self.fleets.iter_mut().enumerate() {
                 if to != from {
-                    fleet.update_backlog(&name, &told, at(now));
+                    fleet.update_backlog(&sender, &backlog, at(now));
                 }
             }
         }
     }
 }
 
-fn prompt(subject: u64, outer: u64, inner: u64, own: u64, output: u64) -> Prompt {
+fn prompt(topic: u64, outer: u64, inner: u64, own: u64, output: u64) -> Prompt {
     let part = |id, tokens| PromptPart { id, tokens };
     Prompt {
         model: model(),
         parts: vec![
-            part(1_000_000 + outer * 100 + subject % 4, outer),
-            part(subject, inner),
+            part(1_000_000 + outer * 100 + topic % 4, outer),
+            part(topic, inner),
             part(2_000_000, own),
         ],
         tokens: outer + inner + own,
