--- a/crates/control/src/orders/messages.rs
+++ b/crates/control/src/orders/messages.rs
@@ -1,6 +1,6 @@
 //! What the holder hears, and what it wants done.
 
-use super::{Assignment, Blocked, LOAD_SLOTS, Runner, SlotSeen};
+use super::{Assignment, Blocked, LOAD_SLOTS, Runner, SlotState};
 use ids::{EndpointId, Fence};
 use std::time::Duration;
 use wire::engine::Order;
@@ -30,7 +30,7 @@
     /// A call to the platform failed or its answer was lost; each claim is read back before it is repeated.
     PlatformFailed,
     /// The load slots as read.
-    Slots([SlotSeen; LOAD_SLOTS]),
+    Slots([SlotState; LOAD_SLOTS]),
     /// A slot bears this holder's lease now.
     SlotTaken(usize),
     /// Someone else was faster, or the answer was lost: read the slots again.
--- a/crates/control/src/orders/mod.rs
+++ b/crates/control/src/orders/mod.rs
@@ -20,7 +20,7 @@
 pub use choose::{Assignment, Blocked, Runner};
 pub use lease::Lease;
 pub use messages::{Event, Step};
-pub use slots::{SlotSeen, Slots};
+pub use slots::{SlotState, Slots};
 
 use ids::{EndpointId, Fence};
 use loads::Load;
--- a/crates/control/src/orders/slots.rs
+++ b/crates/control/src/orders/slots.rs
@@ -9,7 +9,7 @@
 
 /// A slot's key as read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SlotSeen {
+pub enum SlotState {
     /// Never used, or written as free.
     Free,
     /// Someone else's.
@@ -64,17 +64,17 @@
 }
 
 impl Slots {
-    pub(super) fn seen(&mut self, seen: [SlotSeen; LOAD_SLOTS], now: Duration) {
+    pub(super) fn seen(&mut self, seen: [SlotState; LOAD_SLOTS], now: Duration) {
         for (slot, seen) in self.slots.iter_mut().zip(seen) {
             *slot = match (*slot, seen) {
                 (Slot::Own | Slot::Freeing { .. }, _) => *slot,
-                (_, SlotSeen::Own) => Slot::Own,
-                (Slot::Lapsed { until }, SlotSeen::Lapsed) => Slot::Lapsed { until },
-                (_, SlotSeen::Lapsed) => Slot::Lapsed {
+                (_, SlotState::Own) => Slot::Own,
+                (Slot::Lapsed { until }, SlotState::Lapsed) => Slot::Lapsed { until },
+                (_, SlotState::Lapsed) => Slot::Lapsed {
                     until: now + LONGEST_ORDER,
                 },
-                (_, SlotSeen::Free) => Slot::Free,
-                (_, SlotSeen::Held) => Slot::Busy,
+                (_, SlotState::Free) => Slot::Free,
+                (_, SlotState::Held) => Slot::Busy,
             };
         }
     }
--- a/crates/control/tests/holder.rs
+++ b/crates/control/tests/holder.rs
@@ -1,6 +1,8 @@
 //! When a holder may give orders, at the edges of its lease.
 
-use control::orders::{Assignment, Event, LEASE_MARGIN, LEASE_TTL, LONGEST_ORDER, OrderHolder, Runner, SlotSeen, Step};
+use control::orders::{
+    Assignment, Event, LEASE_MARGIN, LEASE_TTL, LONGEST_ORDER, OrderHolder, Runner, SlotState, Step,
+};
 use ids::{EndpointId, Fence, Incarnation, ModelId, WeightsVersion};
 use std::time::Duration;
 
@@ -48,7 +50,7 @@
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
     let now = LONGEST_ORDER;
     holder.on(grant(now), now);
-    holder.on(Event::Slots([SlotSeen::Free; 2]), now);
+    holder.on(Event::Slots([SlotState::Free; 2]), now);
     let steps = holder.on(Event::SlotTaken(0), now);
     assert!(steps.iter().any(|step| matches!(step, Step::Send { .. })), "{steps:?}");
     (holder, now)
@@ -110,7 +112,7 @@
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
     let mut now = LONGEST_ORDER;
     holder.on(grant(now), now);
-    let lapsed = || Event::Slots([SlotSeen::Held, SlotSeen::Lapsed]);
+    let lapsed = || Event::Slots([SlotState::Held, SlotState::Lapsed]);
     let free_at = now + LONGEST_ORDER;
     while now < free_at {
         let steps = holder.on(lapsed(), now);
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Routers of two failure domains compete for the orders to their runners, over a platform that fails and a clock that
 //! goes on while they are paused.
 
-use control::orders::{Assignment, Event, LOAD_SLOTS, ORDER_CALL, OrderHolder, Runner, SlotSeen, Step};
+use control::orders::{Assignment, Event, LOAD_SLOTS, ORDER_CALL, OrderHolder, Runner, SlotState, Step};
 use ids::{EndpointId, Fence, Incarnation, ModelId, WeightsVersion};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -161,10 +161,10 @@
                 })
             }
             Step::ReadSlots(own) => Some(Event::Slots(self.slots.map(|slot| match slot {
-                SlotKey::Free => SlotSeen::Free,
-                SlotKey::Gone => SlotSeen::Lapsed,
-                SlotKey::Held(id) if id == own.0 => SlotSeen::Own,
-                SlotKey::Held(_) => SlotSeen::Held,
+                SlotKey::Free => SlotState::Free,
+                SlotKey::Gone => SlotState::Lapsed,
+                SlotKey::Held(id) if id == own.0 => SlotState::Own,
+                SlotKey::Held(_) => SlotState::Held,
             }))),
             Step::TakeSlot { slot, lease } if self.lives(*lease) && !matches!(self.slots[*slot], SlotKey::Held(_)) => {
                 self.slots[*slot] = SlotKey::Held(lease.0);
--- a/crates/router/src/orders/platform_calls.rs
+++ b/crates/router/src/orders/platform_calls.rs
@@ -1,7 +1,7 @@
 //! The holder's calls to the platform.
 
 use crate::shared::Shared;
-use control::orders::{Event, LOAD_SLOTS, SlotSeen, Step};
+use control::orders::{Event, LOAD_SLOTS, SlotState, Step};
 use ids::{DomainId, Fence, Version};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -118,7 +118,7 @@
 }
 
 async fn read_slots(shared: &Shared, keys: &Keys, fence: Fence) -> Result<Event, PlatformError> {
-    let mut seen = [SlotSeen::Free; LOAD_SLOTS];
+    let mut seen = [SlotState::Free; LOAD_SLOTS];
     let mut versions = [Version(0); LOAD_SLOTS];
     for slot in 0..LOAD_SLOTS {
         let entry = shared.platform.get(&Keys::slot(slot)).await?;
@@ -129,16 +129,16 @@
     Ok(Event::Slots(seen))
 }
 
-fn slot_seen(entry: Option<&Entry>, fence: Fence) -> SlotSeen {
+fn slot_seen(entry: Option<&Entry>, fence: Fence) -> SlotState {
     let Some(entry) = entry else {
-        return SlotSeen::Free;
+        return SlotState::Free;
     };
     match entry.value.as_deref() {
-        None if entry.version == Version(0) => SlotSeen::Free,
-        None => SlotSeen::Lapsed,
-        Some(FREE) => SlotSeen::Free,
-        Some(value) if value == fence.to_string() => SlotSeen::Own,
-        Some(_) => SlotSeen::Held,
+        None if entry.version == Version(0) => SlotState::Free,
+        None => SlotState::Lapsed,
+        Some(FREE) => SlotState::Free,
+        Some(value) if value == fence.to_string() => SlotState::Own,
+        Some(_) => SlotState::Held,
     }
 }
 
