--- a/crates/control/src/orders/messages.rs
+++ b/crates/control/src/orders/messages.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Read the domain's holder key.
-    Look,
+    ReadHolder,
     /// Ask the platform for a lease.
     AskLease(Duration),
     /// Renew it.
--- a/crates/control/src/orders/mod.rs
+++ b/crates/control/src/orders/mod.rs
@@ -244,7 +244,7 @@
             self.phase = Phase::Looking {
                 until: now + CLAIM_AGAIN,
             };
-            steps.push(Step::Look);
+            steps.push(Step::ReadHolder);
         }
     }
 
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -121,7 +121,7 @@
 
     fn call(&mut self, step: &Step, domain: usize, asked: Duration) -> Option<Event> {
         match step {
-            Step::Look => Some(if self.holders[domain].is_some() {
+            Step::ReadHolder => Some(if self.holders[domain].is_some() {
                 Event::HeldByOther
             } else {
                 Event::HolderAbsent
--- a/crates/router/src/orders/platform_calls.rs
+++ b/crates/router/src/orders/platform_calls.rs
@@ -44,7 +44,7 @@
 /// Carries out a step that calls the platform; `None` for steps whose outcome nobody waits for.
 pub async fn carry_out(shared: &Shared, keys: &Keys, step: Step) -> Option<Event> {
     let outcome = match step {
-        Step::Look => look(shared, keys).await,
+        Step::ReadHolder => look(shared, keys).await,
         Step::AskLease(ttl) => ask(shared, ttl).await,
         Step::Renew(id) => renew(shared, id).await,
         Step::Claim(id) => claim(shared, keys, id).await,
