--- a/crates/control/src/orders/messages.rs
+++ b/crates/control/src/orders/messages.rs
@@ -59,7 +59,7 @@
     /// Read the domain's holder key.
     ReadHolder,
     /// Ask the platform for a lease.
-    AskLease(Duration),
+    RequestLease(Duration),
     /// Renew it.
     Renew(Fence),
     /// Give it back.
--- a/crates/control/src/orders/mod.rs
+++ b/crates/control/src/orders/mod.rs
@@ -170,7 +170,7 @@
             self.phase = Phase::Asking {
                 until: now + RETRY_AFTER,
             };
-            steps.push(Step::AskLease(LEASE_TTL));
+            steps.push(Step::RequestLease(LEASE_TTL));
         }
     }
 
@@ -258,7 +258,7 @@
         };
         steps.push(match &self.lease {
             Some(lease) => Step::Claim(lease.id),
-            None => Step::AskLease(LEASE_TTL),
+            None => Step::RequestLease(LEASE_TTL),
         });
     }
 
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -126,7 +126,7 @@
             } else {
                 Event::HolderAbsent
             }),
-            Step::AskLease(ttl) => {
+            Step::RequestLease(ttl) => {
                 self.next += 1;
                 self.leases.push((self.next, asked + *ttl));
                 Some(Event::Granted {
--- a/crates/router/src/orders/platform_calls.rs
+++ b/crates/router/src/orders/platform_calls.rs
@@ -45,7 +45,7 @@
 pub async fn carry_out(shared: &Shared, keys: &Keys, step: Step) -> Option<Event> {
     let outcome = match step {
         Step::ReadHolder => look(shared, keys).await,
-        Step::AskLease(ttl) => ask(shared, ttl).await,
+        Step::RequestLease(ttl) => ask(shared, ttl).await,
         Step::Renew(id) => renew(shared, id).await,
         Step::Claim(id) => claim(shared, keys, id).await,
         Step::ReadSlots(fence) => read_slots(shared, keys, fence).await,
