--- a/crates/control/src/orders/mod.rs
+++ b/crates/control/src/orders/mod.rs
@@ -37,7 +37,7 @@
 /// An engine must not begin an order later than this after its receipt.
 pub const ORDER_EXPIRES: Duration = Duration::from_secs(1);
 /// The call that carries an order is cut after this.
-pub const ORDER_CALL: Duration = Duration::from_secs(3);
+pub const ORDER_CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest time from the last check of an old holder's lease to the end of its order: delivery, expiry and the load.
 pub const LONGEST_ORDER: Duration = Duration::from_secs(6);
 /// Runners that may load weights at once, over all failure domains.
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Routers of two failure domains compete for the orders to their runners, over a platform that fails and a clock that
 //! goes on while they are paused.
 
-use control::orders::{Assignment, Event, LOAD_SLOTS, ORDER_CALL, OrderHolder, Runner, SlotState, Step};
+use control::orders::{Assignment, Event, LOAD_SLOTS, ORDER_CALL_TIMEOUT, OrderHolder, Runner, SlotState, Step};
 use ids::{EndpointId, Fence, Incarnation, ModelId, WeightsVersion};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -353,7 +353,7 @@
             }
             let engine = self.engines.iter().position(|engine| engine.id == endpoint).unwrap();
             let slow = self.random.random_ratio(1, 2);
-            let delivery = if slow { ORDER_CALL } else { self.millis(100) };
+            let delivery = if slow { ORDER_CALL_TIMEOUT } else { self.millis(100) };
             let due = self.now + self.millis(STALL) + delivery;
             self.deliveries.push(Delivery {
                 due,
@@ -412,11 +412,11 @@
                 "the last serving runner"
             );
         }
-        let answered = end < now + ORDER_CALL;
+        let answered = end < now + ORDER_CALL_TIMEOUT;
         if answered {
             (end, Event::Done(endpoint))
         } else {
-            (now + ORDER_CALL, Event::NoAnswer(endpoint))
+            (now + ORDER_CALL_TIMEOUT, Event::NoAnswer(endpoint))
         }
     }
 }
--- a/crates/router/src/orders/engine_calls.rs
+++ b/crates/router/src/orders/engine_calls.rs
@@ -1,7 +1,7 @@
 //! Orders on their way to engines.
 
 use crate::shared::Shared;
-use control::orders::{Event, ORDER_CALL};
+use control::orders::{Event, ORDER_CALL_TIMEOUT};
 use http::{Method, Request, SendError, StatusCode, Url};
 use ids::EndpointId;
 use std::net::SocketAddr;
@@ -22,7 +22,10 @@
     let mut request = Request::new(Method::Post, url);
     request.insert_header("content-type", "application/json");
     let body = serde_json::to_vec(order).expect("an order is always JSON");
-    let sent = shared.client.send_once(to, request, &body, ORDER_CALL, may_send).await;
+    let sent = shared
+        .client
+        .send_once(to, request, &body, ORDER_CALL_TIMEOUT, may_send)
+        .await;
     let reply = match sent {
         Ok(reply) => reply,
         Err(SendError::NotSent(_) | SendError::Withheld) => return Event::Refused(endpoint),
