--- a/crates/control/src/orders/lease.rs
+++ b/crates/control/src/orders/lease.rs
@@ -14,19 +14,19 @@
 }
 
 impl Lease {
-    /// A lease that was asked for at `asked`.
-    pub fn new(id: Fence, ttl: Duration, asked: Duration) -> Self {
+    /// A lease that was asked for at `requested`.
+    pub fn new(id: Fence, ttl: Duration, requested: Duration) -> Self {
         Self {
             id,
-            end: asked + ttl,
-            renew: asked + RENEW_AFTER,
+            end: requested + ttl,
+            renew: requested + RENEW_AFTER,
         }
     }
 
-    /// Renewed by a call that left at `asked`. An answer that comes after a later one doesn't shorten it.
-    pub fn renewed(&mut self, ttl: Duration, asked: Duration) {
-        self.end = self.end.max(asked + ttl);
-        self.renew = self.renew.max(asked + RENEW_AFTER);
+    /// Renewed by a call that left at `requested`. An answer that comes after a later one doesn't shorten it.
+    pub fn renewed(&mut self, ttl: Duration, requested: Duration) {
+        self.end = self.end.max(requested + ttl);
+        self.renew = self.renew.max(requested + RENEW_AFTER);
     }
 
     /// Whether orders may be given under it.
--- a/crates/control/src/orders/messages.rs
+++ b/crates/control/src/orders/messages.rs
@@ -17,7 +17,7 @@
         /// Its time to live.
         ttl: Duration,
         /// When it was asked for: the platform's clock began no earlier.
-        asked: Duration,
+        requested: Duration,
     },
     /// The platform doesn't have the lease any more.
     Lapsed(Fence),
--- a/crates/control/src/orders/mod.rs
+++ b/crates/control/src/orders/mod.rs
@@ -100,7 +100,7 @@
         self.check_lease(now, &mut steps);
         match event {
             Event::Tick => {}
-            Event::Granted { id, ttl, asked } => self.granted(id, ttl, asked, &mut steps),
+            Event::Granted { id, ttl, requested } => self.granted(id, ttl, requested, &mut steps),
             Event::Lapsed(id) if self.bears(id) => self.give_up(now + RETRY_AFTER, &mut steps),
             Event::Lapsed(_) => {}
             Event::Claimed(id) if self.bears(id) && !self.holds() => {
@@ -179,16 +179,16 @@
         self.give_way(now, steps);
     }
 
-    fn granted(&mut self, id: Fence, ttl: Duration, asked: Duration, steps: &mut Vec<Step>) {
+    fn granted(&mut self, id: Fence, ttl: Duration, requested: Duration, steps: &mut Vec<Step>) {
         if let Some(lease) = self.lease.as_mut().filter(|lease| lease.id == id) {
-            lease.renewed(ttl, asked);
+            lease.renewed(ttl, requested);
             return;
         }
         if self.lease.is_some() || !matches!(self.phase, Phase::Asking { .. }) {
             steps.push(Step::Revoke(id));
             return;
         }
-        self.lease = Some(Lease::new(id, ttl, asked));
+        self.lease = Some(Lease::new(id, ttl, requested));
         steps.push(Step::Claim(id));
     }
 
--- a/crates/control/tests/holder.rs
+++ b/crates/control/tests/holder.rs
@@ -36,11 +36,11 @@
     holder
 }
 
-fn grant(asked: Duration) -> Event {
+fn grant(requested: Duration) -> Event {
     Event::Granted {
         id: Fence(1),
         ttl: LEASE_TTL,
-        asked,
+        requested,
     }
 }
 
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -119,7 +119,7 @@
         self.leases.iter().any(|(lease, _)| *lease == id.0)
     }
 
-    fn call(&mut self, step: &Step, domain: usize, asked: Duration) -> Option<Event> {
+    fn call(&mut self, step: &Step, domain: usize, requested: Duration) -> Option<Event> {
         match step {
             Step::ReadHolder => Some(if self.holders[domain].is_some() {
                 Event::HeldByOther
@@ -128,27 +128,27 @@
             }),
             Step::RequestLease(ttl) => {
                 self.next += 1;
-                self.leases.push((self.next, asked + *ttl));
+                self.leases.push((self.next, requested + *ttl));
                 Some(Event::Granted {
                     id: Fence(self.next),
                     ttl: *ttl,
-                    asked,
+                    requested,
                 })
             }
             Step::Renew(id) => match self.leases.iter_mut().find(|(lease, _)| *lease == id.0) {
                 Some((_, end)) => {
-                    *end = asked + control::orders::LEASE_TTL;
+                    *end = requested + control::orders::LEASE_TTL;
                     Some(Event::Granted {
                         id: *id,
                         ttl: control::orders::LEASE_TTL,
-                        asked,
+                        requested,
                     })
                 }
                 None => Some(Event::Lapsed(*id)),
             },
             Step::Revoke(id) => {
                 self.leases.retain(|(lease, _)| *lease != id.0);
-                self.expire(asked);
+                self.expire(requested);
                 None
             }
             Step::Claim(id) if !self.lives(*id) => Some(Event::Lapsed(*id)),
--- a/crates/router/src/orders/platform_calls.rs
+++ b/crates/router/src/orders/platform_calls.rs
@@ -73,7 +73,7 @@
     Ok(Event::Granted {
         id: Fence(lease.id),
         ttl: Duration::from_millis(lease.ttl_ms),
-        asked,
+        requested: asked,
     })
 }
 
@@ -84,7 +84,7 @@
         Some(lease) => Event::Granted {
             id,
             ttl: Duration::from_millis(lease.ttl_ms),
-            asked,
+            requested: asked,
         },
         None => Event::Lapsed(id),
     })
