--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -47,7 +47,7 @@
 }
 
 /// From whom `own` hears, given the routers of its domain. The others are spread over the watchers.
-pub fn lead<'a>(own: &VmId, domain: &DomainId, live: &'a [VmId]) -> UpdateSource<'a> {
+pub fn update_source<'a>(own: &VmId, domain: &DomainId, live: &'a [VmId]) -> UpdateSource<'a> {
     let watchers = choose(domain.as_str(), live, WATCHERS);
     if watchers.is_empty() || watchers.contains(&own) {
         return UpdateSource::Store;
--- a/crates/control/tests/following.rs
+++ b/crates/control/tests/following.rs
@@ -1,6 +1,6 @@
 //! What one failure domain asks of the platform.
 
-use control::following::{Follow, READ_EVERY, UpdateSource, WATCHERS, follow, lead, wide};
+use control::following::{Follow, READ_EVERY, UpdateSource, WATCHERS, follow, update_source, wide};
 use ids::{DomainId, VmId};
 use std::collections::BTreeMap;
 
@@ -49,14 +49,14 @@
         let mut followers: BTreeMap<&VmId, usize> = BTreeMap::new();
         let mut watching = 0;
         for own in &live {
-            match lead(own, &domain, &live) {
+            match update_source(own, &domain, &live) {
                 UpdateSource::Store => watching += 1,
                 UpdateSource::Routers(leaders) => {
                     assert_eq!(leaders.len(), WATCHERS, "each has a second choice");
                     assert!(
                         leaders
                             .iter()
-                            .all(|leader| lead(leader, &domain, &live) == UpdateSource::Store)
+                            .all(|leader| update_source(leader, &domain, &live) == UpdateSource::Store)
                     );
                     *followers.entry(leaders[0]).or_default() += 1;
                 }
--- a/crates/gateway/src/follow/members.rs
+++ b/crates/gateway/src/follow/members.rs
@@ -2,7 +2,7 @@
 
 use crate::shared::Shared;
 use async_std::future::timeout;
-use control::following::{UpdateSource, lead, wide};
+use control::following::{UpdateSource, update_source, wide};
 use control::rendezvous;
 use ids::{DomainId, VmId};
 use rand::seq::IteratorRandom;
@@ -102,7 +102,7 @@
     pub fn leaders(&self, own: &VmId, domain: &DomainId) -> Vec<(VmId, SocketAddr)> {
         let links: Vec<(VmId, f64)> = self.near.iter().map(|(vm, member)| (vm.clone(), member.link)).collect();
         let followed = wide(&links);
-        let UpdateSource::Routers(leaders) = lead(own, domain, &followed) else {
+        let UpdateSource::Routers(leaders) = update_source(own, domain, &followed) else {
             return Vec::new();
         };
         let member = |vm: &VmId| self.near.iter().find(|(known, _)| known == vm);
