--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -40,7 +40,7 @@
 const WIDE: f64 = 0.5;
 
 /// The routers of a domain whose links bear being followed. `links` are in Mbit/s, 0 for all where they are unknown.
-pub fn wide(links: &[(VmId, f64)]) -> Vec<VmId> {
+pub fn eligible_leaders(links: &[(VmId, f64)]) -> Vec<VmId> {
     let widest = links.iter().map(|(_, link)| *link).fold(0.0, f64::max);
     let wide = links.iter().filter(|(_, link)| *link >= widest * WIDE);
     wide.map(|(vm, _)| vm.clone()).collect()
--- a/crates/control/tests/following.rs
+++ b/crates/control/tests/following.rs
@@ -1,6 +1,6 @@
 //! What one failure domain asks of the platform.
 
-use control::following::{Follow, READ_EVERY, UpdateSource, WATCHERS, follow, update_source, wide};
+use control::following::{Follow, READ_EVERY, UpdateSource, WATCHERS, eligible_leaders, follow, update_source};
 use ids::{DomainId, VmId};
 use std::collections::BTreeMap;
 
@@ -107,6 +107,6 @@
             .map(|(at, link)| (vm(at), *link))
             .collect();
         let followed: Vec<VmId> = case.followed.iter().map(|at| vm(*at)).collect();
-        assert_eq!(wide(&links), followed, "{:?}", case.links);
+        assert_eq!(eligible_leaders(&links), followed, "{:?}", case.links);
     }
 }
