--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -1,52 +1,53 @@
-//! Who asks the platform for a new configuration.
+//! Which routers watch the platform for configuration changes, and which poll it.
 //!
-//! Load pattern: every change is wanted by every router within seconds. If each of 380 routers kept a watch, each change
-//! would cost the platform 380 answers, 380 new watches and 380 reads of a section at the same moment, of the two
-//! thousand reads a second that it has. So in each failure domain [`WATCHERS`] routers watch, and tell the others.
-//! Should the watchers be cut off, or wrong, the others still read the head now and then; the larger the domain, the
-//! more seldom each of them does, so that a domain costs the same whatever its size.
+//! Every router needs each change within seconds. If all 380 routers of a deployment kept a watch, each change would
+//! cost the platform 380 answers, 380 new watches and 380 section reads at once, out of a capacity of two thousand
+//! reads a second. Therefore only [`WATCHERS`] routers per failure domain keep a watch and notify the others. The
+//! others also poll the head, in case the watchers are disconnected or stale. The poll interval grows with the size of
+//! the domain, so that the load on the platform does not depend on it.
 
 use crate::rendezvous::choose;
 use ids::{DomainId, VmId};
 use std::time::Duration;
 
-/// Routers of a domain that watch the head. Two, so that one lost delays nothing.
+/// Routers of a domain that watch the head. With two, losing one delays no change.
 pub const WATCHERS: usize = 2;
-/// Mean time between the reads of all the routers of a domain that don't watch. A change that the watchers miss is
-/// found by one of the others within about this time, and must be in force everywhere within five seconds.
-pub const READ_EVERY: Duration = Duration::from_millis(2_500);
+/// Mean time between two reads of the head, over all non-watching routers of a domain together. A change that the
+/// watchers miss is found by another router within about this time. It must be in force everywhere within five seconds.
+pub const DOMAIN_READ_INTERVAL: Duration = Duration::from_millis(2_500);
 
-/// What a router asks of the platform.
+/// How a router learns of configuration changes from the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Follow {
     /// Keep a watch on the head.
     Watch,
-    /// Read the head once in this time. Each wait is to be drawn from half to one and a half of it, or else routers
-    /// that started together would read together.
+    /// Read the head once per this interval. Each wait must be drawn at random from half to one and a half times the
+    /// interval; otherwise routers that started together would read at the same time.
     Read(Duration),
 }
 
-/// From whom a router that needs everything hears of changes.
+/// Where a router that needs every update gets updates from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UpdateSource<'a> {
-    /// From the store itself.
+    /// The store itself.
     Store,
-    /// From one of these routers, the first one that answers.
+    /// The first of these routers that answers.
     Routers(Vec<&'a VmId>),
 }
 
-/// Routers with less than this share of their domain's widest link are followed by nobody. A dozen followers take some
-/// 2 Mbit/s, which fills the link of a small VM: its followers hear too late, and its callers wait.
-const WIDE: f64 = 0.5;
+/// Minimum link bandwidth of a router with followers, as a share of the fastest link in its domain. A dozen followers
+/// take about 2 Mbit/s. That saturates the link of a small VM, which delays updates to its followers and answers to its
+/// clients.
+const MIN_LINK_SHARE: f64 = 0.5;
 
-/// The routers of a domain whose links bear being followed. `links` are in Mbit/s, 0 for all where they are unknown.
+/// The routers of a domain whose links are fast enough for followers. `links` are in Mbit/s, or all 0 if unknown.
 pub fn eligible_leaders(links: &[(VmId, f64)]) -> Vec<VmId> {
-    let widest = links.iter().map(|(_, link)| *link).fold(0.0, f64::max);
-    let wide = links.iter().filter(|(_, link)| *link >= widest * WIDE);
-    wide.map(|(vm, _)| vm.clone()).collect()
+    let fastest = links.iter().map(|(_, link)| *link).fold(0.0, f64::max);
+    let eligible = links.iter().filter(|(_, link)| *link >= fastest * MIN_LINK_SHARE);
+    eligible.map(|(vm, _)| vm.clone()).collect()
 }
 
-/// From whom `own` hears, given the routers of its domain. The others are spread over the watchers.
+/// Where `own` gets updates from, given the routers of its domain. Non-watching routers are spread over the watchers.
 pub fn update_source<'a>(own: &VmId, domain: &DomainId, live: &'a [VmId]) -> UpdateSource<'a> {
     let watchers = choose(domain.as_str(), live, WATCHERS);
     if watchers.is_empty() || watchers.contains(&own) {
@@ -56,12 +57,12 @@
     UpdateSource::Routers(choose(own.as_str(), watchers, count))
 }
 
-/// What `own` asks, given the live routers of its domain.
+/// How `own` follows the configuration, given the live routers of its domain. A router that is not in `live` watches.
 pub fn follow(own: &VmId, domain: &DomainId, live: &[VmId]) -> Follow {
     let watchers = choose(domain.as_str(), live, WATCHERS);
     if watchers.contains(&own) || !live.contains(own) {
         return Follow::Watch;
     }
     let others = u32::try_from(live.len() - watchers.len()).unwrap_or(u32::MAX);
-    Follow::Read(READ_EVERY * others)
+    Follow::Read(DOMAIN_READ_INTERVAL * others)
 }
--- a/crates/control/src/health/endpoint.rs
+++ b/crates/control/src/health/endpoint.rs
@@ -1,151 +1,151 @@
-//! One endpoint's evidence.
+//! Health of one endpoint.
 
-use super::{DEAD_AFTER, FIRST_PROBE, Failure, HealthState, LAST_PROBE, Listing, Report, SUSPECT_AFTER};
+use super::{DEAD_AFTER, Failure, HealthState, Listing, MAX_PROBE_DELAY, MIN_PROBE_DELAY, Report, SUSPECT_AFTER};
 use ids::Incarnation;
 use std::time::Duration;
 
-/// Former lives that are remembered, so that a late answer of one is not taken for another restart.
-const FORMER_LIVES: usize = 4;
+/// Number of earlier incarnations to remember, so that a late answer from one of them does not count as a restart.
+const MAX_FORMER_INCARNATIONS: usize = 4;
 
 #[derive(Debug, Clone)]
 pub(super) struct Endpoint {
-    life: Option<Incarnation>,
+    incarnation: Option<Incarnation>,
     former: Vec<Incarnation>,
-    /// Its own word that it takes no new work.
-    leaves: bool,
+    /// Whether it reported that it accepts no new requests.
+    reports_leaving: bool,
     listing: Option<Listing>,
-    /// Whether it was ever listed: one that vanishes from the list is going, one that is not yet there is new.
-    known: bool,
-    broken: u32,
+    /// Whether it was ever listed. An endpoint that disappears from the list is leaving; one not yet listed is new.
+    ever_listed: bool,
+    connection_failures: u32,
     timeouts: u32,
-    dead: bool,
-    /// When the last failure was noticed; a report from before it proves nothing.
-    failed: Duration,
-    probe: Option<Duration>,
-    /// Whether a probe is under way.
+    is_dead: bool,
+    /// Time of the last failure. A report requested before it does not prove that the endpoint works again.
+    last_failure: Duration,
+    next_probe: Option<Duration>,
+    /// Whether a probe is in flight.
     probing: bool,
-    /// Wait before the next probe.
-    wait: Duration,
+    /// Delay before the next probe.
+    probe_delay: Duration,
 }
 
 impl Endpoint {
     pub(super) fn new(now: Duration) -> Self {
         Self {
-            life: None,
+            incarnation: None,
             former: Vec::new(),
-            leaves: false,
+            reports_leaving: false,
             listing: None,
-            known: false,
-            broken: 0,
+            ever_listed: false,
+            connection_failures: 0,
             timeouts: 0,
-            dead: false,
-            failed: now,
-            probe: None,
+            is_dead: false,
+            last_failure: now,
+            next_probe: None,
             probing: false,
-            wait: FIRST_PROBE,
+            probe_delay: MIN_PROBE_DELAY,
         }
     }
 
     pub(super) fn state(&self) -> HealthState {
-        if self.dead {
+        if self.is_dead {
             return HealthState::Dead;
         }
-        let unlisted = self.known && self.listing.is_none();
-        if self.leaves || unlisted || self.listing == Some(Listing::Leaving) {
+        let unlisted = self.ever_listed && self.listing.is_none();
+        if self.reports_leaving || unlisted || self.listing == Some(Listing::Leaving) {
             return HealthState::Leaving;
         }
-        if self.broken > 0 || self.timeouts >= SUSPECT_AFTER {
+        if self.connection_failures > 0 || self.timeouts >= SUSPECT_AFTER {
             return HealthState::Suspected;
         }
         HealthState::Live
     }
 
     pub(super) fn incarnation(&self) -> Option<Incarnation> {
-        self.life
+        self.incarnation
     }
 
     pub(super) fn next_probe(&self) -> Option<Duration> {
-        self.probe
+        self.next_probe
     }
 
     pub(super) fn listed(&mut self, listing: Option<Listing>) {
-        self.known |= listing.is_some();
+        self.ever_listed |= listing.is_some();
         self.listing = listing;
     }
 
-    /// A report that a peer read proves that the endpoint lives, not that this router reaches it: it only brings the
-    /// next probe forward.
+    /// A report read by a peer proves that the endpoint runs, not that this router can reach it. If it shows a restart,
+    /// the next probe is due at once.
     pub(super) fn report(&mut self, report: &Report, now: Duration) {
         if self.former.contains(&report.incarnation) {
             return;
         }
-        let restarted = self.begin_life(report.incarnation);
-        self.leaves = report.leaving;
-        if report.own && report.at > self.failed {
-            self.well();
-        } else if restarted && self.probe.is_some() {
-            self.probe = Some(now);
+        let restarted = self.observe_incarnation(report.incarnation);
+        self.reports_leaving = report.leaving;
+        if report.own && report.at > self.last_failure {
+            self.mark_healthy();
+        } else if restarted && self.next_probe.is_some() {
+            self.next_probe = Some(now);
         }
     }
 
-    pub(super) fn replied(&mut self, life: Option<Incarnation>) {
-        if life.is_some_and(|life| self.former.contains(&life)) {
+    pub(super) fn replied(&mut self, incarnation: Option<Incarnation>) {
+        if incarnation.is_some_and(|incarnation| self.former.contains(&incarnation)) {
             return;
         }
-        if let Some(life) = life
-            && self.begin_life(life)
+        if let Some(incarnation) = incarnation
+            && self.observe_incarnation(incarnation)
         {
-            self.leaves = false;
+            self.reports_leaving = false;
         }
-        self.well();
+        self.mark_healthy();
     }
 
     pub(super) fn failed(&mut self, failure: Failure, now: Duration) {
-        self.failed = now;
+        self.last_failure = now;
         match failure {
-            Failure::Connection => self.broken += 1,
+            Failure::Connection => self.connection_failures += 1,
             Failure::Timeout => self.timeouts += 1,
         }
-        self.dead |= self.broken >= DEAD_AFTER;
-        if self.broken == 0 && self.timeouts < SUSPECT_AFTER {
+        self.is_dead |= self.connection_failures >= DEAD_AFTER;
+        if self.connection_failures == 0 && self.timeouts < SUSPECT_AFTER {
             return;
         }
-        if self.probing || self.probe.is_none() {
+        if self.probing || self.next_probe.is_none() {
             self.probing = false;
-            self.probe = Some(now + self.wait);
-            self.wait = (self.wait * 2).min(LAST_PROBE);
+            self.next_probe = Some(now + self.probe_delay);
+            self.probe_delay = (self.probe_delay * 2).min(MAX_PROBE_DELAY);
         }
     }
 
-    /// Takes the probe if it is due; another is due later even if this one never ends.
-    pub(super) fn take_probe(&mut self, now: Duration) -> bool {
-        let due = self.probe.is_some_and(|probe| probe <= now);
+    /// Whether a probe is due now. The next one becomes due later even if this one never ends.
+    pub(super) fn start_due_probe(&mut self, now: Duration) -> bool {
+        let due = self.next_probe.is_some_and(|probe| probe <= now);
         if due {
             self.probing = true;
-            self.probe = Some(now + LAST_PROBE);
+            self.next_probe = Some(now + MAX_PROBE_DELAY);
         }
         due
     }
 
-    fn well(&mut self) {
-        self.broken = 0;
+    fn mark_healthy(&mut self) {
+        self.connection_failures = 0;
         self.timeouts = 0;
-        self.dead = false;
-        self.probe = None;
+        self.is_dead = false;
+        self.next_probe = None;
         self.probing = false;
-        self.wait = FIRST_PROBE;
+        self.probe_delay = MIN_PROBE_DELAY;
     }
 
-    /// Whether `life` is another one than before.
-    fn begin_life(&mut self, life: Incarnation) -> bool {
-        let Some(old) = self.life.replace(life) else {
+    /// Records `incarnation` and returns whether the endpoint restarted.
+    fn observe_incarnation(&mut self, incarnation: Incarnation) -> bool {
+        let Some(old) = self.incarnation.replace(incarnation) else {
             return false;
         };
-        if old == life {
+        if old == incarnation {
             return false;
         }
         self.former.insert(0, old);
-        self.former.truncate(FORMER_LIVES);
+        self.former.truncate(MAX_FORMER_INCARNATIONS);
         true
     }
 }
--- a/crates/control/src/health/mod.rs
+++ b/crates/control/src/health/mod.rs
@@ -1,10 +1,10 @@
-//! What a router believes about each endpoint.
+//! Health of each endpoint, as one router sees it.
 //!
-//! Load pattern: endpoints crash, come back empty, leave, or get slow, and the platform's list tells of it late.
-//! Without this, work would go on being sent to a dead endpoint until the list says so, and each such request would
-//! lose its time for a retry; or a merely slow endpoint would be taken for dead, and its load would fall on the others.
-//! Refused or broken connections are strong evidence and make an endpoint dead after [`DEAD_AFTER`]; timeouts are weak
-//! and only ever make it suspected.
+//! Endpoints crash, restart with empty caches, leave or become slow, and the platform's list reports this late. A
+//! router that relied on the list alone would keep sending requests to a dead endpoint, and each of them would spend
+//! its time for a retry. A router that treated slow endpoints as dead would overload the others. Refused and broken
+//! connections are strong evidence: [`DEAD_AFTER`] of them make an endpoint dead. Timeouts are weak evidence: they only
+//! make an endpoint suspected.
 
 mod endpoint;
 
@@ -13,26 +13,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Broken connections in a row, without a reply in between, that make an endpoint dead. One alone may be a cut network
-/// path; with two, a request loses at most two attempts before all others are spared.
+/// Consecutive connection failures that make an endpoint dead. A single one may be a network fault. With two, at most
+/// two attempts are lost before the endpoint gets no more requests.
 pub const DEAD_AFTER: u32 = 2;
-/// Timeouts in a row that make an endpoint suspected.
+/// Consecutive timeouts that make an endpoint suspected.
 pub const SUSPECT_AFTER: u32 = 2;
-/// Wait before the first probe of a dead or suspected endpoint; it doubles with each failed one.
-pub const FIRST_PROBE: Duration = Duration::from_millis(250);
-/// Longest wait between probes: bounds how long a returned endpoint stays idle.
-pub const LAST_PROBE: Duration = Duration::from_secs(2);
+/// Delay of the first probe of a dead or suspected endpoint. It doubles with each failed probe.
+pub const MIN_PROBE_DELAY: Duration = Duration::from_millis(250);
+/// Longest delay between two probes. It limits how long a recovered endpoint stays idle.
+pub const MAX_PROBE_DELAY: Duration = Duration::from_secs(2);
 
-/// What is believed of an endpoint.
+/// Health of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum HealthState {
-    /// Takes work.
+    /// Accepts requests.
     Live,
-    /// Answers late or not at all; takes work only when no live one does.
+    /// Answers late or not at all. Gets requests only if no live endpoint accepts them.
     Suspected,
-    /// Takes no new work and finishes what it has.
+    /// Accepts no new requests and finishes those in progress.
     Leaving,
-    /// Takes nothing.
+    /// Gets no requests.
     Dead,
 }
 
@@ -45,112 +45,112 @@
     Timeout,
 }
 
-/// An endpoint in the platform's list.
+/// State of an endpoint in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Listing {
     /// In service.
     Live,
-    /// Told to go.
+    /// Being shut down.
     Leaving,
 }
 
-/// What a load report tells about an endpoint's health.
+/// Health information from a load report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// Of whom.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// The life that it tells of.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Whether it takes no new work.
+    /// Whether the endpoint accepts no new requests.
     pub leaving: bool,
-    /// Whether this router read it itself.
+    /// Whether this router read the report itself.
     pub own: bool,
-    /// When it was asked for, so that a report from before a failure is told from one after it.
+    /// When the report was requested. Distinguishes reports from before and after a failure.
     pub at: Duration,
 }
 
-/// What a router hears of endpoints.
+/// Input of [`EndpointHealth`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// Endpoints in service by the configuration; those that are no longer named are forgotten.
+    /// The configured endpoints. Endpoints that are no longer configured are removed.
     Configured(Vec<EndpointId>),
     /// The platform's list.
     Listed(BTreeMap<EndpointId, Listing>),
-    /// A load report, read by this router or passed on by a peer.
+    /// A load report, read by this router or forwarded by a peer.
     Report(Report),
-    /// A whole answer, also of a probe.
+    /// A call or probe got a complete answer.
     Replied {
-        /// From whom.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// The life that answered, if it said so.
+        /// The incarnation that answered, if the answer names it.
         incarnation: Option<Incarnation>,
     },
-    /// A call failed, also a probe.
+    /// A call or probe failed.
     Failed {
-        /// To whom.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// How.
+        /// Kind of failure.
         failure: Failure,
     },
 }
 
-/// What changed.
+/// A change to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// Another belief.
+    /// The health state changed.
     State {
-        /// Of whom.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// What is believed now.
+        /// The new state.
         state: HealthState,
     },
-    /// The endpoint restarted: what was cached there is gone.
+    /// The endpoint restarted and lost its caches.
     Restarted {
-        /// Who.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Its new life.
+        /// Its new incarnation.
         incarnation: Incarnation,
     },
 }
 
-/// Beliefs about all endpoints.
+/// Health of all endpoints.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointHealth {
     endpoints: BTreeMap<EndpointId, Endpoint>,
 }
 
 impl EndpointHealth {
-    /// Takes an event.
+    /// Handles an event and returns the resulting changes.
     pub fn on(&mut self, event: Event, now: Duration) -> Vec<Change> {
         match event {
             Event::Configured(ids) => self.configure(&ids, now),
             Event::Listed(list) => self.listed(&list),
-            Event::Report(report) => self.touch(&report.endpoint, |known| known.report(&report, now)),
-            Event::Replied { endpoint, incarnation } => self.touch(&endpoint, |known| known.replied(incarnation)),
-            Event::Failed { endpoint, failure } => self.touch(&endpoint, |known| known.failed(failure, now)),
+            Event::Report(report) => self.update(&report.endpoint, |entry| entry.report(&report, now)),
+            Event::Replied { endpoint, incarnation } => self.update(&endpoint, |entry| entry.replied(incarnation)),
+            Event::Failed { endpoint, failure } => self.update(&endpoint, |entry| entry.failed(failure, now)),
         }
     }
 
-    /// What is believed of `endpoint`; an unknown one is dead.
+    /// Health of `endpoint`. An unknown endpoint is dead.
     pub fn state(&self, endpoint: &EndpointId) -> HealthState {
         self.endpoints.get(endpoint).map_or(HealthState::Dead, Endpoint::state)
     }
 
-    /// The life that `endpoint` is in, if it is known.
+    /// Current incarnation of `endpoint`, if known.
     pub fn incarnation(&self, endpoint: &EndpointId) -> Option<Incarnation> {
         self.endpoints.get(endpoint)?.incarnation()
     }
 
-    /// Endpoints to probe now; each is given out once until its probe replies, fails, or is due again.
+    /// Endpoints to probe now. Each is returned once, until its probe has replied or failed or is due again.
     pub fn due_probes(&mut self, now: Duration) -> Vec<EndpointId> {
         let due = self
             .endpoints
             .iter_mut()
-            .filter_map(|(id, known)| known.take_probe(now).then(|| id.clone()));
+            .filter_map(|(id, entry)| entry.start_due_probe(now).then(|| id.clone()));
         due.collect()
     }
 
-    /// Earliest time of a probe.
+    /// Time of the earliest probe.
     pub fn next_probe(&self) -> Option<Duration> {
         self.endpoints.values().filter_map(Endpoint::next_probe).min()
     }
@@ -177,30 +177,30 @@
         let ids: Vec<EndpointId> = self.endpoints.keys().cloned().collect();
         let each = ids
             .iter()
-            .flat_map(|id| self.touch(id, |known| known.listed(list.get(id).copied())));
+            .flat_map(|id| self.update(id, |entry| entry.listed(list.get(id).copied())));
         each.collect()
     }
 
-    fn touch(&mut self, id: &EndpointId, change: impl FnOnce(&mut Endpoint)) -> Vec<Change> {
-        let Some(known) = self.endpoints.get_mut(id) else {
+    fn update(&mut self, id: &EndpointId, change: impl FnOnce(&mut Endpoint)) -> Vec<Change> {
+        let Some(entry) = self.endpoints.get_mut(id) else {
             return Vec::new();
         };
-        let before = (known.state(), known.incarnation());
-        change(known);
+        let before = (entry.state(), entry.incarnation());
+        change(entry);
         let mut changes = Vec::new();
-        if let Some(incarnation) = known
+        if let Some(incarnation) = entry
             .incarnation()
-            .filter(|life| before.1.is_some_and(|old| old != *life))
+            .filter(|new| before.1.is_some_and(|old| old != *new))
         {
             changes.push(Change::Restarted {
                 endpoint: id.clone(),
                 incarnation,
             });
         }
-        if known.state() != before.0 {
+        if entry.state() != before.0 {
             changes.push(Change::State {
                 endpoint: id.clone(),
-                state: known.state(),
+                state: entry.state(),
             });
         }
         changes
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,6 +1,6 @@
-//! State machines of membership, endpoint health, start of a router and orders to engines. Never does I/O.
+//! State machines for membership, endpoint health, router startup and engine orders. No I/O.
 //!
-//! Each machine takes events with the time since the process started, and gives back what to do next.
+//! Each state machine takes an event and the time since the process started, and returns what to do next.
 
 pub mod following;
 pub mod health;
--- a/crates/control/src/membership/links.rs
+++ b/crates/control/src/membership/links.rs
@@ -1,34 +1,34 @@
-//! Whom a router calls.
+//! Which peers a router calls.
 //!
-//! Inside a failure domain the router with the lower id of each pair calls regularly; a call and its answer are a
-//! heartbeat in both directions. The other one keeps a link as well, only for what can't wait: a new revision, a
-//! leaving endpoint. To each other domain only few routers keep a link.
+//! Within a failure domain, the router with the lower id of each pair calls periodically; the call and its answer are
+//! heartbeats in both directions. The other router keeps a link only for urgent updates, such as a new revision or a
+//! leaving endpoint. Only a few routers of a domain keep links to another domain.
 
 use super::{Member, Membership};
 use crate::rendezvous::choose;
 use ids::{DomainId, VmId};
 use std::collections::BTreeSet;
 
-/// Routers of a domain that keep a link to another domain, and peers that each of them calls there. With two times
-/// two, one router lost on either side cuts nothing off.
+/// Routers of a domain that keep links to another domain, and the number of peers that each of them calls there. With
+/// two on both sides, the domains stay connected if a router is lost on either side.
 pub const DOMAIN_LINKS: usize = 2;
 
-/// A link that this router keeps.
+/// A link from this router to a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Link {
-    /// Whom to call.
+    /// The peer to call.
     pub member: Member,
-    /// Whether it is in another failure domain.
+    /// Whether the peer is in another failure domain.
     pub cross_domain: bool,
-    /// Whether heartbeats are sent at regular times, or only when something is urgent.
+    /// Whether heartbeats are sent periodically. Otherwise only urgent updates are sent.
     pub periodic: bool,
 }
 
 impl Membership {
-    /// All links that this router is to keep, dead peers among them, so that their return is noticed.
+    /// All links of this router, including those to dead peers, so that a recovered peer is detected.
     pub fn links(&self) -> Vec<Link> {
-        let near = self.peers.values().filter(|peer| peer.member.domain == self.own.domain);
-        let mut links: Vec<Link> = near
+        let same_domain = self.peers.values().filter(|peer| peer.member.domain == self.own.domain);
+        let mut links: Vec<Link> = same_domain
             .map(|peer| Link {
                 member: peer.member.clone(),
                 cross_domain: false,
@@ -38,18 +38,18 @@
         let domains: BTreeSet<&DomainId> = self.peers.values().map(|peer| &peer.member.domain).collect();
         for domain in domains.into_iter().filter(|domain| **domain != self.own.domain) {
             if choose(domain.as_str(), &self.live, DOMAIN_LINKS).contains(&&self.own.id) {
-                links.extend(self.far_links(domain));
+                links.extend(self.cross_domain_links(domain));
             }
         }
         links
     }
 
-    fn far_links(&self, domain: &DomainId) -> Vec<Link> {
-        let there = self
+    fn cross_domain_links(&self, domain: &DomainId) -> Vec<Link> {
+        let remote = self
             .peers
             .values()
             .filter(|peer| peer.member.domain == *domain && !peer.leaving);
-        let ids: Vec<&VmId> = there.map(|peer| &peer.member.id).collect();
+        let ids: Vec<&VmId> = remote.map(|peer| &peer.member.id).collect();
         let chosen = choose(self.own.domain.as_str(), ids, DOMAIN_LINKS);
         chosen
             .into_iter()
--- a/crates/control/src/membership/mod.rs
+++ b/crates/control/src/membership/mod.rs
@@ -1,9 +1,9 @@
-//! Who the live routers are, by heartbeats inside a failure domain.
+//! Tracks live routers through heartbeats within a failure domain.
 //!
-//! The platform's list lags: it still names routers that died and doesn't yet name those that just started. It is
-//! used to find routers, and heartbeats tell who is live. Across failure domains only counts are passed on, over few
-//! links. The number of live routers divides the workspaces' limits: a router that took the others for dead would
-//! admit their share as well, all at once.
+//! The platform's list lags: it still contains routers that died, and not yet those that just started. It serves for
+//! discovery only; heartbeats determine which routers are live. Failure domains exchange only router counts, over a
+//! few links. Workspace limits are divided by the number of live routers: a router that wrongly considered the others
+//! dead would also admit their share.
 
 mod links;
 mod roster;
@@ -18,15 +18,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time between heartbeats on one link. With 22 routers and 400 endpoints that all change their load, 2 s made the
-/// busiest router send and receive 7.2 KB/s (`cargo run -p peers --example traffic`), and 7 KB/s is the bound.
+/// Time between heartbeats on one link. With 22 routers and 400 endpoints with changing load, an interval of 2 s makes
+/// the busiest router send and receive 7.2 KB/s (`cargo run -p peers --example traffic`); the limit is 7 KB/s.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2_250);
-/// Silence after which a router counts as dead: three heartbeats and a little.
-pub const SILENCE: Duration = Duration::from_millis(7_250);
-/// A longer gap between two own events means that this router itself was paused. Its timer ticks every half second.
-pub const OWN_PAUSE: Duration = Duration::from_secs(1);
-/// A router that is neither listed nor heard for this long is forgotten.
-pub const FORGET: Duration = Duration::from_secs(60);
+/// Time without a heartbeat after which a router counts as dead: slightly more than three intervals.
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(7_250);
+/// A longer gap between two events means that this router itself was paused. Its timer ticks every half second.
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
+/// A router that was neither listed nor sent a heartbeat for this long is removed.
+pub const MEMBER_EXPIRY: Duration = Duration::from_secs(60);
 
 /// A router.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Display)]
@@ -34,7 +34,7 @@
 pub struct Member {
     /// Its VM.
     pub id: VmId,
-    /// Where peers reach it.
+    /// Its address for peers.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
@@ -45,89 +45,89 @@
 pub struct Listed {
     /// The router.
     pub member: Member,
-    /// Whether the platform has told it to go.
+    /// Whether the platform is shutting it down.
     pub leaving: bool,
 }
 
-/// What a router hears.
+/// Input of [`Membership`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// The platform's list of routers.
     Listed(Vec<Listed>),
     /// A heartbeat or the answer to one.
     Heartbeat {
-        /// From whom.
+        /// The sender.
         from: Member,
-        /// Whether it is going.
+        /// Whether the sender is shutting down.
         leaving: bool,
-        /// Live routers of its failure domain.
+        /// Number of live routers in the sender's failure domain.
         routers: u32,
     },
-    /// What a peer knows, sent when its view differs.
+    /// A peer's view, sent if it differs from this router's.
     Roster(Roster),
-    /// Time has passed; comes at least every half second.
+    /// Time has passed. Occurs at least every half second.
     Tick,
 }
 
-/// Whether the live routers changed.
+/// Whether the set of live routers changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// The same as before.
+    /// No change.
     Nothing,
-    /// Shares of limits and watched endpoints are to be computed again.
+    /// The live routers changed: recompute the shares of limits and the watched endpoints.
     Live,
 }
 
 #[derive(Debug, Clone)]
 struct Peer {
     member: Member,
-    heard: Option<Duration>,
-    /// Until when it counts as live without having been heard.
-    grace: Duration,
-    /// When it was last in the list or heard.
-    known: Duration,
+    last_heartbeat: Option<Duration>,
+    /// Until when it counts as live without a heartbeat.
+    grace_until: Duration,
+    /// When it was last listed or sent a heartbeat.
+    last_known: Duration,
     leaving: bool,
 }
 
-/// The live routers, as one router sees them.
+/// The live routers, from the point of view of one router.
 #[derive(Debug, Clone)]
 pub struct Membership {
     own: Member,
     peers: BTreeMap<VmId, Peer>,
-    counts: BTreeMap<DomainId, Counted>,
-    last: Duration,
+    counts: BTreeMap<DomainId, RouterCount>,
+    last_event: Duration,
     live: Vec<VmId>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Counted {
+struct RouterCount {
     routers: u32,
     at: Duration,
 }
 
 impl Membership {
-    /// This router alone.
+    /// Only this router.
     pub fn new(own: Member, now: Duration) -> Self {
         let live = vec![own.id.clone()];
         Self {
             own,
             peers: BTreeMap::new(),
             counts: BTreeMap::new(),
-            last: now,
+            last_event: now,
             live,
         }
     }
 
-    /// Takes an event.
+    /// Handles an event.
     pub fn on(&mut self, event: Event, now: Duration) -> Change {
-        self.excuse_pause(now);
+        self.compensate_pause(now);
         match event {
-            Event::Listed(list) => self.listed(&list, now),
-            Event::Heartbeat { from, leaving, routers } => self.heard(from, leaving, routers, now),
-            Event::Roster(roster) => self.learn(&roster, now),
+            Event::Listed(list) => self.apply_list(&list, now),
+            Event::Heartbeat { from, leaving, routers } => self.apply_heartbeat(from, leaving, routers, now),
+            Event::Roster(roster) => self.merge_roster(&roster, now),
             Event::Tick => {}
         }
-        self.forget(now);
+        self.remove_expired(now);
         let live = self.compute_live(now);
         if live == self.live {
             return Change::Nothing;
@@ -136,21 +136,22 @@
         Change::Live
     }
 
-    /// Live routers of the own failure domain, this one among them, sorted.
+    /// Live routers of the own failure domain, including this one, sorted.
     pub fn live(&self) -> &[VmId] {
         &self.live
     }
 
-    /// Live routers that take new tasks: watched endpoints move away from a leaving router before it goes.
+    /// Live routers that are not leaving. Only these are assigned endpoints to watch, so that a leaving router hands
+    /// over its endpoints before it stops.
     pub fn not_leaving(&self) -> Vec<VmId> {
-        let stays = |id: &&VmId| self.peers.get(*id).is_none_or(|peer| !peer.leaving);
-        self.live.iter().filter(stays).cloned().collect()
+        let is_staying = |id: &&VmId| self.peers.get(*id).is_none_or(|peer| !peer.leaving);
+        self.live.iter().filter(is_staying).cloned().collect()
     }
 
-    /// Live routers of all failure domains, by which limits are divided. A domain that is out of reach goes on
-    /// serving its callers, so that its last count stays.
+    /// Number of live routers in all failure domains, by which limits are divided. An unreachable domain still serves
+    /// its clients, so its last known count is kept.
     pub fn total(&self) -> u32 {
-        let others: u32 = self.counts.values().map(|counted| counted.routers).sum();
+        let others: u32 = self.counts.values().map(|count| count.routers).sum();
         others + u32::try_from(self.live.len()).unwrap_or(u32::MAX)
     }
 
@@ -159,44 +160,44 @@
         &self.own
     }
 
-    /// A paused router has heard nobody, which says nothing about the others: it must not take them for dead when it
-    /// goes on. All times of hearing move by the pause.
-    fn excuse_pause(&mut self, now: Duration) {
-        let gap = now.saturating_sub(self.last);
-        self.last = self.last.max(now);
-        if gap <= OWN_PAUSE {
+    /// A router that was paused received no heartbeats, which proves nothing about its peers: it must not consider them
+    /// dead when it resumes. Shifts all timestamps by the length of the pause.
+    fn compensate_pause(&mut self, now: Duration) {
+        let gap = now.saturating_sub(self.last_event);
+        self.last_event = self.last_event.max(now);
+        if gap <= PAUSE_THRESHOLD {
             return;
         }
         for peer in self.peers.values_mut() {
-            peer.heard = peer.heard.map(|heard| heard + gap);
-            peer.grace += gap;
-            peer.known += gap;
+            peer.last_heartbeat = peer.last_heartbeat.map(|at| at + gap);
+            peer.grace_until += gap;
+            peer.last_known += gap;
         }
     }
 
-    /// A router that is listed for the first time counts as live until it had time to be heard. Without this, routers
-    /// that start in a herd would each believe to be alone, and each admit the limits of all.
-    fn listed(&mut self, list: &[Listed], now: Duration) {
+    /// A router that is listed for the first time counts as live until its first heartbeat is due. Otherwise routers
+    /// that start at the same time would each assume to be alone, and each would admit the full limits.
+    fn apply_list(&mut self, list: &[Listed], now: Duration) {
         let mut counts: BTreeMap<DomainId, u32> = BTreeMap::new();
         for listed in list.iter().filter(|listed| listed.member.id != self.own.id) {
             *counts.entry(listed.member.domain.clone()).or_default() += 1;
             let member = &listed.member;
             let peer = self.peers.entry(member.id.clone()).or_insert_with(|| Peer {
                 member: member.clone(),
-                heard: None,
-                grace: now + SILENCE,
-                known: now,
+                last_heartbeat: None,
+                grace_until: now + HEARTBEAT_TIMEOUT,
+                last_known: now,
                 leaving: false,
             });
-            if peer.heard.is_none() {
+            if peer.last_heartbeat.is_none() {
                 peer.member = member.clone();
             }
-            peer.known = peer.known.max(now);
+            peer.last_known = peer.last_known.max(now);
             peer.leaving |= listed.leaving;
         }
         for (domain, routers) in counts {
             if domain != self.own.domain {
-                self.counts.entry(domain).or_insert(Counted {
+                self.counts.entry(domain).or_insert(RouterCount {
                     routers,
                     at: Duration::ZERO,
                 });
@@ -204,33 +205,34 @@
         }
     }
 
-    fn heard(&mut self, from: Member, leaving: bool, routers: u32, now: Duration) {
+    fn apply_heartbeat(&mut self, from: Member, leaving: bool, routers: u32, now: Duration) {
         if from.id == self.own.id {
             return;
         }
         if from.domain != self.own.domain {
-            self.counts.insert(from.domain.clone(), Counted { routers, at: now });
+            self.counts
+                .insert(from.domain.clone(), RouterCount { routers, at: now });
         }
         let peer = Peer {
             member: from.clone(),
-            heard: Some(now),
-            grace: Duration::ZERO,
-            known: now,
+            last_heartbeat: Some(now),
+            grace_until: Duration::ZERO,
+            last_known: now,
             leaving,
         };
         self.peers.insert(from.id, peer);
     }
 
-    fn forget(&mut self, now: Duration) {
-        self.peers.retain(|_, peer| now < peer.known + FORGET);
+    fn remove_expired(&mut self, now: Duration) {
+        self.peers.retain(|_, peer| now < peer.last_known + MEMBER_EXPIRY);
     }
 
     fn compute_live(&self, now: Duration) -> Vec<VmId> {
-        let near = self.peers.values().filter(|peer| peer.member.domain == self.own.domain);
-        let live = near.filter(|peer| {
+        let same_domain = self.peers.values().filter(|peer| peer.member.domain == self.own.domain);
+        let live = same_domain.filter(|peer| {
             now < peer
-                .grace
-                .max(peer.heard.map_or(Duration::ZERO, |heard| heard + SILENCE))
+                .grace_until
+                .max(peer.last_heartbeat.map_or(Duration::ZERO, |at| at + HEARTBEAT_TIMEOUT))
         });
         let mut ids: Vec<VmId> = live.map(|peer| peer.member.id.clone()).collect();
         ids.push(self.own.id.clone());
--- a/crates/control/src/membership/roster.rs
+++ b/crates/control/src/membership/roster.rs
@@ -1,23 +1,23 @@
-//! What routers tell each other about who exists, sent only when their digests differ.
+//! The view of the membership that routers exchange when their digests differ.
 
-use super::{Counted, Member, Membership, Peer};
+use super::{Member, Membership, Peer, RouterCount};
 use ids::DomainId;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Live routers of another failure domain.
+/// Number of live routers in another failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainCount {
     /// The domain.
     pub domain: DomainId,
-    /// Its live routers.
+    /// Number of its live routers.
     pub routers: u32,
-    /// Milliseconds since a router of that domain said so.
+    /// Milliseconds since a router of that domain reported the number.
     pub age_ms: u64,
 }
 
-/// What one router knows.
+/// One router's view of the membership.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
     /// Live routers of its failure domain.
@@ -27,17 +27,19 @@
 }
 
 impl Membership {
-    /// What to tell a peer whose digest differs.
+    /// The view to send to a peer whose digest differs.
     pub fn roster(&self, now: Duration) -> Roster {
-        let near = self.live.iter().filter_map(|id| self.peers.get(id));
-        let heard = near.filter(|peer| peer.heard.is_some()).map(|peer| peer.member.clone());
-        let counts = self.counts.iter().map(|(domain, counted)| DomainCount {
+        let same_domain = self.live.iter().filter_map(|id| self.peers.get(id));
+        let members = same_domain
+            .filter(|peer| peer.last_heartbeat.is_some())
+            .map(|peer| peer.member.clone());
+        let counts = self.counts.iter().map(|(domain, router_count)| DomainCount {
             domain: domain.clone(),
-            routers: counted.routers,
-            age_ms: u64::try_from(now.saturating_sub(counted.at).as_millis()).unwrap_or(u64::MAX),
+            routers: router_count.routers,
+            age_ms: u64::try_from(now.saturating_sub(router_count.at).as_millis()).unwrap_or(u64::MAX),
         });
         Roster {
-            members: heard.collect(),
+            members: members.collect(),
             counts: counts.collect(),
         }
     }
@@ -49,33 +51,33 @@
             text.push_str(id.as_str());
             text.push('\0');
         }
-        for (domain, counted) in &self.counts {
-            text.push_str(&format!("{domain}\0{}\0", counted.routers));
+        for (domain, router_count) in &self.counts {
+            text.push_str(&format!("{domain}\0{}\0", router_count.routers));
         }
         xxh3_64(text.as_bytes())
     }
 
-    /// Hearsay makes a router known, so that it is called, but not live: otherwise two routers could keep a dead one
-    /// alive by telling each other of it.
-    pub(super) fn learn(&mut self, roster: &Roster, now: Duration) {
+    /// Merges a peer's view. A router learned from a peer is called, but does not count as live: otherwise two routers
+    /// could keep a dead one live by reporting it to each other.
+    pub(super) fn merge_roster(&mut self, roster: &Roster, now: Duration) {
         for member in roster.members.iter().filter(|member| member.id != self.own.id) {
             self.peers.entry(member.id.clone()).or_insert_with(|| Peer {
                 member: member.clone(),
-                heard: None,
-                grace: Duration::ZERO,
-                known: now,
+                last_heartbeat: None,
+                grace_until: Duration::ZERO,
+                last_known: now,
                 leaving: false,
             });
         }
         for count in roster.counts.iter().filter(|count| count.domain != self.own.domain) {
             let at = now.saturating_sub(Duration::from_millis(count.age_ms));
-            let counted = Counted {
+            let router_count = RouterCount {
                 routers: count.routers,
                 at,
             };
-            let known = self.counts.entry(count.domain.clone()).or_insert(counted);
-            if known.at < at {
-                *known = counted;
+            let current = self.counts.entry(count.domain.clone()).or_insert(router_count);
+            if current.at < at {
+                *current = router_count;
             }
         }
     }
--- a/crates/control/src/orders/messages.rs
+++ b/crates/control/src/orders/messages.rs
@@ -78,7 +78,8 @@
     },
     /// Write this slot as free, without a lease, if it bears the own one; repeated until it is freed.
     FreeSlot(usize),
-    /// Send an order; cut the call after [`ORDER_CALL_TIMEOUT`](super::ORDER_CALL_TIMEOUT). Ask [`OrderHolder::may_send`](super::OrderHolder::may_send) once more right before writing.
+    /// Send an order; cut the call after [`ORDER_CALL_TIMEOUT`](super::ORDER_CALL_TIMEOUT). Ask
+    /// [`OrderHolder::may_send`](super::OrderHolder::may_send) once more right before writing.
     Send {
         /// To whom.
         endpoint: EndpointId,
--- a/crates/control/src/rendezvous.rs
+++ b/crates/control/src/rendezvous.rs
@@ -1,41 +1,41 @@
-//! Rendezvous hashing: every router chooses the same few of the live routers for a key, without asking anyone.
+//! Rendezvous hashing: all routers choose the same few live routers for a key, without coordination.
 //!
-//! If one router comes or goes, only the keys move that it wins or had won.
+//! If a router joins or leaves, only the keys that it gains or had held move.
 
 use ids::{DomainId, EndpointId, VmId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Routers that watch one endpoint's load report. Two, so that a report goes on arriving while one router's death is
-/// being noticed; each more would cost every endpoint another poll a period.
+/// Routers that watch one endpoint's load report. With two, reports keep arriving until the failure of one router is
+/// detected. Each additional watcher would cost every endpoint one more poll per period.
 pub const WATCHERS: usize = 2;
 
 /// The `count` routers with the highest weight for `key`, highest first.
 pub fn choose<'a>(key: &str, routers: impl IntoIterator<Item = &'a VmId>, count: usize) -> Vec<&'a VmId> {
-    let mut weighed: Vec<(u64, &VmId)> = routers
+    let mut weighted: Vec<(u64, &VmId)> = routers
         .into_iter()
         .map(|router| (weight(key, router), router))
         .collect();
-    weighed.sort_unstable_by(|left, right| right.cmp(left));
-    weighed.truncate(count);
-    weighed.into_iter().map(|(_, router)| router).collect()
+    weighted.sort_unstable_by(|left, right| right.cmp(left));
+    weighted.truncate(count);
+    weighted.into_iter().map(|(_, router)| router).collect()
 }
 
-/// Whether `own` is to watch `endpoint`, given the live routers of the endpoint's failure domain.
+/// Whether `own` watches `endpoint`, given the live routers of the endpoint's failure domain.
 pub fn watches(own: &VmId, endpoint: &EndpointId, live: &[VmId]) -> bool {
     choose(endpoint.as_str(), live, WATCHERS).contains(&own)
 }
 
-/// Whether `own` passes the endpoint's load on to its peers: the first of the watchers only. The second one reads it
-/// as well, so that it has it at hand when it becomes the first.
+/// Whether `own` forwards the endpoint's load to its peers. Only the first watcher does; the second also reads the
+/// load, so that it has it when it becomes the first.
 pub fn forwards_load(own: &VmId, endpoint: &EndpointId, live: &[VmId]) -> bool {
     choose(endpoint.as_str(), live, 1).contains(&own)
 }
 
-/// Routers of a domain that try to hold its order lease. Two, so that the load of the platform does not grow with the
-/// domain, and one router lost leaves a successor.
+/// Routers of a domain that compete for its order lease. With a fixed two, the load on the platform does not grow with
+/// the domain, and there is a successor if one is lost.
 pub const CANDIDATES: usize = 2;
 
-/// Whether `own` is to try to hold the order lease of `domain`.
+/// Whether `own` competes for the order lease of `domain`.
 pub fn is_candidate(own: &VmId, domain: &DomainId, live: &[VmId]) -> bool {
     choose(domain.as_str(), live, CANDIDATES).contains(&own)
 }
--- a/crates/control/src/startup.rs
+++ b/crates/control/src/startup.rs
@@ -1,29 +1,29 @@
-//! Which configuration a starting router begins with.
+//! Chooses the initial configuration of a starting router.
 //!
-//! A router keeps nothing over a restart, so that the first answer it gets may be older than what it had in force.
-//! If it began with that, an accepted change would seem to revert. It therefore asks the platform, which has the
-//! newest. Only where that gives no answer it asks all peers, and begins with the newest that they have.
+//! A router keeps no state across a restart, so the first configuration it receives may be older than the one it used
+//! before. Starting with that one would appear to revert an accepted change. It therefore asks the platform, which has
+//! the newest revision. If the platform does not answer, it asks all peers and uses the newest revision they have.
 
 use ids::{Digest, Revision, VmId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long peers are waited for once the platform is known to be out of reach. Peers answer in milliseconds; a
-/// router that is still starting itself has nothing to say.
-pub const PEER_WAIT: Duration = Duration::from_secs(1);
-/// How long the platform is waited for before it is taken to be out of reach.
-pub const PLATFORM_WAIT: Duration = Duration::from_secs(2);
+/// How long to wait for peers once the platform is considered unreachable. Peers answer in milliseconds; a peer that is
+/// itself starting has no configuration to offer.
+pub const PEER_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long to wait for the platform before it is considered unreachable.
+pub const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a starting router hears.
+/// Input of [`Startup`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// The platform's head.
+    /// The platform returned its head.
     Platform(Offer),
-    /// The platform answered that there is no document.
+    /// The platform answered that it has no configuration.
     PlatformEmpty,
     /// The platform did not answer.
     PlatformFailed,
-    /// A peer answered; without an offer it has no document itself.
+    /// A peer answered. Without an offer, the peer has no configuration.
     Peer(VmId, Option<Offer>),
     /// The peer did not answer.
     PeerFailed(VmId),
@@ -31,7 +31,7 @@
     Tick,
 }
 
-/// A revision and the digest of its head.
+/// A configuration revision that can be fetched, and the digest of its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Offer {
     /// The revision.
@@ -43,16 +43,16 @@
 /// Why a router can't serve yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 pub enum NotReady {
-    /// Answers are still awaited.
+    /// Some answers are still outstanding.
     #[display("waiting for the platform or a peer")]
     Waiting,
-    /// Neither the platform nor any peer can be reached.
+    /// Neither the platform nor any peer is reachable.
     #[display("neither the platform nor a peer can be reached")]
     NobodyReached,
-    /// Peers were reached, and none has a document.
+    /// Some peers answered, but none has a configuration.
     #[display("the platform can't be reached and no peer has a configuration")]
     NoPeerReady,
-    /// The platform holds no document yet.
+    /// The platform has no configuration yet.
     #[display("the platform holds no configuration")]
     Empty,
 }
@@ -60,18 +60,18 @@
 /// What to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
-    /// Fetch this revision from where it was offered, and serve.
+    /// Fetch this revision from its source and start serving.
     With(Offer),
-    /// Not ready, for this reason; go on asking.
+    /// Not ready, for this reason. Keep asking.
     NotReady(NotReady),
 }
 
-/// Chooses what to begin with.
+/// Chooses the initial configuration.
 #[derive(Debug, Clone)]
 pub struct Startup {
-    began: Duration,
+    started: Duration,
     platform: Option<Platform>,
-    failed: Option<Duration>,
+    platform_failed: Option<Duration>,
     peers: BTreeMap<VmId, PeerAnswer>,
 }
 
@@ -83,32 +83,32 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PeerAnswer {
-    Awaited,
+    Pending,
     Failed,
-    Nothing,
+    Empty,
     Offered(Offer),
 }
 
 impl Startup {
-    /// A router that starts at `now` and knows these peers from its settings or an earlier list.
+    /// A router that starts at `now`, with the peers from its settings or from an earlier list.
     pub fn new(peers: &[VmId], now: Duration) -> Self {
-        let peers = peers.iter().map(|peer| (peer.clone(), PeerAnswer::Awaited)).collect();
+        let peers = peers.iter().map(|peer| (peer.clone(), PeerAnswer::Pending)).collect();
         Self {
-            began: now,
+            started: now,
             platform: None,
-            failed: None,
+            platform_failed: None,
             peers,
         }
     }
 
-    /// Takes an event.
+    /// Handles an event and returns what to do.
     pub fn on(&mut self, event: Event, now: Duration) -> Start {
         match event {
             Event::Platform(offer) => self.platform = Some(Platform::Offered(offer)),
             Event::PlatformEmpty => self.platform = Some(Platform::Empty),
-            Event::PlatformFailed => self.failed = self.failed.or(Some(now)),
+            Event::PlatformFailed => self.platform_failed = self.platform_failed.or(Some(now)),
             Event::Peer(peer, offer) => {
-                let answer = offer.map_or(PeerAnswer::Nothing, PeerAnswer::Offered);
+                let answer = offer.map_or(PeerAnswer::Empty, PeerAnswer::Offered);
                 self.peers.insert(peer, answer);
             }
             Event::PeerFailed(peer) => {
@@ -125,20 +125,20 @@
             Some(Platform::Empty) => return Start::NotReady(NotReady::Empty),
             None => {}
         }
-        if now >= self.began + PLATFORM_WAIT {
-            self.failed = self.failed.or(Some(now));
+        if now >= self.started + PLATFORM_TIMEOUT {
+            self.platform_failed = self.platform_failed.or(Some(now));
         }
-        let Some(failed) = self.failed else {
+        let Some(failed) = self.platform_failed else {
             return Start::NotReady(NotReady::Waiting);
         };
-        let awaited = self.peers.values().any(|answer| *answer == PeerAnswer::Awaited);
-        if awaited && now < failed + PEER_WAIT {
+        let pending = self.peers.values().any(|answer| *answer == PeerAnswer::Pending);
+        if pending && now < failed + PEER_TIMEOUT {
             return Start::NotReady(NotReady::Waiting);
         }
         if let Some(offer) = self.newest() {
             return Start::With(offer);
         }
-        let reached = self.peers.values().any(|answer| *answer == PeerAnswer::Nothing);
+        let reached = self.peers.values().any(|answer| *answer == PeerAnswer::Empty);
         Start::NotReady(if reached {
             NotReady::NoPeerReady
         } else {
@@ -155,7 +155,7 @@
     }
 }
 
-/// A peer may have heard of a revision just after the platform's answer was sent.
+/// A peer may have received a newer revision just after the platform sent its answer.
 fn newer(than: Offer) -> impl Fn(&Offer) -> bool {
     move |offer| offer.revision > than.revision
 }
--- a/crates/control/tests/following.rs
+++ b/crates/control/tests/following.rs
@@ -1,6 +1,8 @@
 //! What one failure domain asks of the platform.
 
-use control::following::{Follow, READ_EVERY, UpdateSource, WATCHERS, eligible_leaders, follow, update_source};
+use control::following::{
+    DOMAIN_READ_INTERVAL, Follow, UpdateSource, WATCHERS, eligible_leaders, follow, update_source,
+};
 use ids::{DomainId, VmId};
 use std::collections::BTreeMap;
 
@@ -21,7 +23,7 @@
             })
             .sum();
         let expected = if size > WATCHERS {
-            READ_EVERY.as_secs_f64().recip()
+            DOMAIN_READ_INTERVAL.as_secs_f64().recip()
         } else {
             0.0
         };
@@ -39,8 +41,8 @@
     );
 }
 
-/// A domain grows, and every router needs every change. Two of them watch the store; were all others to follow the same one, it would
-/// carry the domain alone, and its death would send all of them to the store at once.
+/// A domain grows, and every router needs every change. Two of them watch the store; were all others to follow the same
+/// one, it would carry the domain alone, and its death would send all of them to the store at once.
 #[test]
 fn routers_that_do_not_watch_are_spread_over_those_that_do() {
     let domain = DomainId::from("lahore");
@@ -68,8 +70,8 @@
     }
 }
 
-/// The small VMs of a domain have links of 10 Mbit/s. One of them is followed by a dozen routers: its link fills up, they hear
-/// too late of what engines may share, and its callers wait.
+/// The small VMs of a domain have links of 10 Mbit/s. One of them is followed by a dozen routers: its link fills up,
+/// they hear too late of what engines may share, and its callers wait.
 #[test]
 fn routers_with_narrow_links_are_not_followed() {
     struct Case {
--- a/crates/control/tests/health.rs
+++ b/crates/control/tests/health.rs
@@ -1,7 +1,7 @@
 //! What is believed of an endpoint, after what was seen of it.
 
 use control::health::{Change, EndpointHealth, Event, Failure, HealthState, Listing, Report};
-use control::startup::{self, NotReady, Offer, PEER_WAIT, Start, Startup};
+use control::startup::{self, NotReady, Offer, PEER_TIMEOUT, Start, Startup};
 use ids::{Digest, EndpointId, Incarnation, Revision, VmId};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -257,7 +257,7 @@
         (
             "silent peer",
             vec![PlatformFailed, Peer(vm("a"), Some(offer(3)))],
-            PEER_WAIT,
+            PEER_TIMEOUT,
             Start::With(offer(3)),
         ),
         (
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -1,6 +1,6 @@
 //! Who counts as live, against a list that lags, pauses and herds.
 
-use control::membership::{Event, Listed, Member, Membership, Roster, SILENCE};
+use control::membership::{Event, HEARTBEAT_TIMEOUT, Listed, Member, Membership, Roster};
 use control::rendezvous::{WATCHERS, watches};
 use ids::{DomainId, EndpointId, VmId};
 use quickcheck::{Gen, QuickCheck};
@@ -183,7 +183,7 @@
             members.on(heard(from), now);
             let mut naive: Vec<VmId> = all
                 .iter()
-                .filter(|(at, _)| now - *at < SILENCE)
+                .filter(|(at, _)| now - *at < HEARTBEAT_TIMEOUT)
                 .map(|(_, from)| member(*from, "multan").id)
                 .collect();
             naive.push(member(0, "multan").id);
