--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -13,7 +13,7 @@
 use http::raw::{Answer, ExchangeError, Headers, Source, exchange};
 use ids::EndpointId;
 use lifecycle::events::EventSplitter;
-use lifecycle::request::{Repeat, Request, RequestEvent, RequestState, RequestStep};
+use lifecycle::request::{Request, RequestEvent, RequestState, RequestStep, RetryPolicy};
 use std::future::Future;
 use std::pin::pin;
 use std::sync::Arc;
@@ -83,9 +83,9 @@
 impl<'a> Attempts<'a> {
     pub(super) fn new(shared: &'a Arc<Shared>, call: &'a Call<'a>, record: &'a mut Record) -> Self {
         let repeat = if call.route.kind.repeatable() {
-            Repeat::Idempotent
+            RetryPolicy::Idempotent
         } else {
-            Repeat::Once
+            RetryPolicy::Once
         };
         Self {
             shared,
--- a/crates/lifecycle/src/claims/guard.rs
+++ b/crates/lifecycle/src/claims/guard.rs
@@ -1,6 +1,6 @@
 //! Which protection a call needs, and so what can be served while the platform is out.
 
-use crate::request::Repeat;
+use crate::request::RetryPolicy;
 
 /// How a call is kept from running twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -29,11 +29,11 @@
 
 impl Guard {
     /// How often the router may send the call.
-    pub fn repeat(self) -> Repeat {
+    pub fn repeat(self) -> RetryPolicy {
         match self {
-            Self::Idempotent | Self::Endpoint => Repeat::Idempotent,
-            Self::SingleSend => Repeat::Once,
-            Self::Claim => Repeat::Claimed,
+            Self::Idempotent | Self::Endpoint => RetryPolicy::Idempotent,
+            Self::SingleSend => RetryPolicy::Once,
+            Self::Claim => RetryPolicy::Claimed,
         }
     }
 }
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -31,7 +31,7 @@
 
 /// How often a call may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// A second execution does no harm: a completion, or a call whose endpoint drops repeated keys.
     Idempotent,
     /// At most once by this router; no claim, as the caller gave no key.
@@ -103,7 +103,7 @@
 #[derive(Debug, Clone)]
 pub struct Request {
     state: RequestState,
-    repeat: Repeat,
+    repeat: RetryPolicy,
     link: Link,
     /// Bytes of an earlier send may have been acted on.
     exposed: bool,
@@ -113,7 +113,7 @@
 
 impl Request {
     /// A request that has just been accepted.
-    pub fn new(repeat: Repeat) -> Self {
+    pub fn new(repeat: RetryPolicy) -> Self {
         Self {
             state: RequestState::Queued,
             repeat,
@@ -176,7 +176,7 @@
             _ => {}
         }
         assert!(
-            self.repeat == Repeat::Idempotent || self.sends <= 1,
+            self.repeat == RetryPolicy::Idempotent || self.sends <= 1,
             "a call that may run once is sent twice"
         );
         assert!(
@@ -206,8 +206,8 @@
         use RequestState as S;
         use RequestStep as T;
         let next = match (self.state, event) {
-            (S::Queued, E::ClaimHeld) if self.repeat == Repeat::Claimed => (S::Claimed, T::Choose),
-            (S::Queued, E::SendStarts) if self.repeat != Repeat::Claimed => (S::Sent, T::Send),
+            (S::Queued, E::ClaimHeld) if self.repeat == RetryPolicy::Claimed => (S::Claimed, T::Choose),
+            (S::Queued, E::SendStarts) if self.repeat != RetryPolicy::Claimed => (S::Sent, T::Send),
             (S::Claimed, E::SendStarts) => (S::Sent, T::Send),
             (S::Queued | S::Claimed, E::GiveUp) if !self.exposed => (S::Refused, T::RefuseNotRun),
             (S::Queued | S::Claimed, E::GiveUp) => (S::Unknown, T::FailUnknown),
@@ -216,7 +216,7 @@
             (S::Sent, E::SendFailed) | (S::FirstByte, E::AnswerBroke) => self.again(),
             (S::FirstByte | S::Streaming, E::PartArrived) => (S::Streaming, T::Deliver),
             (S::FirstByte | S::Streaming, E::AnswerWhole) => (S::Answered, T::Answer),
-            (S::Streaming, E::AnswerBroke) if self.repeat != Repeat::Idempotent => (S::Unknown, T::FailUnknown),
+            (S::Streaming, E::AnswerBroke) if self.repeat != RetryPolicy::Idempotent => (S::Unknown, T::FailUnknown),
             (S::Streaming, E::AnswerBroke | E::SendFailed | E::EndpointRefused) => (S::Streaming, T::Resume),
             (S::Streaming, E::SendStarts) => (S::Streaming, T::Send),
             (S::Streaming, E::HeadArrived) => (S::Streaming, T::Read),
@@ -228,7 +228,7 @@
 
     /// The state to go back to after an endpoint refused the send.
     fn waiting(&self) -> RequestState {
-        if self.repeat == Repeat::Claimed {
+        if self.repeat == RetryPolicy::Claimed {
             RequestState::Claimed
         } else {
             RequestState::Queued
@@ -237,7 +237,7 @@
 
     /// After a send that may have been acted on and of which the caller has seen nothing.
     fn again(&self) -> (RequestState, RequestStep) {
-        if self.repeat == Repeat::Idempotent {
+        if self.repeat == RetryPolicy::Idempotent {
             return (RequestState::Queued, RequestStep::Choose);
         }
         (RequestState::Unknown, RequestStep::FailUnknown)
--- a/crates/lifecycle/tests/request.rs
+++ b/crates/lifecycle/tests/request.rs
@@ -1,6 +1,6 @@
 //! A request's life against a naive model that only remembers which sends could have been acted on.
 
-use lifecycle::request::{Repeat, Request, RequestEvent as E, RequestState as S, RequestStep as T};
+use lifecycle::request::{Request, RequestEvent as E, RequestState as S, RequestStep as T, RetryPolicy};
 use quickcheck::{Gen, QuickCheck};
 use wire::caller::Ran;
 
@@ -22,7 +22,7 @@
     E::AnswerWhole,
     E::GiveUp,
 ];
-const REPEATS: [Repeat; 3] = [Repeat::Idempotent, Repeat::Once, Repeat::Claimed];
+const REPEATS: [RetryPolicy; 3] = [RetryPolicy::Idempotent, RetryPolicy::Once, RetryPolicy::Claimed];
 
 /// What an observer outside the machine knows.
 #[derive(Default)]
@@ -36,15 +36,15 @@
 }
 
 impl Naive {
-    fn check(&mut self, repeat: Repeat, event: E, step: T, request: &Request) {
+    fn check(&mut self, repeat: RetryPolicy, event: E, step: T, request: &Request) {
         match step {
             T::Send => {
                 assert!(!self.open && self.ends == 0, "two sends at once, or one after the end");
                 assert!(
-                    repeat == Repeat::Idempotent || !self.exposed,
+                    repeat == RetryPolicy::Idempotent || !self.exposed,
                     "sent again after it may have run"
                 );
-                assert!(repeat != Repeat::Claimed || self.claimed, "sent without a claim");
+                assert!(repeat != RetryPolicy::Claimed || self.claimed, "sent without a claim");
                 self.open = true;
                 self.sends += 1;
             }
@@ -107,7 +107,7 @@
 }
 
 /// How often it may be sent, what happens, the last step, and what may be said then.
-struct Case(Repeat, &'static [E], T, Ran);
+struct Case(RetryPolicy, &'static [E], T, Ran);
 
 #[track_caller]
 fn check(case: &Case) {
@@ -125,7 +125,7 @@
 // read "unknown", never "not run"; a completion is simply sent again.
 #[test]
 fn what_the_caller_is_told() {
-    use Repeat::{Claimed, Idempotent, Once};
+    use RetryPolicy::{Claimed, Idempotent, Once};
     let cases = [
         Case(Claimed, &[E::SendStarts], T::Forbidden, Ran::NotRun),
         Case(Claimed, &[E::ClaimHeld, E::GiveUp], T::RefuseNotRun, Ran::NotRun),
--- a/crates/router/src/caller/attempt.rs
+++ b/crates/router/src/caller/attempt.rs
@@ -13,7 +13,7 @@
 use async_std::task;
 use http::{Reply, Request, SendError};
 use ids::WeightsVersion;
-use lifecycle::request::{Repeat, Request as Life, RequestEvent, RequestStep};
+use lifecycle::request::{Request as Life, RequestEvent, RequestStep, RetryPolicy};
 use placement::{EndpointKey, PrefixChain};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
 
 impl Attempts {
     /// No attempt so far.
-    pub fn new(shared: &Arc<Shared>, call: Call, permit: Permit, repeat: Repeat) -> Self {
+    pub fn new(shared: &Arc<Shared>, call: Call, permit: Permit, repeat: RetryPolicy) -> Self {
         Self {
             shared: shared.clone(),
             call,
--- a/crates/router/src/caller/completion.rs
+++ b/crates/router/src/caller/completion.rs
@@ -11,7 +11,7 @@
 use admission::{Job, Tokens};
 use http::{Response, StatusCode};
 use ids::{Incarnation, ModelId, WeightsVersion};
-use lifecycle::request::{Repeat, RequestEvent};
+use lifecycle::request::{RequestEvent, RetryPolicy};
 use placement::{PrefixChain, Scope};
 use serde::Deserialize;
 use std::cmp::Reverse;
@@ -54,7 +54,7 @@
             return Err(refusal.into());
         }
     };
-    let mut attempts = Attempts::new(shared, call, permit, Repeat::Idempotent);
+    let mut attempts = Attempts::new(shared, call, permit, RetryPolicy::Idempotent);
     attempts.chain = chain;
     attempts.weights = weights;
     let opened = attempts.open(send_pooled).await?;
