--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -460,7 +460,7 @@
     pub(super) fn broke(&mut self, flight: &Flight<'_>) -> Attempted {
         flight.outcome(Outcome::Broken);
         self.events.broke();
-        self.life.on(RequestEvent::AnswerBroke);
+        self.life.on(RequestEvent::AnswerFailed);
         Attempted::Failed(Failure::Broken)
     }
 
@@ -489,7 +489,7 @@
         let whole = WholeAnswer { status, headers, body };
         if status >= 500 && self.repeatable() {
             flight.outcome(Outcome::Failed);
-            self.life.on(RequestEvent::AnswerBroke);
+            self.life.on(RequestEvent::AnswerFailed);
             return Attempted::Error(whole);
         }
         if status >= 500 {
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -56,7 +56,7 @@
     /// A part of the answer is there for the caller.
     PartArrived,
     /// The answer broke off, was shorter than declared or another request's.
-    AnswerBroke,
+    AnswerFailed,
     /// The answer is whole.
     AnswerWhole,
     /// Deadline passed, no endpoint, caller gone, claim refused or shutdown.
@@ -172,7 +172,7 @@
         match event {
             RequestEvent::SendStarts => self.sends += 1,
             RequestEvent::EndpointRefused => self.sends -= 1,
-            RequestEvent::SendFailed | RequestEvent::AnswerBroke => self.exposed = true,
+            RequestEvent::SendFailed | RequestEvent::AnswerFailed => self.exposed = true,
             _ => {}
         }
         assert!(
@@ -195,7 +195,7 @@
             (Link::Sent, E::HeadArrived) => Some(Link::Head),
             (Link::Sent, E::SendFailed | E::EndpointRefused) => Some(Link::Idle),
             (Link::Head, E::PartArrived) => Some(Link::Head),
-            (Link::Head, E::AnswerBroke | E::AnswerWhole) => Some(Link::Idle),
+            (Link::Head, E::AnswerFailed | E::AnswerWhole) => Some(Link::Idle),
             (Link::Idle, E::ClaimHeld) | (_, E::GiveUp) => Some(Link::Idle),
             _ => None,
         }
@@ -213,11 +213,11 @@
             (S::Queued | S::Claimed, E::GiveUp) => (S::Unknown, T::FailUnknown),
             (S::Sent, E::HeadArrived) => (S::FirstByte, T::Read),
             (S::Sent, E::EndpointRefused) => (self.waiting(), T::Choose),
-            (S::Sent, E::SendFailed) | (S::FirstByte, E::AnswerBroke) => self.again(),
+            (S::Sent, E::SendFailed) | (S::FirstByte, E::AnswerFailed) => self.again(),
             (S::FirstByte | S::Streaming, E::PartArrived) => (S::Streaming, T::Deliver),
             (S::FirstByte | S::Streaming, E::AnswerWhole) => (S::Answered, T::Answer),
-            (S::Streaming, E::AnswerBroke) if self.repeat != RetryPolicy::Idempotent => (S::Unknown, T::FailUnknown),
-            (S::Streaming, E::AnswerBroke | E::SendFailed | E::EndpointRefused) => (S::Streaming, T::Resume),
+            (S::Streaming, E::AnswerFailed) if self.repeat != RetryPolicy::Idempotent => (S::Unknown, T::FailUnknown),
+            (S::Streaming, E::AnswerFailed | E::SendFailed | E::EndpointRefused) => (S::Streaming, T::Resume),
             (S::Streaming, E::SendStarts) => (S::Streaming, T::Send),
             (S::Streaming, E::HeadArrived) => (S::Streaming, T::Read),
             (S::Sent | S::FirstByte | S::Streaming, E::GiveUp) => (S::Unknown, T::FailUnknown),
--- a/crates/lifecycle/tests/request.rs
+++ b/crates/lifecycle/tests/request.rs
@@ -18,7 +18,7 @@
     E::EndpointRefused,
     E::HeadArrived,
     E::PartArrived,
-    E::AnswerBroke,
+    E::AnswerFailed,
     E::AnswerWhole,
     E::GiveUp,
 ];
@@ -138,7 +138,7 @@
         Case(Once, &[E::SendStarts, E::EndpointRefused], T::Choose, Ran::NotRun),
         Case(
             Once,
-            &[E::SendStarts, E::HeadArrived, E::AnswerBroke],
+            &[E::SendStarts, E::HeadArrived, E::AnswerFailed],
             T::FailUnknown,
             Ran::Unknown,
         ),
@@ -151,7 +151,7 @@
         ),
         Case(
             Idempotent,
-            &[E::SendStarts, E::HeadArrived, E::PartArrived, E::AnswerBroke],
+            &[E::SendStarts, E::HeadArrived, E::PartArrived, E::AnswerFailed],
             T::Resume,
             Ran::Unknown,
         ),
--- a/crates/router/src/caller/attempt.rs
+++ b/crates/router/src/caller/attempt.rs
@@ -187,7 +187,7 @@
             return Sent::Head(Box::new(reply));
         }
         reply.close();
-        self.life.on(RequestEvent::AnswerBroke);
+        self.life.on(RequestEvent::AnswerFailed);
         Sent::Failed(Failure::Unknown)
     }
 
--- a/crates/router/src/caller/completion.rs
+++ b/crates/router/src/caller/completion.rs
@@ -118,7 +118,7 @@
             return Ok(respond(status, content.as_deref(), body));
         }
         attempts.cancel(&opened.flight);
-        attempts.life.on(RequestEvent::AnswerBroke);
+        attempts.life.on(RequestEvent::AnswerFailed);
         attempts.again(opened.flight).await?;
         opened = attempts.open(send_pooled).await?;
         shown = seen(&attempts, &opened);
--- a/crates/router/src/caller/service.rs
+++ b/crates/router/src/caller/service.rs
@@ -88,7 +88,7 @@
             attempts.permit.served(after, Tokens::default());
             return Ok(kept);
         }
-        attempts.life.on(RequestEvent::AnswerBroke);
+        attempts.life.on(RequestEvent::AnswerFailed);
         attempts.again(opened.flight).await?;
     }
 }
@@ -163,7 +163,7 @@
         Err(refused) => return (Err(refused), attempts.life.state()),
     };
     let Some(kept) = read(&attempts, opened.reply).await else {
-        attempts.life.on(RequestEvent::AnswerBroke);
+        attempts.life.on(RequestEvent::AnswerFailed);
         let refused = Refused::with(Cause::Endpoint, attempts.life.ran());
         return (Err(refused), attempts.life.state());
     };
--- a/crates/router/src/caller/stream.rs
+++ b/crates/router/src/caller/stream.rs
@@ -109,7 +109,7 @@
                 }
                 End::Broken => {}
             }
-            self.attempts.life.on(RequestEvent::AnswerBroke);
+            self.attempts.life.on(RequestEvent::AnswerFailed);
             self.attempts.tell(&flight, Sighting::Broke);
             let Some(next) = self.resume(flight).await else {
                 return self.fail(Cause::Endpoint).await;
@@ -218,7 +218,7 @@
                 self.attempts.shared.metrics.resumed.inc();
                 return Some((flight, pieces));
             }
-            self.attempts.life.on(RequestEvent::AnswerBroke);
+            self.attempts.life.on(RequestEvent::AnswerFailed);
         }
         None
     }
