--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -497,7 +497,7 @@
         } else {
             flight.answered();
         }
-        self.life.on(RequestEvent::AnswerWhole);
+        self.life.on(RequestEvent::AnswerComplete);
         Attempted::Whole(whole)
     }
 
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -111,7 +111,7 @@
         if self.write(answer, &rest, true).await == Written::Gone {
             return Attempted::Ended(self.attempts.gone());
         }
-        self.attempts.life.on(RequestEvent::AnswerWhole);
+        self.attempts.life.on(RequestEvent::AnswerComplete);
         if answer.clean && answer.head.keeps() {
             let links = &self.attempts.shared.links;
             links.give_back(&self.flight.picked.endpoint, source, facts.keep_alive);
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -58,7 +58,7 @@
     /// The answer broke off, was shorter than declared or another request's.
     AnswerFailed,
     /// The answer is whole.
-    AnswerWhole,
+    AnswerComplete,
     /// Deadline passed, no endpoint, caller gone, claim refused or shutdown.
     GiveUp,
 }
@@ -195,7 +195,7 @@
             (Link::Sent, E::HeadArrived) => Some(Link::Head),
             (Link::Sent, E::SendFailed | E::EndpointRefused) => Some(Link::Idle),
             (Link::Head, E::PartArrived) => Some(Link::Head),
-            (Link::Head, E::AnswerFailed | E::AnswerWhole) => Some(Link::Idle),
+            (Link::Head, E::AnswerFailed | E::AnswerComplete) => Some(Link::Idle),
             (Link::Idle, E::ClaimHeld) | (_, E::GiveUp) => Some(Link::Idle),
             _ => None,
         }
@@ -215,7 +215,7 @@
             (S::Sent, E::EndpointRefused) => (self.waiting(), T::Choose),
             (S::Sent, E::SendFailed) | (S::FirstByte, E::AnswerFailed) => self.again(),
             (S::FirstByte | S::Streaming, E::PartArrived) => (S::Streaming, T::Deliver),
-            (S::FirstByte | S::Streaming, E::AnswerWhole) => (S::Answered, T::Answer),
+            (S::FirstByte | S::Streaming, E::AnswerComplete) => (S::Answered, T::Answer),
             (S::Streaming, E::AnswerFailed) if self.repeat != RetryPolicy::Idempotent => (S::Unknown, T::FailUnknown),
             (S::Streaming, E::AnswerFailed | E::SendFailed | E::EndpointRefused) => (S::Streaming, T::Resume),
             (S::Streaming, E::SendStarts) => (S::Streaming, T::Send),
--- a/crates/lifecycle/tests/request.rs
+++ b/crates/lifecycle/tests/request.rs
@@ -19,7 +19,7 @@
     E::HeadArrived,
     E::PartArrived,
     E::AnswerFailed,
-    E::AnswerWhole,
+    E::AnswerComplete,
     E::GiveUp,
 ];
 const REPEATS: [RetryPolicy; 3] = [RetryPolicy::Idempotent, RetryPolicy::Once, RetryPolicy::Claimed];
@@ -157,7 +157,7 @@
         ),
         Case(
             Idempotent,
-            &[E::SendStarts, E::HeadArrived, E::AnswerWhole, E::PartArrived],
+            &[E::SendStarts, E::HeadArrived, E::AnswerComplete, E::PartArrived],
             T::Ignore,
             Ran::Unknown,
         ),
--- a/crates/router/src/caller/completion.rs
+++ b/crates/router/src/caller/completion.rs
@@ -108,7 +108,7 @@
         let first_token = opened.flight.first_token(shown.uncached);
         if let Some(body) = read(&attempts, opened.reply).await {
             attempts.shared.metrics.first_token.observe(first_token.as_secs_f64());
-            attempts.life.on(RequestEvent::AnswerWhole);
+            attempts.life.on(RequestEvent::AnswerComplete);
             let tokens = Tokens {
                 uncached: shown.uncached,
                 output: output(&body),
--- a/crates/router/src/caller/service.rs
+++ b/crates/router/src/caller/service.rs
@@ -83,7 +83,7 @@
         let opened = attempts.open(send_pooled).await?;
         let kept = read(&attempts, opened.reply).await;
         if let Some(kept) = kept {
-            attempts.life.on(RequestEvent::AnswerWhole);
+            attempts.life.on(RequestEvent::AnswerComplete);
             let after = opened.flight.first_token(0);
             attempts.permit.served(after, Tokens::default());
             return Ok(kept);
@@ -167,7 +167,7 @@
         let refused = Refused::with(Cause::Endpoint, attempts.life.ran());
         return (Err(refused), attempts.life.state());
     };
-    attempts.life.on(RequestEvent::AnswerWhole);
+    attempts.life.on(RequestEvent::AnswerComplete);
     let after = opened.flight.first_token(0);
     attempts.permit.served(after, Tokens::default());
     (Ok(kept), RequestState::Answered)
--- a/crates/router/src/caller/stream.rs
+++ b/crates/router/src/caller/stream.rs
@@ -224,7 +224,7 @@
     }
 
     fn served(mut self) {
-        self.attempts.life.on(RequestEvent::AnswerWhole);
+        self.attempts.life.on(RequestEvent::AnswerComplete);
         let tokens = Tokens {
             uncached: self.seen.uncached,
             output: self.assembler.resume_from(),
