--- a/crates/lifecycle/src/stream.rs
+++ b/crates/lifecycle/src/stream.rs
@@ -32,9 +32,9 @@
 
 /// What the end of a connection means.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Break {
+pub enum ConnectionEnd {
     /// The end mark had come: the stream is whole.
-    Whole,
+    Complete,
     /// No piece was delivered: the request may be sent anew with any weights.
     Restart,
     /// Resume from this piece, only at an engine with these weights.
@@ -108,15 +108,15 @@
     }
 
     /// The connection ended, for whatever reason.
-    pub fn on_break(&mut self) -> Break {
+    pub fn on_break(&mut self) -> ConnectionEnd {
         self.open = false;
         if self.whole {
-            return Break::Whole;
+            return ConnectionEnd::Complete;
         }
         if self.next == 0 {
-            return Break::Restart;
+            return ConnectionEnd::Restart;
         }
-        Break::Resume {
+        ConnectionEnd::Resume {
             from: self.next,
             weights: self.weights.clone(),
         }
--- a/crates/lifecycle/tests/stream.rs
+++ b/crates/lifecycle/tests/stream.rs
@@ -1,7 +1,7 @@
 //! Streams over broken connections against the text that the engine would send in one go.
 
 use ids::RequestId;
-use lifecycle::stream::{Break, Head, Piece, StreamAssembler, Verdict, WholeAnswer};
+use lifecycle::stream::{ConnectionEnd, Head, Piece, StreamAssembler, Verdict, WholeAnswer};
 use quickcheck::{Gen, QuickCheck};
 
 /// Each run tries the same cases, so that its verdict is the same.
@@ -69,9 +69,9 @@
             assert!(seen.iter().all(|piece| piece.1 == seen[0].1), "mixed weights");
             assert!(!was || stream.whole(), "a whole stream opened again");
             let wanted = match stream.on_break() {
-                Break::Whole => LENGTH,
-                Break::Restart => 0,
-                Break::Resume { from, weights } => {
+                ConnectionEnd::Complete => LENGTH,
+                ConnectionEnd::Restart => 0,
+                ConnectionEnd::Resume { from, weights } => {
                     assert!(weights.is_some());
                     from
                 }
--- a/crates/router/src/caller/stream.rs
+++ b/crates/router/src/caller/stream.rs
@@ -15,7 +15,7 @@
 use http::{Body, Piece, Pieces, Reply, Response, StatusCode};
 use ids::WeightsVersion;
 use lifecycle::request::RequestEvent;
-use lifecycle::stream::{Break, Head, Piece as Verdict, StreamAssembler};
+use lifecycle::stream::{ConnectionEnd, Head, Piece as Verdict, StreamAssembler};
 use std::fmt::Write;
 use std::io;
 use std::time::Duration;
@@ -192,9 +192,9 @@
         while self.resumes < RESUMES {
             self.resumes += 1;
             let from = match self.assembler.on_break() {
-                Break::Whole => return None,
-                Break::Restart => 0,
-                Break::Resume { from, .. } => from,
+                ConnectionEnd::Complete => return None,
+                ConnectionEnd::Restart => 0,
+                ConnectionEnd::Resume { from, .. } => from,
             };
             let left = self.attempts.call.left(&self.attempts.shared)?;
             let flight = self.attempts.place_again(last)?;
