--- a/crates/lifecycle/src/stream.rs
+++ b/crates/lifecycle/src/stream.rs
@@ -8,7 +8,7 @@
 
 /// Verdict on the head of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Head {
+pub enum HeadVerdict {
     /// It is this request's; read on.
     Accept,
     /// It bears another request's id or none: close the connection, pass nothing on.
@@ -70,19 +70,19 @@
     }
 
     /// The head of a connection's answer: the id it echoes and the weights it names.
-    pub fn on_head(&mut self, echoed: Option<&str>, weights: Option<&str>) -> Head {
+    pub fn on_head(&mut self, echoed: Option<&str>, weights: Option<&str>) -> HeadVerdict {
         self.open = false;
         if echoed != Some(self.request.as_str()) {
-            return Head::OtherRequest;
+            return HeadVerdict::OtherRequest;
         }
         if self.next > 0 && !self.same_weights(weights) {
-            return Head::OtherWeights;
+            return HeadVerdict::OtherWeights;
         }
         if self.next == 0 {
             self.weights = weights.map(WeightsVersion::from);
         }
         self.open = true;
-        Head::Accept
+        HeadVerdict::Accept
     }
 
     /// A piece with its number.
--- a/crates/lifecycle/tests/stream.rs
+++ b/crates/lifecycle/tests/stream.rs
@@ -1,7 +1,7 @@
 //! Streams over broken connections against the text that the engine would send in one go.
 
 use ids::RequestId;
-use lifecycle::stream::{ConnectionEnd, Head, Piece, StreamAssembler, Verdict, WholeAnswer};
+use lifecycle::stream::{ConnectionEnd, HeadVerdict, Piece, StreamAssembler, Verdict, WholeAnswer};
 use quickcheck::{Gen, QuickCheck};
 
 /// Each run tries the same cases, so that its verdict is the same.
@@ -21,7 +21,7 @@
     let echoed = if kind % 7 == 0 { "other" } else { "mine" };
     let head = stream.on_head(Some(echoed), Some(named));
     assert!(
-        echoed == "mine" || head == Head::OtherRequest,
+        echoed == "mine" || head == HeadVerdict::OtherRequest,
         "another request's answer was accepted"
     );
     let first = (stream.resume_from() + 1).saturating_sub(u64::from(start % 3));
@@ -29,7 +29,7 @@
     for number in first..end {
         let verdict = stream.on_piece(number);
         assert!(
-            verdict != Piece::Deliver || head == Head::Accept,
+            verdict != Piece::Deliver || head == HeadVerdict::Accept,
             "delivered although the head was refused"
         );
         match verdict {
@@ -44,7 +44,7 @@
     if end == LENGTH && first <= LENGTH && !cut && !skipped && stream.on_done() {
         assert_eq!(
             (head, seen.len() as u64),
-            (Head::Accept, LENGTH),
+            (HeadVerdict::Accept, LENGTH),
             "ended before it was whole"
         );
     }
--- a/crates/router/src/caller/stream.rs
+++ b/crates/router/src/caller/stream.rs
@@ -15,7 +15,7 @@
 use http::{Body, Piece, Pieces, Reply, Response, StatusCode};
 use ids::WeightsVersion;
 use lifecycle::request::RequestEvent;
-use lifecycle::stream::{ConnectionEnd, Head, Piece as Verdict, StreamAssembler};
+use lifecycle::stream::{ConnectionEnd, HeadVerdict, Piece as Verdict, StreamAssembler};
 use std::fmt::Write;
 use std::io;
 use std::time::Duration;
@@ -37,7 +37,7 @@
 pub async fn answer(mut attempts: Attempts, opened: Opened, seen: Seen, limit: Taken) -> Result<Response, Refused> {
     let mut assembler = StreamAssembler::new(attempts.call.id.clone());
     let head = on_head(&mut assembler, &opened.reply);
-    debug_assert_eq!(head, Head::Accept, "the attempt has judged this head already");
+    debug_assert_eq!(head, HeadVerdict::Accept, "the attempt has judged this head already");
     // From here on only the weights that began the stream can go on with it.
     attempts.weights = opened
         .reply
@@ -68,7 +68,7 @@
     Ok(response)
 }
 
-fn on_head(assembler: &mut StreamAssembler, reply: &Reply) -> Head {
+fn on_head(assembler: &mut StreamAssembler, reply: &Reply) -> HeadVerdict {
     assembler.on_head(reply.header(headers::REQUEST_ID), reply.header(headers::WEIGHTS))
 }
 
@@ -208,7 +208,7 @@
                 self.attempts.tell(&flight, Sighting::Broke);
                 continue;
             };
-            if !reply.status().is_success() || on_head(&mut self.assembler, &reply) != Head::Accept {
+            if !reply.status().is_success() || on_head(&mut self.assembler, &reply) != HeadVerdict::Accept {
                 self.attempts.life.on(RequestEvent::SendFailed);
                 reply.close();
                 continue;
