--- a/crates/lifecycle/src/stream.rs
+++ b/crates/lifecycle/src/stream.rs
@@ -19,7 +19,7 @@
 
 /// Verdict on a piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Piece {
+pub enum PieceVerdict {
     /// The next one: pass it on.
     Deliver,
     /// Delivered before: drop it.
@@ -86,18 +86,18 @@
     }
 
     /// A piece with its number.
-    pub fn on_piece(&mut self, number: u64) -> Piece {
+    pub fn on_piece(&mut self, number: u64) -> PieceVerdict {
         if !self.open || self.whole {
-            return Piece::Unexpected;
+            return PieceVerdict::Unexpected;
         }
         if number < self.next {
-            return Piece::Duplicate;
+            return PieceVerdict::Duplicate;
         }
         if number > self.next {
-            return Piece::Gap;
+            return PieceVerdict::Gap;
         }
         self.next += 1;
-        Piece::Deliver
+        PieceVerdict::Deliver
     }
 
     /// The end mark `[DONE]`; true if the stream is whole now and had not been before.
--- a/crates/lifecycle/tests/stream.rs
+++ b/crates/lifecycle/tests/stream.rs
@@ -1,7 +1,7 @@
 //! Streams over broken connections against the text that the engine would send in one go.
 
 use ids::RequestId;
-use lifecycle::stream::{ConnectionEnd, HeadVerdict, Piece, StreamAssembler, Verdict, WholeAnswer};
+use lifecycle::stream::{ConnectionEnd, HeadVerdict, PieceVerdict, StreamAssembler, Verdict, WholeAnswer};
 use quickcheck::{Gen, QuickCheck};
 
 /// Each run tries the same cases, so that its verdict is the same.
@@ -29,13 +29,13 @@
     for number in first..end {
         let verdict = stream.on_piece(number);
         assert!(
-            verdict != Piece::Deliver || head == HeadVerdict::Accept,
+            verdict != PieceVerdict::Deliver || head == HeadVerdict::Accept,
             "delivered although the head was refused"
         );
         match verdict {
-            Piece::Deliver => seen.push((number, weights)),
-            Piece::Gap | Piece::Unexpected => return,
-            Piece::Duplicate => {}
+            PieceVerdict::Deliver => seen.push((number, weights)),
+            PieceVerdict::Gap | PieceVerdict::Unexpected => return,
+            PieceVerdict::Duplicate => {}
         }
     }
     // The end mark bears no number: an engine that skips the last pieces and sends only the mark is not noticed.
--- a/crates/router/src/caller/stream.rs
+++ b/crates/router/src/caller/stream.rs
@@ -15,7 +15,7 @@
 use http::{Body, Piece, Pieces, Reply, Response, StatusCode};
 use ids::WeightsVersion;
 use lifecycle::request::RequestEvent;
-use lifecycle::stream::{ConnectionEnd, HeadVerdict, Piece as Verdict, StreamAssembler};
+use lifecycle::stream::{ConnectionEnd, HeadVerdict, PieceVerdict as Verdict, StreamAssembler};
 use std::fmt::Write;
 use std::io;
 use std::time::Duration;
