--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -459,7 +459,7 @@
 
     pub(super) fn broke(&mut self, flight: &Flight<'_>) -> Attempted {
         flight.outcome(Outcome::Broken);
-        self.events.broke();
+        self.events.discard_partial();
         self.life.on(RequestEvent::AnswerFailed);
         Attempted::Failed(Failure::Broken)
     }
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -84,13 +84,13 @@
 
     fn silent(self) -> Attempted {
         self.flight.outcome(Outcome::Silent);
-        self.attempts.events.broke();
+        self.attempts.events.discard_partial();
         self.attempts.life.on(RequestEvent::AnswerFailed);
         Attempted::Failed(Failure::Silent)
     }
 
     fn taken_back(self) -> Attempted {
-        self.attempts.events.broke();
+        self.attempts.events.discard_partial();
         self.attempts.life.on(RequestEvent::AnswerFailed);
         self.attempts.taken_back(self.flight)
     }
--- a/crates/lifecycle/src/events.rs
+++ b/crates/lifecycle/src/events.rs
@@ -50,7 +50,7 @@
     }
 
     /// The connection broke: half an event is of no use.
-    pub fn broke(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.rest.clear();
     }
 
--- a/crates/lifecycle/tests/events.rs
+++ b/crates/lifecycle/tests/events.rs
@@ -14,7 +14,7 @@
     let mut splitter = EventSplitter::default();
     let mut passed = Vec::new();
     passed.extend(splitter.push(b"id: 1\ndata: t1\n\nid: 2\nda").bytes);
-    splitter.broke();
+    splitter.discard_partial();
     assert_eq!(splitter.last(), Some(1));
     // The next run begins with what the caller has already.
     for number in 1..=3 {
