--- a/crates/lifecycle/examples/claim_writes.rs
+++ b/crates/lifecycle/examples/claim_writes.rs
@@ -9,7 +9,7 @@
 //! Run: `cargo run --release -p lifecycle --example claim_writes`
 
 use ids::Digest;
-use lifecycle::claims::{Body, ClaimState, Kept, Nonce, REMEMBERED, Record};
+use lifecycle::claims::{Body, ClaimState, Nonce, REMEMBERED, Record, StoredAnswer};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -212,7 +212,7 @@
 
 fn record_bytes() -> f64 {
     let body = Body::keep(&[b'x'; 120]);
-    let kept = Kept {
+    let kept = StoredAnswer {
         status: 200,
         content: Some("application/json".into()),
         body,
--- a/crates/lifecycle/src/claims/acquire.rs
+++ b/crates/lifecycle/src/claims/acquire.rs
@@ -1,7 +1,7 @@
 //! Winning a claim.
 
 use super::held::Held;
-use super::record::{ClaimState, Kept, Nonce, Record, Seen};
+use super::record::{ClaimState, Nonce, Record, Seen, StoredAnswer};
 use super::settle::{Settle, SettleStep};
 use ids::{Digest, Version};
 use std::time::Duration;
@@ -89,7 +89,7 @@
     /// The claim is won; ask [`Held::may_send`] right before the send.
     Won(Held),
     /// Answer with this kept result; if its body was too large, say that the call ran and its result was not kept.
-    Answer(Kept),
+    Answer(StoredAnswer),
     /// Say that the call is still running, unknown for now.
     InProgress,
     /// Say that the outcome is unknown; nobody will run it again.
--- a/crates/lifecycle/src/claims/record.rs
+++ b/crates/lifecycle/src/claims/record.rs
@@ -39,14 +39,14 @@
     /// It may be running.
     Claimed,
     /// It ran, and this was the endpoint's answer.
-    Done(Kept),
+    Done(StoredAnswer),
     /// It may have run, and nobody will know.
     Unknown,
 }
 
 /// An endpoint's whole answer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type, if the endpoint named one.
--- a/crates/lifecycle/src/claims/settle.rs
+++ b/crates/lifecycle/src/claims/settle.rs
@@ -2,7 +2,7 @@
 
 use super::acquire::ClaimEvent;
 use super::held::Held;
-use super::record::{ClaimState, Kept, Record, Seen};
+use super::record::{ClaimState, Record, Seen, StoredAnswer};
 use ids::Version;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The endpoint's whole answer.
-    Done(Kept),
+    Done(StoredAnswer),
     /// It may have run.
     Unknown,
     /// It was never sent: the key becomes free again.
--- a/crates/lifecycle/tests/claims.rs
+++ b/crates/lifecycle/tests/claims.rs
@@ -41,7 +41,7 @@
     version: u64,
     late: Vec<(Option<String>, Version)>,
     executed: Vec<Digest>,
-    result: Option<Kept>,
+    result: Option<StoredAnswer>,
     faults: u64,
     said: Vec<&'static str>,
 }
@@ -114,7 +114,7 @@
             assert!(self.now <= router.begun + MARGIN, "a paused holder sent");
             assert_eq!(held.may_send(self.now), MaySend::Never, "one claim allowed two sends");
             router.sends += 1;
-            let kept = Kept {
+            let kept = StoredAnswer {
                 status: 200,
                 content: None,
                 body: Body::keep(format!("{:?}", self.now).as_bytes()),
@@ -379,7 +379,7 @@
 #[test]
 fn what_a_router_makes_of_an_entry() {
     let done = |body: &[u8]| {
-        ClaimState::Done(Kept {
+        ClaimState::Done(StoredAnswer {
             status: 200,
             content: None,
             body: Body::keep(body),
@@ -398,15 +398,15 @@
         Case(entry(2, b"other", 1, done(b"whole")), "KeyReused"),
         Case(
             entry(2, b"mine", 1, done(b"whole")),
-            "Answer(Kept { status: 200, content: None, body: Text(\"whole\") }",
+            "Answer(StoredAnswer { status: 200, content: None, body: Text(\"whole\") }",
         ),
         Case(
             entry(2, b"mine", 1, done(&[0xff, 0])),
-            "Answer(Kept { status: 200, content: None, body: Bytes([255, 0]) })",
+            "Answer(StoredAnswer { status: 200, content: None, body: Bytes([255, 0]) })",
         ),
         Case(
             entry(2, b"mine", 1, done(&large)),
-            "Answer(Kept { status: 200, content: None, body: TooLarge(65537) })",
+            "Answer(StoredAnswer { status: 200, content: None, body: TooLarge(65537) })",
         ),
     ];
     cases.iter().for_each(check);
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -6,8 +6,8 @@
 use async_std::task;
 use ids::{IdempotencyKey, Version, WorkspaceId};
 use lifecycle::claims::{
-    Attempt, Body, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep, Held, Kept, LeaseStep, Nonce, Outcome,
-    Seen, Settle, SettleStep, TIME_TO_LIVE, call_digest, claim_key,
+    Attempt, Body, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep, Held, LeaseStep, Nonce, Outcome, Seen,
+    Settle, SettleStep, StoredAnswer, TIME_TO_LIVE, call_digest, claim_key,
 };
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -32,7 +32,7 @@
     /// The call is this router's.
     Won(Held),
     /// It has run; this was its answer.
-    Answer(Kept),
+    Answer(StoredAnswer),
     /// It is not run now.
     Refused(Refused),
 }
@@ -244,9 +244,9 @@
 }
 
 /// The result as it is kept: a large body is not.
-fn bounded(kept: Kept) -> Kept {
+fn bounded(kept: StoredAnswer) -> StoredAnswer {
     let body = kept.body.whole().map_or(Body::TooLarge(0), Body::keep);
-    Kept { body, ..kept }
+    StoredAnswer { body, ..kept }
 }
 
 fn digest(call: &Call) -> ids::Digest {
--- a/crates/router/src/caller/service.rs
+++ b/crates/router/src/caller/service.rs
@@ -11,7 +11,7 @@
 use admission::Tokens;
 use http::{Reply, Response, SendError};
 use ids::{IdempotencyKey, ServiceId};
-use lifecycle::claims::{Attempt, Guard, Held, Kept, MaySend, Outcome, guard};
+use lifecycle::claims::{Attempt, Guard, Held, MaySend, Outcome, StoredAnswer, guard};
 use lifecycle::request::{RequestEvent, RequestState};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -78,7 +78,7 @@
     refused
 }
 
-async fn repeatable(mut attempts: Attempts) -> Result<Kept, Refused> {
+async fn repeatable(mut attempts: Attempts) -> Result<StoredAnswer, Refused> {
     loop {
         let opened = attempts.open(send_pooled).await?;
         let kept = read(&attempts, opened.reply).await;
@@ -94,12 +94,12 @@
 }
 
 /// Sends once, without a claim: the caller gave no key, so its own retry would be another call.
-async fn single(attempts: Attempts) -> Result<Kept, Refused> {
+async fn single(attempts: Attempts) -> Result<StoredAnswer, Refused> {
     let (result, _) = send_once(attempts, || true, || ()).await;
     result
 }
 
-async fn claimed(mut attempts: Attempts, key: IdempotencyKey, attempt: Attempt) -> Result<Kept, Refused> {
+async fn claimed(mut attempts: Attempts, key: IdempotencyKey, attempt: Attempt) -> Result<StoredAnswer, Refused> {
     let shared = attempts.shared.clone();
     let held = match claim::claim(&shared, &attempts.call, &key, attempt).await {
         Claimed::Won(held) => held,
@@ -132,7 +132,7 @@
 }
 
 /// The kept answer of an earlier attempt.
-fn replay(kept: Kept, key: IdempotencyKey) -> Result<Kept, Refused> {
+fn replay(kept: StoredAnswer, key: IdempotencyKey) -> Result<StoredAnswer, Refused> {
     match kept.body {
         lifecycle::claims::Body::TooLarge(size) => Err(Refused::with(Cause::NotKept(key, size), Ran::Unknown)),
         _ => Ok(kept),
@@ -144,7 +144,7 @@
     mut attempts: Attempts,
     may_send: impl Fn() -> bool + Clone + Send + Sync + 'static,
     refused: impl Fn() + Clone + Send + Sync + 'static,
-) -> (Result<Kept, Refused>, RequestState) {
+) -> (Result<StoredAnswer, Refused>, RequestState) {
     let opened = attempts
         .open(|shared, request, body, to, within| {
             let (may_send, refused) = (may_send.clone(), refused.clone());
@@ -185,13 +185,13 @@
 }
 
 /// The whole answer, none if it is not whole.
-async fn read(attempts: &Attempts, reply: Reply) -> Option<Kept> {
+async fn read(attempts: &Attempts, reply: Reply) -> Option<StoredAnswer> {
     let status = u16::from(reply.status());
     let content = reply.header("content-type").map(str::to_owned);
     let left = attempts.call.left(&attempts.shared)?;
     let limit = attempts.shared.settings.limits.answer_bytes;
     let body = http::timeout(left, reply.whole(limit)).await.ok()?.ok()?;
-    Some(Kept {
+    Some(StoredAnswer {
         status,
         content,
         body: whole_body(body),
