--- a/crates/control/src/orders/choose.rs
+++ b/crates/control/src/orders/choose.rs
@@ -1,30 +1,30 @@
-//! Which runner is to load what next.
+//! Chooses the next runner to load weights.
 
 use derive_more::Display;
 use ids::{EndpointId, Incarnation, ModelId, WeightsVersion};
 use std::collections::BTreeMap;
 
-/// What a runner is to serve, by the configuration.
+/// What a runner should serve according to the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
     /// The runner.
     pub endpoint: EndpointId,
     /// Its model.
     pub model: ModelId,
-    /// The weights wanted.
+    /// The weights it should serve.
     pub weights: WeightsVersion,
 }
 
-/// A runner as it last reported itself.
+/// A runner's state as last reported.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Runner {
-    /// Who.
+    /// The runner.
     pub endpoint: EndpointId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// The model it serves.
     pub model: ModelId,
-    /// The weights it really serves; absent while it loads, and after a crash.
+    /// The weights it currently serves. Absent while it loads and after a crash.
     pub weights: Option<WeightsVersion>,
     /// Whether it is live and not leaving.
     pub available: bool,
@@ -36,10 +36,10 @@
     }
 }
 
-/// Why a runner is not made to load what is wanted.
+/// Why a runner is not ordered to load its assignment.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Blocked {
-    /// It is the last in the failure domain that serves the model, and would serve nothing while it loads.
+    /// It is the last runner that serves the model in the failure domain, and would not serve it while loading.
     #[display("{_0} is the last runner that serves {_1} in this failure domain")]
     LastRunner(EndpointId, ModelId),
 }
@@ -49,20 +49,23 @@
     pub(super) blocked: Vec<Blocked>,
 }
 
-/// Runners that serve nothing come first: loading takes nothing from anyone.
-pub(super) fn choose(wanted: &[Assignment], runners: &[Runner], busy: &[&EndpointId]) -> Choice {
+/// Prefers runners that serve nothing, because loading them removes no capacity.
+pub(super) fn choose(assignments: &[Assignment], runners: &[Runner], busy: &[&EndpointId]) -> Choice {
     let mut blocked = Vec::new();
     let (mut empty, mut serving) = (None, None);
     let by_id: BTreeMap<&EndpointId, &Runner> = runners.iter().map(|runner| (&runner.endpoint, runner)).collect();
-    for wanted in wanted.iter().filter(|wanted| !busy.contains(&&wanted.endpoint)) {
-        let Some(runner) = by_id.get(&wanted.endpoint).copied() else {
+    for assignment in assignments
+        .iter()
+        .filter(|assignment| !busy.contains(&&assignment.endpoint))
+    {
+        let Some(runner) = by_id.get(&assignment.endpoint).copied() else {
             continue;
         };
-        let right = runner.model == wanted.model && runner.weights.as_ref() == Some(&wanted.weights);
-        if right || !runner.available {
+        let up_to_date = runner.model == assignment.model && runner.weights.as_ref() == Some(&assignment.weights);
+        if up_to_date || !runner.available {
             continue;
         }
-        let load = Some((wanted.clone(), runner.incarnation));
+        let load = Some((assignment.clone(), runner.incarnation));
         if runner.weights.is_none() {
             empty = empty.or(load);
         } else if is_last(runner, runners, busy) {
@@ -77,7 +80,7 @@
     }
 }
 
-/// Whether no other runner serves the model; one that was just ordered to load no longer counts, whatever its last
+/// Whether no other runner serves the model. A runner that was just ordered to load does not count, whatever its last
 /// report says.
 fn is_last(runner: &Runner, runners: &[Runner], busy: &[&EndpointId]) -> bool {
     let others = runners.iter().filter(|other| other.endpoint != runner.endpoint);
--- a/crates/control/src/orders/loads.rs
+++ b/crates/control/src/orders/loads.rs
@@ -1,8 +1,8 @@
-//! Loads under way: which slot each uses, and when it has ended.
+//! Loads in progress: which slot each uses, and when it ends.
 
 use super::choose::choose;
 use super::slots::SlotStep;
-use super::{Assignment, Blocked, LONGEST_ORDER, ORDER_EXPIRES, OrderHolder, REPORT_LAG, Step};
+use super::{Assignment, Blocked, MAX_ORDER_DURATION, MAX_REPORT_LAG, ORDER_EXPIRY, OrderHolder, Step};
 use ids::{EndpointId, Fence, Incarnation};
 use std::time::Duration;
 use wire::engine::{Action, Order};
@@ -12,56 +12,57 @@
 pub(super) struct Load {
     pub(super) slot: usize,
     pub(super) incarnation: Incarnation,
-    /// Latest time at which it has certainly ended, if no answer came.
+    /// Time by which it has ended even if no answer arrives.
     pub(super) until: Duration,
     pub(super) ended: bool,
 }
 
 impl OrderHolder {
-    /// A load has ended when its answer came, when the runner began a new life, or when it can't run any more.
+    /// Removes loads that have ended: those answered, those whose runner restarted, and those past their maximum
+    /// duration.
     pub(super) fn finish_loads(&mut self, now: Duration) {
         for runner in &self.runners {
             if let Some(load) = self.loads.get_mut(&runner.endpoint) {
                 load.ended |= load.incarnation != runner.incarnation;
             }
         }
-        let (slots, settling) = (&mut self.slots, &mut self.settling);
+        let (slots, awaiting_report) = (&mut self.slots, &mut self.awaiting_report);
         self.loads.retain(|endpoint, load| {
-            let over = load.ended || now >= load.until;
-            if over {
-                slots.give_back(load.slot);
-                settling.insert(endpoint.clone(), now + REPORT_LAG);
+            let ended = load.ended || now >= load.until;
+            if ended {
+                slots.release(load.slot);
+                awaiting_report.insert(endpoint.clone(), now + MAX_REPORT_LAG);
             }
-            !over
+            !ended
         });
-        self.settling.retain(|_, until| now < *until);
+        self.awaiting_report.retain(|_, until| now < *until);
     }
 
-    pub(super) fn give_orders(&mut self, now: Duration, steps: &mut Vec<Step>) {
-        let busy: Vec<&EndpointId> = self.loads.keys().chain(self.settling.keys()).collect();
-        let choice = choose(&self.wanted, &self.runners, &busy);
-        self.report(choice.blocked, steps);
-        let Some((wanted, incarnation)) = choice.load else {
-            self.return_slots();
+    pub(super) fn issue_orders(&mut self, now: Duration, steps: &mut Vec<Step>) {
+        let busy: Vec<&EndpointId> = self.loads.keys().chain(self.awaiting_report.keys()).collect();
+        let choice = choose(&self.assignments, &self.runners, &busy);
+        self.report_blocked(choice.blocked, steps);
+        let Some((assignment, incarnation)) = choice.load else {
+            self.release_unused_slots();
             return;
         };
         let Some(fence) = self
             .lease
             .as_ref()
-            .filter(|lease| lease.lasts(now))
+            .filter(|lease| lease.permits_orders(now))
             .map(|lease| lease.id)
         else {
             return;
         };
         let used: Vec<usize> = self.loads.values().map(|load| load.slot).collect();
-        match self.slots.want(&used, now) {
+        match self.slots.request(&used, now) {
             SlotStep::Wait => {}
             SlotStep::Read => steps.push(Step::ReadSlots(fence)),
             SlotStep::Take(slot) => steps.push(Step::TakeSlot { slot, lease: fence }),
-            SlotStep::Have(slot) => {
-                let until = now + LONGEST_ORDER;
+            SlotStep::Use(slot) => {
+                let until = now + MAX_ORDER_DURATION;
                 self.loads.insert(
-                    wanted.endpoint.clone(),
+                    assignment.endpoint.clone(),
                     Load {
                         slot,
                         incarnation,
@@ -69,20 +70,20 @@
                         ended: false,
                     },
                 );
-                steps.push(send(wanted, incarnation, fence));
+                steps.push(load_order(assignment, incarnation, fence));
             }
         }
     }
 
-    /// Slots that were taken and aren't needed after all.
-    fn return_slots(&mut self) {
+    /// Releases slots that were taken but are not needed.
+    fn release_unused_slots(&mut self) {
         let used: Vec<usize> = self.loads.values().map(|load| load.slot).collect();
         for slot in self.slots.unused(&used) {
-            self.slots.give_back(slot);
+            self.slots.release(slot);
         }
     }
 
-    fn report(&mut self, blocked: Vec<Blocked>, steps: &mut Vec<Step>) {
+    fn report_blocked(&mut self, blocked: Vec<Blocked>, steps: &mut Vec<Step>) {
         if blocked == self.blocked {
             return;
         }
@@ -92,15 +93,15 @@
     }
 }
 
-fn send(wanted: Assignment, incarnation: Incarnation, fence: Fence) -> Step {
+fn load_order(assignment: Assignment, incarnation: Incarnation, fence: Fence) -> Step {
     let action = Action::Load {
-        model: wanted.model,
-        weights: wanted.weights,
+        model: assignment.model,
+        weights: assignment.weights,
         adapter: None,
     };
-    let expires_ms = u64::try_from(ORDER_EXPIRES.as_millis()).unwrap_or(u64::MAX);
+    let expires_ms = u64::try_from(ORDER_EXPIRY.as_millis()).unwrap_or(u64::MAX);
     Step::Send {
-        endpoint: wanted.endpoint,
+        endpoint: assignment.endpoint,
         order: Order {
             fence,
             expires_ms,
--- a/crates/control/src/orders/messages.rs
+++ b/crates/control/src/orders/messages.rs
@@ -1,93 +1,93 @@
-//! What the holder hears, and what it wants done.
+//! Input and output of [`OrderHolder`](super::OrderHolder).
 
 use super::{Assignment, Blocked, LOAD_SLOTS, Runner, SlotState};
 use ids::{EndpointId, Fence};
 use std::time::Duration;
 use wire::engine::Order;
 
-/// What the holder hears.
+/// Input of [`OrderHolder`](super::OrderHolder).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// Time has passed.
     Tick,
     /// The platform granted or renewed a lease.
     Granted {
-        /// The lease's id.
+        /// The lease id.
         id: Fence,
         /// Its time to live.
         ttl: Duration,
-        /// When it was asked for: the platform's clock began no earlier.
+        /// When it was requested. The platform's time to live starts no earlier.
         requested: Duration,
     },
-    /// The platform doesn't have the lease any more.
+    /// The platform no longer has the lease.
     Lapsed(Fence),
     /// The holder key is absent.
     HolderAbsent,
-    /// The holder key bears this lease now.
+    /// The holder key now contains this lease.
     Claimed(Fence),
-    /// The holder key bears another lease.
+    /// The holder key contains another lease.
     HeldByOther,
-    /// A call to the platform failed or its answer was lost; each claim is read back before it is repeated.
+    /// A platform call failed or its answer was lost. A claim is read back before it is repeated.
     PlatformFailed,
     /// The load slots as read.
     Slots([SlotState; LOAD_SLOTS]),
-    /// A slot bears this holder's lease now.
+    /// The slot now contains this holder's lease.
     SlotTaken(usize),
-    /// Someone else was faster, or the answer was lost: read the slots again.
+    /// Another holder took the slot, or the answer was lost. The slots must be read again.
     SlotFailed(usize),
-    /// The slot is written as free.
+    /// The slot was written as free.
     SlotFreed(usize),
-    /// Whether this router is one of the few that try to hold the key.
+    /// Whether this router is one of the few that compete for the holder key.
     Candidate(bool),
-    /// This router is going.
+    /// This router is shutting down.
     Stop,
-    /// What the runners of the domain are to serve.
+    /// What the runners of the domain should serve.
     Assignments(Vec<Assignment>),
     /// The domain's runners as last reported.
     Runners(Vec<Runner>),
-    /// The engine carried out its order.
+    /// The engine executed its order.
     Done(EndpointId),
-    /// The engine refused its order; nothing was done.
+    /// The engine refused its order and did nothing.
     Refused(EndpointId),
-    /// No answer: the engine may or may not carry it out.
+    /// No answer. The engine may or may not execute the order.
     NoAnswer(EndpointId),
 }
 
-/// What is to be done.
+/// An action for the caller of [`OrderHolder`](super::OrderHolder).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Read the domain's holder key.
     ReadHolder,
-    /// Ask the platform for a lease.
+    /// Request a lease with this time to live from the platform.
     RequestLease(Duration),
-    /// Renew it.
+    /// Renew the lease.
     Renew(Fence),
-    /// Give it back.
+    /// Revoke the lease.
     Revoke(Fence),
-    /// Read the domain's holder key: if it bears this lease it is claimed; if it is absent, write it by
-    /// compare-and-swap with the lease attached; or else another holds it.
+    /// Read the domain's holder key. If it contains this lease, the claim has succeeded. If it is absent, write it by
+    /// compare-and-swap with the lease attached. Otherwise another router holds it.
     Claim(Fence),
-    /// Read the load slots; one that bears this lease is own.
+    /// Read the load slots. A slot that contains this lease is this holder's own.
     ReadSlots(Fence),
-    /// Write this slot by compare-and-swap with the lease attached, expecting it as read.
+    /// Write this slot by compare-and-swap with the lease attached, expecting the version that was read.
     TakeSlot {
-        /// Which.
+        /// Index of the slot.
         slot: usize,
         /// This holder's lease.
         lease: Fence,
     },
-    /// Write this slot as free, without a lease, if it bears the own one; repeated until it is freed.
+    /// Write this slot as free, without a lease, if it contains this holder's lease. Repeated until it is freed.
     FreeSlot(usize),
-    /// Send an order; cut the call after [`ORDER_CALL_TIMEOUT`](super::ORDER_CALL_TIMEOUT). Ask
-    /// [`OrderHolder::may_send`](super::OrderHolder::may_send) once more right before writing.
+    /// Send an order with the timeout [`ORDER_CALL_TIMEOUT`](super::ORDER_CALL_TIMEOUT). Call
+    /// [`OrderHolder::may_send`](super::OrderHolder::may_send) again right before writing.
     Send {
-        /// To whom.
+        /// The engine.
         endpoint: EndpointId,
-        /// What.
+        /// The order.
         order: Order,
     },
-    /// Cut all order calls: the lease is over.
+    /// Cancel all order calls, because the lease is no longer held.
     Abandon,
-    /// A runner stays as it is, for this reason; given when the reason changes.
+    /// A runner is not ordered to load, for this reason. Returned when the reason changes.
     Report(Blocked),
 }
--- a/crates/control/src/orders/mod.rs
+++ b/crates/control/src/orders/mod.rs
@@ -1,15 +1,17 @@
-//! Gives orders to the engines of one failure domain, one holder at a time.
+//! Sends orders to the engines of one failure domain, from one lease holder at a time.
 //!
-//! The holder is whoever wrote the domain's holder key with a lease of the platform; the lease's id only grows and is
-//! the fence of each order. Engines that check it refuse orders of an earlier holder. For engines that don't:
+//! The holder is the router that wrote the domain's holder key under a lease of the platform. Lease ids only increase,
+//! and the id is the fencing token of each order. Engines that check it refuse orders from an earlier holder. Engines
+//! that do not check it are protected as follows:
 //!
-//! * the holder counts its lease from the moment it asked for it, and checks it by the monotonic clock, with
-//!   [`LEASE_MARGIN`], before each order; a holder that was paused notices at its next event that its time is over;
-//! * each order states the wanted end and expires, so that one that arrives twice or late does no harm;
-//! * a successor waits [`LONGEST_ORDER`] before its first order, until the last one of the old holder has ended.
+//! * The holder measures its lease from the time it requested it. Before each order it checks the lease against the
+//!   monotonic clock, with [`LEASE_MARGIN`]. A holder that was paused detects the expiry at its next event.
+//! * Each order states the target state and expires, so that a repeated or late order has no effect.
+//! * A new holder waits for [`MAX_ORDER_DURATION`] before its first order, until the last one of the old holder has
+//!   ended.
 //!
-//! Loading is slow when more than two runners load at once, so that each load takes one of [`LOAD_SLOTS`] keys shared
-//! by all domains. A model's last serving runner in the domain is never made to load.
+//! Loading is slow if more than two runners load at once. Each load therefore needs one of [`LOAD_SLOTS`] slot keys
+//! shared by all domains. The last runner that serves a model in the domain is never ordered to load.
 
 mod choose;
 mod lease;
@@ -29,146 +31,146 @@
 
 /// Time to live of the lease.
 pub const LEASE_TTL: Duration = Duration::from_secs(10);
-/// The lease is renewed when this much of it has passed; two renewals may fail before it ends.
+/// The lease is renewed after this time. Two renewals may fail before it expires.
 pub const RENEW_AFTER: Duration = Duration::from_secs(3);
-/// No order is given in the last part of a lease: covers the time from the check to the socket, and clocks that run
-/// at different speeds.
+/// No order is sent in this last part of a lease. Covers the time between the check and the write to the socket, and
+/// clock drift.
 pub const LEASE_MARGIN: Duration = Duration::from_secs(2);
-/// An engine must not begin an order later than this after its receipt.
-pub const ORDER_EXPIRES: Duration = Duration::from_secs(1);
-/// The call that carries an order is cut after this.
+/// An engine must not start an order later than this after receiving it.
+pub const ORDER_EXPIRY: Duration = Duration::from_secs(1);
+/// Timeout of the call that carries an order.
 pub const ORDER_CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest time from the last check of an old holder's lease to the end of its order: delivery, expiry and the load.
-pub const LONGEST_ORDER: Duration = Duration::from_secs(6);
-/// Runners that may load weights at once, over all failure domains.
+/// Longest time from a holder's last lease check to the end of its order: delivery, expiry and the load itself.
+pub const MAX_ORDER_DURATION: Duration = Duration::from_secs(6);
+/// Number of runners that may load weights at once, over all failure domains.
 pub const LOAD_SLOTS: usize = 2;
-/// How far a runner's report may lag behind its state.
-pub const REPORT_LAG: Duration = Duration::from_secs(3);
-/// Wait before a failed call to the platform is repeated.
-pub const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Wait before a candidate looks again whether the holder key has become free.
-pub const CLAIM_AGAIN: Duration = Duration::from_secs(3);
+/// Maximum lag of a runner's report behind its state.
+pub const MAX_REPORT_LAG: Duration = Duration::from_secs(3);
+/// Delay before a failed platform call is retried.
+pub const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Delay before a candidate checks again whether the holder key is free.
+pub const CLAIM_RETRY_DELAY: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// Without the key; asks again at this time.
+    /// Not the holder; the key is read again at this time.
     Idle { next: Duration },
     /// The holder key is being read until this time.
-    Looking { until: Duration },
-    /// A lease is asked for or a claim is under way until this time.
-    Asking { until: Duration },
-    /// The key is held; the old holder's last order may still run until this time.
+    ReadingHolder { until: Duration },
+    /// A lease request or a claim is in flight until this time.
+    Claiming { until: Duration },
+    /// Holds the key. The last order of the old holder may still run until this time.
     Waiting { until: Duration },
-    /// Orders may be given.
+    /// Holds the key and may send orders.
     Holding,
 }
 
-/// Takes part in the choice of a failure domain's holder, and gives orders while it is the holder.
+/// Competes for the order lease of a failure domain, and issues orders while holding it.
 #[derive(Debug, Clone)]
 pub struct OrderHolder {
     phase: Phase,
     lease: Option<Lease>,
     slots: Slots,
     loads: BTreeMap<EndpointId, Load>,
-    /// Runners whose load ended, until their reports can't be from before any more.
-    settling: BTreeMap<EndpointId, Duration>,
+    /// Runners whose load has ended but whose reports may still be older than that, with the end of this period.
+    awaiting_report: BTreeMap<EndpointId, Duration>,
     candidate: bool,
-    wanted: Vec<Assignment>,
+    assignments: Vec<Assignment>,
     runners: Vec<Runner>,
     blocked: Vec<Blocked>,
 }
 
 impl OrderHolder {
-    /// A router that holds nothing and is no candidate yet.
+    /// A router that holds no lease and is not a candidate yet.
     pub fn new() -> Self {
         Self {
             phase: Phase::Idle { next: Duration::ZERO },
             lease: None,
             slots: Slots::default(),
             loads: BTreeMap::new(),
-            settling: BTreeMap::new(),
+            awaiting_report: BTreeMap::new(),
             candidate: false,
-            wanted: Vec::new(),
+            assignments: Vec::new(),
             runners: Vec::new(),
             blocked: Vec::new(),
         }
     }
 
-    /// Takes an event.
+    /// Handles an event and returns what to do.
     pub fn on(&mut self, event: Event, now: Duration) -> Vec<Step> {
         let mut steps = Vec::new();
         self.check_lease(now, &mut steps);
         match event {
             Event::Tick => {}
             Event::Granted { id, ttl, requested } => self.granted(id, ttl, requested, &mut steps),
-            Event::Lapsed(id) if self.bears(id) => self.give_up(now + RETRY_AFTER, &mut steps),
+            Event::Lapsed(id) if self.has_lease(id) => self.step_down(now + RETRY_DELAY, &mut steps),
             Event::Lapsed(_) => {}
-            Event::Claimed(id) if self.bears(id) && !self.holds() => {
+            Event::Claimed(id) if self.has_lease(id) && !self.is_holder() => {
                 self.phase = Phase::Waiting {
-                    until: now + LONGEST_ORDER,
+                    until: now + MAX_ORDER_DURATION,
                 };
             }
             Event::Claimed(_) => {}
-            Event::HolderAbsent => self.absent(now, &mut steps),
-            Event::HeldByOther => self.give_way(now, &mut steps),
+            Event::HolderAbsent => self.holder_absent(now, &mut steps),
+            Event::HeldByOther => self.release(now, &mut steps),
             Event::PlatformFailed => self.platform_failed(now),
-            Event::Slots(seen) => self.slots.seen(seen, now),
-            Event::SlotTaken(slot) => self.slots.taken(slot),
-            Event::SlotFailed(_) => self.slots.forget(),
-            Event::SlotFreed(slot) => self.slots.freed(slot),
+            Event::Slots(states) => self.slots.observe(states, now),
+            Event::SlotTaken(slot) => self.slots.mark_own(slot),
+            Event::SlotFailed(_) => self.slots.invalidate(),
+            Event::SlotFreed(slot) => self.slots.mark_freed(slot),
             Event::Candidate(candidate) => self.candidate = candidate,
             Event::Stop => self.stop(now, &mut steps),
-            Event::Assignments(wanted) => self.wanted = wanted,
+            Event::Assignments(assignments) => self.assignments = assignments,
             Event::Runners(runners) => self.runners = runners,
-            Event::Done(endpoint) | Event::Refused(endpoint) => self.ended(&endpoint),
+            Event::Done(endpoint) | Event::Refused(endpoint) => self.load_ended(&endpoint),
             Event::NoAnswer(_) => {}
         }
-        self.proceed(now, &mut steps);
+        self.advance(now, &mut steps);
         steps
     }
 
-    /// Whether the order to `endpoint` may leave now. The check belongs right before the write, since a holder can be
-    /// paused anywhere; the time that the order may take is counted from here.
+    /// Whether the order to `endpoint` may be sent now. Must be called right before the write, because a holder can be
+    /// paused at any point. The maximum duration of the order is measured from this call.
     pub fn may_send(&mut self, endpoint: &EndpointId, now: Duration) -> bool {
-        let lasts = self.lease.as_ref().is_some_and(|lease| lease.lasts(now));
+        let permitted = self.lease.as_ref().is_some_and(|lease| lease.permits_orders(now));
         let Some(load) = self.loads.get_mut(endpoint) else {
             return false;
         };
-        if self.phase != Phase::Holding || !lasts || now >= load.until {
+        if self.phase != Phase::Holding || !permitted || now >= load.until {
             return false;
         }
-        load.until = now + LONGEST_ORDER;
+        load.until = now + MAX_ORDER_DURATION;
         true
     }
 
-    /// The lease that is held, for the fleet's status.
+    /// The fencing token of the lease, if this router is the holder.
     pub fn fence(&self) -> Option<Fence> {
-        if self.holds() {
+        if self.is_holder() {
             self.lease.as_ref().map(|lease| lease.id)
         } else {
             None
         }
     }
 
-    fn bears(&self, id: Fence) -> bool {
+    fn has_lease(&self, id: Fence) -> bool {
         self.lease.as_ref().is_some_and(|lease| lease.id == id)
     }
 
-    fn holds(&self) -> bool {
+    fn is_holder(&self) -> bool {
         matches!(self.phase, Phase::Waiting { .. } | Phase::Holding)
     }
 
-    /// A lease that ended while this router was paused or the platform was out.
+    /// Gives up a lease that expired while this router was paused or the platform was unavailable.
     fn check_lease(&mut self, now: Duration, steps: &mut Vec<Step>) {
-        if self.lease.as_ref().is_some_and(|lease| lease.over(now)) {
-            self.give_up(now, steps);
+        if self.lease.as_ref().is_some_and(|lease| lease.is_expired(now)) {
+            self.step_down(now, steps);
         }
     }
 
-    fn absent(&mut self, now: Duration, steps: &mut Vec<Step>) {
-        if matches!(self.phase, Phase::Looking { .. }) {
-            self.phase = Phase::Asking {
-                until: now + RETRY_AFTER,
+    fn holder_absent(&mut self, now: Duration, steps: &mut Vec<Step>) {
+        if matches!(self.phase, Phase::ReadingHolder { .. }) {
+            self.phase = Phase::Claiming {
+                until: now + RETRY_DELAY,
             };
             steps.push(Step::RequestLease(LEASE_TTL));
         }
@@ -176,15 +178,15 @@
 
     fn stop(&mut self, now: Duration, steps: &mut Vec<Step>) {
         self.candidate = false;
-        self.give_way(now, steps);
+        self.release(now, steps);
     }
 
     fn granted(&mut self, id: Fence, ttl: Duration, requested: Duration, steps: &mut Vec<Step>) {
         if let Some(lease) = self.lease.as_mut().filter(|lease| lease.id == id) {
-            lease.renewed(ttl, requested);
+            lease.extend(ttl, requested);
             return;
         }
-        if self.lease.is_some() || !matches!(self.phase, Phase::Asking { .. }) {
+        if self.lease.is_some() || !matches!(self.phase, Phase::Claiming { .. }) {
             steps.push(Step::Revoke(id));
             return;
         }
@@ -192,69 +194,69 @@
         steps.push(Step::Claim(id));
     }
 
-    fn give_way(&mut self, now: Duration, steps: &mut Vec<Step>) {
+    fn release(&mut self, now: Duration, steps: &mut Vec<Step>) {
         let held = self.lease.as_ref().map(|lease| lease.id);
-        self.give_up(now + CLAIM_AGAIN, steps);
+        self.step_down(now + CLAIM_RETRY_DELAY, steps);
         steps.extend(held.map(Step::Revoke));
     }
 
-    fn give_up(&mut self, next: Duration, steps: &mut Vec<Step>) {
-        if self.holds() {
+    fn step_down(&mut self, next: Duration, steps: &mut Vec<Step>) {
+        if self.is_holder() {
             steps.push(Step::Abandon);
         }
         self.phase = Phase::Idle { next };
         self.lease = None;
         self.loads.clear();
-        self.settling.clear();
+        self.awaiting_report.clear();
         self.slots = Slots::default();
     }
 
     fn platform_failed(&mut self, now: Duration) {
-        self.slots.forget();
-        if matches!(self.phase, Phase::Asking { .. }) {
-            self.phase = Phase::Asking {
-                until: now + RETRY_AFTER,
+        self.slots.invalidate();
+        if matches!(self.phase, Phase::Claiming { .. }) {
+            self.phase = Phase::Claiming {
+                until: now + RETRY_DELAY,
             };
         }
     }
 
-    fn ended(&mut self, endpoint: &EndpointId) {
+    fn load_ended(&mut self, endpoint: &EndpointId) {
         if let Some(load) = self.loads.get_mut(endpoint) {
             load.ended = true;
         }
     }
 
-    fn proceed(&mut self, now: Duration, steps: &mut Vec<Step>) {
+    fn advance(&mut self, now: Duration, steps: &mut Vec<Step>) {
         match self.phase {
-            Phase::Idle { next } | Phase::Looking { until: next } => self.look(next, now, steps),
-            Phase::Asking { until } => self.ask_again(until, now, steps),
+            Phase::Idle { next } | Phase::ReadingHolder { until: next } => self.read_holder(next, now, steps),
+            Phase::Claiming { until } => self.retry_claim(until, now, steps),
             Phase::Waiting { until } if now < until => self.renew(now, steps),
             Phase::Waiting { .. } | Phase::Holding => {
                 self.phase = Phase::Holding;
                 self.renew(now, steps);
                 self.finish_loads(now);
-                steps.extend(self.slots.due_frees(now).into_iter().map(Step::FreeSlot));
-                self.give_orders(now, steps);
+                steps.extend(self.slots.slots_to_free(now).into_iter().map(Step::FreeSlot));
+                self.issue_orders(now, steps);
             }
         }
     }
 
-    fn look(&mut self, next: Duration, now: Duration, steps: &mut Vec<Step>) {
+    fn read_holder(&mut self, next: Duration, now: Duration, steps: &mut Vec<Step>) {
         if self.candidate && now >= next {
-            self.phase = Phase::Looking {
-                until: now + CLAIM_AGAIN,
+            self.phase = Phase::ReadingHolder {
+                until: now + CLAIM_RETRY_DELAY,
             };
             steps.push(Step::ReadHolder);
         }
     }
 
-    /// The claim or the request for a lease got no answer.
-    fn ask_again(&mut self, until: Duration, now: Duration, steps: &mut Vec<Step>) {
+    /// Retries a claim or lease request that got no answer.
+    fn retry_claim(&mut self, until: Duration, now: Duration, steps: &mut Vec<Step>) {
         if now < until {
             return;
         }
-        self.phase = Phase::Asking {
-            until: now + RETRY_AFTER,
+        self.phase = Phase::Claiming {
+            until: now + RETRY_DELAY,
         };
         steps.push(match &self.lease {
             Some(lease) => Step::Claim(lease.id),
@@ -263,7 +265,7 @@
     }
 
     fn renew(&mut self, now: Duration, steps: &mut Vec<Step>) {
-        if let Some(id) = self.lease.as_mut().and_then(|lease| lease.due(now)) {
+        if let Some(id) = self.lease.as_mut().and_then(|lease| lease.due_renewal(now)) {
             steps.push(Step::Renew(id));
         }
     }
--- a/crates/control/src/orders/slots.rs
+++ b/crates/control/src/orders/slots.rs
@@ -1,22 +1,22 @@
-//! Keys that bound how many runners load weights at once, over all failure domains.
+//! Slot keys that limit how many runners load weights at once, over all failure domains.
 //!
-//! A slot is freed by writing it as free. One whose key is simply gone was held under a lease that lapsed: the old
-//! holder's last load may still run, so that it is taken only after the longest order. Otherwise a lapsed holder's
-//! load and two new ones would run side by side, and all would be slow.
+//! A slot is freed by writing it as free. If its key is missing, the lease it was held under has lapsed, and the old
+//! holder's last load may still run. Such a slot is taken only after the maximum duration of an order. Otherwise that
+//! load could run at the same time as two new ones, and all three would be slow.
 
-use super::{LOAD_SLOTS, LONGEST_ORDER, RETRY_AFTER};
+use super::{LOAD_SLOTS, MAX_ORDER_DURATION, RETRY_DELAY};
 use std::time::Duration;
 
-/// A slot's key as read.
+/// State of a slot key as read from the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotState {
     /// Never used, or written as free.
     Free,
-    /// Someone else's.
+    /// Held by another router.
     Held,
-    /// Under this holder's lease.
+    /// Held under this router's lease.
     Own,
-    /// Gone with its holder's lease.
+    /// The key was removed when its holder's lease lapsed.
     Lapsed,
 }
 
@@ -28,12 +28,12 @@
     Lapsed {
         until: Duration,
     },
-    /// A compare-and-swap is under way.
+    /// A compare-and-swap is in flight.
     Taking {
         until: Duration,
     },
     Own,
-    /// To be written as free; the next attempt is due at this time.
+    /// To be written as free. The next attempt is due at this time.
     Freeing {
         next: Duration,
     },
@@ -44,34 +44,34 @@
     Wait,
     Read,
     Take(usize),
-    Have(usize),
+    Use(usize),
 }
 
-/// The slots as one holder knows them.
+/// The slots as known to one holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Slots {
     slots: [Slot; LOAD_SLOTS],
-    read: Duration,
+    next_read: Duration,
 }
 
 impl Default for Slots {
     fn default() -> Self {
         Self {
             slots: [Slot::Unknown; LOAD_SLOTS],
-            read: Duration::ZERO,
+            next_read: Duration::ZERO,
         }
     }
 }
 
 impl Slots {
-    pub(super) fn seen(&mut self, seen: [SlotState; LOAD_SLOTS], now: Duration) {
-        for (slot, seen) in self.slots.iter_mut().zip(seen) {
-            *slot = match (*slot, seen) {
+    pub(super) fn observe(&mut self, states: [SlotState; LOAD_SLOTS], now: Duration) {
+        for (slot, state) in self.slots.iter_mut().zip(states) {
+            *slot = match (*slot, state) {
                 (Slot::Own | Slot::Freeing { .. }, _) => *slot,
                 (_, SlotState::Own) => Slot::Own,
                 (Slot::Lapsed { until }, SlotState::Lapsed) => Slot::Lapsed { until },
                 (_, SlotState::Lapsed) => Slot::Lapsed {
-                    until: now + LONGEST_ORDER,
+                    until: now + MAX_ORDER_DURATION,
                 },
                 (_, SlotState::Free) => Slot::Free,
                 (_, SlotState::Held) => Slot::Busy,
@@ -79,35 +79,35 @@
         }
     }
 
-    pub(super) fn taken(&mut self, slot: usize) {
+    pub(super) fn mark_own(&mut self, slot: usize) {
         self.slots[slot] = Slot::Own;
     }
 
-    pub(super) fn freed(&mut self, slot: usize) {
+    pub(super) fn mark_freed(&mut self, slot: usize) {
         self.slots[slot] = Slot::Unknown;
     }
 
-    /// The slot is to be written as free. Until that is certain nobody else can use it.
-    pub(super) fn give_back(&mut self, slot: usize) {
+    /// Schedules the slot to be written as free. Until that is confirmed, no other holder can use it.
+    pub(super) fn release(&mut self, slot: usize) {
         self.slots[slot] = Slot::Freeing { next: Duration::ZERO };
     }
 
     /// Slots to write as free now.
-    pub(super) fn due_frees(&mut self, now: Duration) -> Vec<usize> {
+    pub(super) fn slots_to_free(&mut self, now: Duration) -> Vec<usize> {
         let mut due = Vec::new();
-        for (place, slot) in self.slots.iter_mut().enumerate() {
+        for (index, slot) in self.slots.iter_mut().enumerate() {
             if matches!(slot, Slot::Freeing { next } if now >= *next) {
                 *slot = Slot::Freeing {
-                    next: now + RETRY_AFTER,
+                    next: now + RETRY_DELAY,
                 };
-                due.push(place);
+                due.push(index);
             }
         }
         due
     }
 
-    /// What others hold must be read again.
-    pub(super) fn forget(&mut self) {
+    /// Discards the state of slots that are not this holder's, so that they are read again.
+    pub(super) fn invalidate(&mut self) {
         for slot in &mut self.slots {
             if matches!(slot, Slot::Free | Slot::Busy | Slot::Taking { .. }) {
                 *slot = Slot::Unknown;
@@ -115,16 +115,16 @@
         }
     }
 
-    /// Own slots that no load uses.
+    /// Own slots that are not used by a load.
     pub(super) fn unused(&self, used: &[usize]) -> Vec<usize> {
         (0..LOAD_SLOTS)
             .filter(|slot| self.slots[*slot] == Slot::Own && !used.contains(slot))
             .collect()
     }
 
-    pub(super) fn want(&mut self, used: &[usize], now: Duration) -> SlotStep {
+    pub(super) fn request(&mut self, used: &[usize], now: Duration) -> SlotStep {
         if let Some(slot) = self.unused(used).first() {
-            return SlotStep::Have(*slot);
+            return SlotStep::Use(*slot);
         }
         if self
             .slots
@@ -138,21 +138,21 @@
             Slot::Lapsed { until } => now >= *until,
             _ => false,
         };
-        if let Some(place) = self.slots.iter().position(ready) {
-            self.slots[place] = Slot::Taking {
-                until: now + RETRY_AFTER,
+        if let Some(index) = self.slots.iter().position(ready) {
+            self.slots[index] = Slot::Taking {
+                until: now + RETRY_DELAY,
             };
-            return SlotStep::Take(place);
+            return SlotStep::Take(index);
         }
         if self
             .slots
             .iter()
             .all(|slot| matches!(slot, Slot::Own | Slot::Freeing { .. }))
-            || now < self.read
+            || now < self.next_read
         {
             return SlotStep::Wait;
         }
-        self.read = now + RETRY_AFTER;
+        self.next_read = now + RETRY_DELAY;
         SlotStep::Read
     }
 }
--- a/crates/control/tests/holder.rs
+++ b/crates/control/tests/holder.rs
@@ -1,7 +1,7 @@
 //! When a holder may give orders, at the edges of its lease.
 
 use control::orders::{
-    Assignment, Event, LEASE_MARGIN, LEASE_TTL, LONGEST_ORDER, OrderHolder, Runner, SlotState, Step,
+    Assignment, Event, LEASE_MARGIN, LEASE_TTL, MAX_ORDER_DURATION, OrderHolder, Runner, SlotState, Step,
 };
 use ids::{EndpointId, Fence, Incarnation, ModelId, WeightsVersion};
 use std::time::Duration;
@@ -48,7 +48,7 @@
 fn ordering() -> (OrderHolder, Duration) {
     let mut holder = granted();
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
-    let now = LONGEST_ORDER;
+    let now = MAX_ORDER_DURATION;
     holder.on(grant(now), now);
     holder.on(Event::Slots([SlotState::Free; 2]), now);
     let steps = holder.on(Event::SlotTaken(0), now);
@@ -62,9 +62,9 @@
 fn a_successor_waits_for_the_longest_order() {
     let mut holder = granted();
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
-    let early = holder.on(Event::Tick, LONGEST_ORDER - TICK);
+    let early = holder.on(Event::Tick, MAX_ORDER_DURATION - TICK);
     assert!(!early.contains(&Step::ReadSlots(Fence(1))), "{early:?}");
-    let then = holder.on(Event::Tick, LONGEST_ORDER);
+    let then = holder.on(Event::Tick, MAX_ORDER_DURATION);
     assert!(then.contains(&Step::ReadSlots(Fence(1))), "{then:?}");
 }
 
@@ -80,12 +80,12 @@
     for (pause, expected) in cases {
         let (mut holder, now) = ordering();
         // The time of the order's decision passes with the pause, and is not what is tested here.
-        if pause < LONGEST_ORDER {
+        if pause < MAX_ORDER_DURATION {
             assert_eq!(holder.may_send(&engine(), now + pause), expected, "after {pause:?}");
             continue;
         }
         assert!(holder.may_send(&engine(), now));
-        holder.may_send(&engine(), now + LONGEST_ORDER - TICK);
+        holder.may_send(&engine(), now + MAX_ORDER_DURATION - TICK);
         assert_eq!(holder.may_send(&engine(), now + pause), expected, "after {pause:?}");
     }
 }
@@ -98,9 +98,9 @@
     let written = now + Duration::from_secs(3);
     assert!(holder.may_send(&engine(), written));
     holder.on(grant(written), written);
-    let before = holder.on(Event::Tick, written + LONGEST_ORDER - TICK);
+    let before = holder.on(Event::Tick, written + MAX_ORDER_DURATION - TICK);
     assert!(!before.contains(&Step::FreeSlot(0)), "{before:?}");
-    let then = holder.on(Event::Tick, written + LONGEST_ORDER);
+    let then = holder.on(Event::Tick, written + MAX_ORDER_DURATION);
     assert!(then.contains(&Step::FreeSlot(0)), "{then:?}");
 }
 
@@ -110,10 +110,10 @@
 fn a_lapsed_slot_is_taken_after_the_longest_order() {
     let mut holder = granted();
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
-    let mut now = LONGEST_ORDER;
+    let mut now = MAX_ORDER_DURATION;
     holder.on(grant(now), now);
     let lapsed = || Event::Slots([SlotState::Held, SlotState::Lapsed]);
-    let free_at = now + LONGEST_ORDER;
+    let free_at = now + MAX_ORDER_DURATION;
     while now < free_at {
         let steps = holder.on(lapsed(), now);
         assert!(
