--- a/crates/lifecycle/examples/claim_writes.rs
+++ b/crates/lifecycle/examples/claim_writes.rs
@@ -211,7 +211,7 @@
 }
 
 fn record_bytes() -> f64 {
-    let body = Body::keep(&[b'x'; 120]);
+    let body = Body::from_bytes(&[b'x'; 120]);
     let kept = StoredAnswer {
         status: 200,
         content: Some("application/json".into()),
--- a/crates/lifecycle/src/claims/record.rs
+++ b/crates/lifecycle/src/claims/record.rs
@@ -69,7 +69,7 @@
 
 impl Body {
     /// What is kept of `body`.
-    pub fn keep(body: &[u8]) -> Self {
+    pub fn from_bytes(body: &[u8]) -> Self {
         if body.len() > KEPT_BYTES {
             return Self::TooLarge(body.len() as u64);
         }
--- a/crates/lifecycle/tests/claims.rs
+++ b/crates/lifecycle/tests/claims.rs
@@ -117,7 +117,7 @@
             let kept = StoredAnswer {
                 status: 200,
                 content: None,
-                body: Body::keep(format!("{:?}", self.now).as_bytes()),
+                body: Body::from_bytes(format!("{:?}", self.now).as_bytes()),
             };
             let fault = random.random_range(0..4);
             self.faults += u64::from(fault < 2);
@@ -382,7 +382,7 @@
         ClaimState::Done(StoredAnswer {
             status: 200,
             content: None,
-            body: Body::keep(body),
+            body: Body::from_bytes(body),
         })
     };
     let large = vec![b'x'; KEPT_BYTES + 1];
