--- a/crates/lifecycle/src/claims/record.rs
+++ b/crates/lifecycle/src/claims/record.rs
@@ -80,7 +80,7 @@
     }
 
     /// The whole body, unless it was too large to keep.
-    pub fn whole(&self) -> Option<&[u8]> {
+    pub fn as_bytes(&self) -> Option<&[u8]> {
         match self {
             Self::Text(text) => Some(text.as_bytes()),
             Self::Bytes(bytes) => Some(bytes),
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -245,7 +245,7 @@
 
 /// The result as it is kept: a large body is not.
 fn bounded(kept: StoredAnswer) -> StoredAnswer {
-    let body = kept.body.whole().map_or(Body::TooLarge(0), Body::from_bytes);
+    let body = kept.body.as_bytes().map_or(Body::TooLarge(0), Body::from_bytes);
     StoredAnswer { body, ..kept }
 }
 
--- a/crates/router/src/caller/service.rs
+++ b/crates/router/src/caller/service.rs
@@ -46,7 +46,7 @@
         (Guard::SingleSend | Guard::Claim, _) => single(attempts).await,
     }?;
     limit.settle(0);
-    let body = answer.body.whole().map(<[u8]>::to_vec).unwrap_or_default();
+    let body = answer.body.as_bytes().map(<[u8]>::to_vec).unwrap_or_default();
     let status = http::StatusCode::try_from(answer.status).unwrap_or(http::StatusCode::BadGateway);
     Ok(respond(status, answer.content.as_deref(), body))
 }
