--- a/crates/lifecycle/src/claims/acquire.rs
+++ b/crates/lifecycle/src/claims/acquire.rs
@@ -1,6 +1,6 @@
 //! Winning a claim.
 
-use super::held::Held;
+use super::held::HeldClaim;
 use super::record::{ClaimState, Nonce, Record, Seen, StoredAnswer};
 use super::settle::{Settle, SettleStep};
 use ids::{Digest, Version};
@@ -86,8 +86,8 @@
     Read,
     /// Wait, then give [`ClaimEvent::Tick`].
     Wait(Duration),
-    /// The claim is won; ask [`Held::may_send`] right before the send.
-    Won(Held),
+    /// The claim is won; ask [`HeldClaim::may_send`] right before the send.
+    Won(HeldClaim),
     /// Answer with this kept result; if its body was too large, say that the call ran and its result was not kept.
     Answer(StoredAnswer),
     /// Say that the call is still running, unknown for now.
@@ -239,7 +239,7 @@
     }
 
     fn won(&mut self, version: Version) -> ClaimStep {
-        let held = Held {
+        let held = HeldClaim {
             record: self.record(),
             version,
             until: self.begun + self.limits.margin,
--- a/crates/lifecycle/src/claims/held.rs
+++ b/crates/lifecycle/src/claims/held.rs
@@ -15,14 +15,14 @@
 
 /// A claim that was won.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldClaim {
     pub(super) record: Record,
     pub(super) version: Version,
     pub(super) until: Duration,
     pub(super) used: bool,
 }
 
-impl Held {
+impl HeldClaim {
     /// Asked once, right before the first byte leaves. A router that was stopped between winning its claim and
     /// the send wakes up without noticing; only the clock tells.
     pub fn may_send(&mut self, now: Duration) -> MaySend {
--- a/crates/lifecycle/src/claims/mod.rs
+++ b/crates/lifecycle/src/claims/mod.rs
@@ -1,7 +1,7 @@
 //! At-most-once calls across routers: one claim per idempotency key, by the platform's compare-and-swap.
 //!
 //! What goes wrong without it: a caller whose answer was lost retries at another router, and the fan command or
-//! stock reservation runs twice. [`Claim`] wins the key before the send, [`Held`] says right before the first
+//! stock reservation runs twice. [`Claim`] wins the key before the send, [`HeldClaim`] says right before the first
 //! byte whether it may still leave, and [`Settle`] keeps the result with the claim, so that a retry at any
 //! router gets the same whole answer. A claim that was won is never run by anybody else: if its holder dies, its
 //! outcome is unknown.
@@ -18,7 +18,7 @@
 
 pub use acquire::{Attempt, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep};
 pub use guard::{Guard, guard};
-pub use held::{Held, MaySend};
+pub use held::{HeldClaim, MaySend};
 pub use lease::{ClaimLease, LeaseStep, REMEMBERED, TIME_TO_LIVE, USED_FOR};
 pub use record::{Body, ClaimState, KEPT_BYTES, Nonce, Record, Seen, StoredAnswer, call_digest, claim_key};
 pub use settle::{Outcome, Settle, SettleStep};
--- a/crates/lifecycle/src/claims/settle.rs
+++ b/crates/lifecycle/src/claims/settle.rs
@@ -1,7 +1,7 @@
 //! Writing down how a claimed call ended, so that a retry at any router is told the same.
 
 use super::acquire::ClaimEvent;
-use super::held::Held;
+use super::held::HeldClaim;
 use super::record::{ClaimState, Record, Seen, StoredAnswer};
 use ids::Version;
 use std::time::Duration;
@@ -60,7 +60,7 @@
     /// Begins to write `outcome` down, and goes on trying for as long as `patience`.
     ///
     /// A claim that may have been sent is never released: [`Outcome::NotSent`] becomes unknown then.
-    pub fn start(held: Held, outcome: Outcome, pause: Duration, until: Duration) -> (Self, SettleStep) {
+    pub fn start(held: HeldClaim, outcome: Outcome, pause: Duration, until: Duration) -> (Self, SettleStep) {
         let wanted = match outcome {
             Outcome::Done(kept) => Some(ClaimState::Done(kept)),
             Outcome::NotSent if !held.used() => None,
--- a/crates/lifecycle/tests/claims.rs
+++ b/crates/lifecycle/tests/claims.rs
@@ -103,7 +103,7 @@
     }
 
     /// The send of a claim's holder and what comes of it.
-    fn send(&mut self, random: &mut ChaCha8Rng, router: &mut Router, mut held: Held) -> Doing {
+    fn send(&mut self, random: &mut ChaCha8Rng, router: &mut Router, mut held: HeldClaim) -> Doing {
         if random.random_range(0..4) == 0 {
             self.faults += 1;
             self.now += Duration::from_secs(random.random_range(0..12));
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -6,7 +6,7 @@
 use async_std::task;
 use ids::{IdempotencyKey, Version, WorkspaceId};
 use lifecycle::claims::{
-    Attempt, Body, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep, Held, LeaseStep, Nonce, Outcome, Seen,
+    Attempt, Body, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep, HeldClaim, LeaseStep, Nonce, Outcome, Seen,
     Settle, SettleStep, StoredAnswer, TIME_TO_LIVE, call_digest, claim_key,
 };
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 /// What came of a claim.
 pub enum Claimed {
     /// The call is this router's.
-    Won(Held),
+    Won(HeldClaim),
     /// It has run; this was its answer.
     Answer(StoredAnswer),
     /// It is not run now.
@@ -110,7 +110,13 @@
 
 /// Writes down how a claimed call ended. Waits a while for it, then goes on in the background; a shutdown waits
 /// for what is left.
-pub async fn settle(shared: &Arc<Shared>, workspace: &WorkspaceId, key: &IdempotencyKey, held: Held, outcome: Outcome) {
+pub async fn settle(
+    shared: &Arc<Shared>,
+    workspace: &WorkspaceId,
+    key: &IdempotencyKey,
+    held: HeldClaim,
+    outcome: Outcome,
+) {
     let name = claim_key(workspace, key);
     let outcome = match outcome {
         Outcome::Done(kept) => Outcome::Done(bounded(kept)),
@@ -126,7 +132,7 @@
     let _ = http::timeout(SETTLE_WAIT, settling).await;
 }
 
-async fn run_settle(shared: &Arc<Shared>, name: &str, held: Held, outcome: Outcome) {
+async fn run_settle(shared: &Arc<Shared>, name: &str, held: HeldClaim, outcome: Outcome) {
     let until = shared.clock.now() + SETTLE_PATIENCE;
     let Some(lease) = lease_within(shared, SETTLE_PATIENCE).await else {
         shared.metrics.platform.with_label_values(&["settle_gave_up"]).inc();
--- a/crates/router/src/caller/service.rs
+++ b/crates/router/src/caller/service.rs
@@ -11,7 +11,7 @@
 use admission::Tokens;
 use http::{Reply, Response, SendError};
 use ids::{IdempotencyKey, ServiceId};
-use lifecycle::claims::{Attempt, Guard, Held, MaySend, Outcome, StoredAnswer, guard};
+use lifecycle::claims::{Attempt, Guard, HeldClaim, MaySend, Outcome, StoredAnswer, guard};
 use lifecycle::request::{RequestEvent, RequestState};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -205,6 +205,6 @@
     }
 }
 
-fn lock(held: &Mutex<Held>) -> std::sync::MutexGuard<'_, Held> {
+fn lock(held: &Mutex<HeldClaim>) -> std::sync::MutexGuard<'_, HeldClaim> {
     held.lock().unwrap_or_else(PoisonError::into_inner)
 }
