--- a/crates/lifecycle/src/claims/acquire.rs
+++ b/crates/lifecycle/src/claims/acquire.rs
@@ -1,7 +1,7 @@
 //! Winning a claim.
 
 use super::held::HeldClaim;
-use super::record::{ClaimState, Nonce, Record, Seen, StoredAnswer};
+use super::record::{ClaimState, EntryState, Nonce, Record, StoredAnswer};
 use super::settle::{Settle, SettleStep};
 use ids::{Digest, Version};
 use std::time::Duration;
@@ -61,9 +61,9 @@
     /// The write took effect and gave this version.
     Written(Version),
     /// The write was refused, as the entry is this now.
-    Conflict(Seen<'a>),
+    Conflict(EntryState<'a>),
     /// A read's answer.
-    Read(Seen<'a>),
+    Read(EntryState<'a>),
     /// No answer came: a write may have taken effect, or may still do so.
     Lost,
     /// Nothing was sent to the platform (no connection).
@@ -169,7 +169,7 @@
     }
 
     /// What the entry says. Whatever cannot be read or is not ours is never run.
-    fn judge(&mut self, seen: Seen<'_>, now: Duration) -> ClaimStep {
+    fn judge(&mut self, seen: EntryState<'_>, now: Duration) -> ClaimStep {
         let Some(value) = seen.value else {
             if self.late(now) {
                 return self.end(ClaimStep::Unavailable(self.unclaimed()));
--- a/crates/lifecycle/src/claims/mod.rs
+++ b/crates/lifecycle/src/claims/mod.rs
@@ -20,5 +20,5 @@
 pub use guard::{Guard, guard};
 pub use held::{HeldClaim, MaySend};
 pub use lease::{ClaimLease, LeaseStep, REMEMBERED, TIME_TO_LIVE, USED_FOR};
-pub use record::{Body, ClaimState, KEPT_BYTES, Nonce, Record, Seen, StoredAnswer, call_digest, claim_key};
+pub use record::{Body, ClaimState, EntryState, KEPT_BYTES, Nonce, Record, StoredAnswer, call_digest, claim_key};
 pub use settle::{Outcome, Settle, SettleStep};
--- a/crates/lifecycle/src/claims/record.rs
+++ b/crates/lifecycle/src/claims/record.rs
@@ -91,7 +91,7 @@
 
 /// What the platform showed of a claim's entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen<'a> {
+pub struct EntryState<'a> {
     /// Version of the entry, 0 if it never existed.
     pub version: Version,
     /// Its value, absent if it does not exist.
--- a/crates/lifecycle/src/claims/settle.rs
+++ b/crates/lifecycle/src/claims/settle.rs
@@ -2,7 +2,7 @@
 
 use super::acquire::ClaimEvent;
 use super::held::HeldClaim;
-use super::record::{ClaimState, Record, Seen, StoredAnswer};
+use super::record::{ClaimState, EntryState, Record, StoredAnswer};
 use ids::Version;
 use std::time::Duration;
 
@@ -110,7 +110,7 @@
         }
     }
 
-    fn judge(&mut self, seen: Seen<'_>) -> SettleStep {
+    fn judge(&mut self, seen: EntryState<'_>) -> SettleStep {
         let Some(value) = seen.value else {
             return self.end(self.wanted.is_none());
         };
--- a/crates/lifecycle/tests/claims.rs
+++ b/crates/lifecycle/tests/claims.rs
@@ -47,8 +47,8 @@
 }
 
 impl World {
-    fn seen(&self) -> Seen<'_> {
-        Seen {
+    fn seen(&self) -> EntryState<'_> {
+        EntryState {
             version: Version(self.version),
             value: self.value.as_deref(),
         }
@@ -362,7 +362,7 @@
     };
     let (mut claim, _) = Claim::start(request, ClaimLimits::default(), Duration::ZERO);
     claim.on(ClaimEvent::Lost, Duration::ZERO);
-    let seen = Seen {
+    let seen = EntryState {
         version: Version(3),
         value: case.0.as_deref(),
     };
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -6,8 +6,8 @@
 use async_std::task;
 use ids::{IdempotencyKey, Version, WorkspaceId};
 use lifecycle::claims::{
-    Attempt, Body, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep, HeldClaim, LeaseStep, Nonce, Outcome, Seen,
-    Settle, SettleStep, StoredAnswer, TIME_TO_LIVE, call_digest, claim_key,
+    Attempt, Body, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep, EntryState, HeldClaim, LeaseStep, Nonce,
+    Outcome, Settle, SettleStep, StoredAnswer, TIME_TO_LIVE, call_digest, claim_key,
 };
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -236,13 +236,13 @@
     }
 }
 
-fn seen(entry: Option<&Entry>) -> Seen<'_> {
+fn seen(entry: Option<&Entry>) -> EntryState<'_> {
     match entry {
-        Some(entry) => Seen {
+        Some(entry) => EntryState {
             version: entry.version,
             value: entry.value.as_deref(),
         },
-        None => Seen {
+        None => EntryState {
             version: Version(0),
             value: None,
         },
