--- a/crates/lifecycle/src/claims/acquire.rs
+++ b/crates/lifecycle/src/claims/acquire.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimLimits {
     /// How long to try to win the claim; never longer than the caller waits.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Longest time from the beginning of the claim's first write to the send. A holder that was paused for
     /// longer must not send: its caller has gone, and others may already be told that the outcome is unknown.
     pub margin: Duration,
@@ -34,7 +34,7 @@
 impl Default for ClaimLimits {
     fn default() -> Self {
         Self {
-            patience: Duration::from_secs(2),
+            timeout: Duration::from_secs(2),
             margin: Duration::from_secs(5),
             lapse: Duration::from_secs(120),
             pause: Duration::from_millis(50),
@@ -199,7 +199,7 @@
     }
 
     fn late(&self, now: Duration) -> bool {
-        now.saturating_sub(self.begun) > self.limits.patience
+        now.saturating_sub(self.begun) > self.limits.timeout
     }
 
     /// Without a claim, an earlier attempt may have run, unless the caller states that there was none.
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -57,7 +57,7 @@
         wall: wall_ms(),
         attempt,
     };
-    let Some(lease) = lease_within(shared, limits.patience).await else {
+    let Some(lease) = lease_within(shared, limits.timeout).await else {
         let ran = if attempt == Attempt::First {
             Ran::NotRun
         } else {
