--- a/crates/lifecycle/src/claims/lease.rs
+++ b/crates/lifecycle/src/claims/lease.rs
@@ -16,14 +16,14 @@
 
 /// Time to live of a lease. Its excess over [`REMEMBERED`] and [`USED_FOR`] covers a router that is stopped
 /// between taking the lease and writing with it: 23 hours.
-pub const TIME_TO_LIVE: Duration = Duration::from_secs(48 * 3600);
+pub const CLAIM_LEASE_TTL: Duration = Duration::from_secs(48 * 3600);
 
 /// What to do before a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum LeaseStep {
     /// Write under this lease.
     Use(u64),
-    /// Ask for a new lease of [`TIME_TO_LIVE`] first; without it no claim can be made.
+    /// Ask for a new lease of [`CLAIM_LEASE_TTL`] first; without it no claim can be made.
     Grant,
 }
 
--- a/crates/lifecycle/src/claims/mod.rs
+++ b/crates/lifecycle/src/claims/mod.rs
@@ -19,6 +19,6 @@
 pub use acquire::{Attempt, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep};
 pub use guard::{Guard, guard};
 pub use held::{HeldClaim, MaySend};
-pub use lease::{ClaimLease, LeaseStep, REMEMBERED, TIME_TO_LIVE, USED_FOR};
+pub use lease::{CLAIM_LEASE_TTL, ClaimLease, LeaseStep, REMEMBERED, USED_FOR};
 pub use record::{Body, ClaimState, EntryState, KEPT_BYTES, Nonce, Record, StoredAnswer, call_digest, claim_key};
 pub use settle::{Outcome, Settle, SettleStep};
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -6,8 +6,8 @@
 use async_std::task;
 use ids::{IdempotencyKey, Version, WorkspaceId};
 use lifecycle::claims::{
-    Attempt, Body, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep, EntryState, HeldClaim, LeaseStep, Nonce,
-    Outcome, Settle, SettleStep, StoredAnswer, TIME_TO_LIVE, call_digest, claim_key,
+    Attempt, Body, CLAIM_LEASE_TTL, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep, EntryState, HeldClaim,
+    LeaseStep, Nonce, Outcome, Settle, SettleStep, StoredAnswer, call_digest, claim_key,
 };
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -179,7 +179,7 @@
     match current.step(asked) {
         LeaseStep::Use(id) => Some(id),
         LeaseStep::Grant => {
-            let lease = shared.platform.grant(TIME_TO_LIVE).await.ok()?;
+            let lease = shared.platform.grant(CLAIM_LEASE_TTL).await.ok()?;
             current.granted(lease.id, asked);
             Some(lease.id)
         }
