--- a/crates/lifecycle/src/claims/lease.rs
+++ b/crates/lifecycle/src/claims/lease.rs
@@ -24,7 +24,7 @@
     /// Write under this lease.
     Use(u64),
     /// Ask for a new lease of [`CLAIM_LEASE_TTL`] first; without it no claim can be made.
-    Grant,
+    RequestNew,
 }
 
 /// The lease under which a router writes its claims; never renewed, never revoked.
@@ -38,7 +38,7 @@
     pub fn step(&self, now: Duration) -> LeaseStep {
         match self.current {
             Some((id, asked)) if now.saturating_sub(asked) < USED_FOR => LeaseStep::Use(id),
-            _ => LeaseStep::Grant,
+            _ => LeaseStep::RequestNew,
         }
     }
 
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -178,7 +178,7 @@
     let asked = shared.clock.now();
     match current.step(asked) {
         LeaseStep::Use(id) => Some(id),
-        LeaseStep::Grant => {
+        LeaseStep::RequestNew => {
             let lease = shared.platform.grant(CLAIM_LEASE_TTL).await.ok()?;
             current.granted(lease.id, asked);
             Some(lease.id)
