--- a/crates/control/src/orders/mod.rs
+++ b/crates/control/src/orders/mod.rs
@@ -72,7 +72,7 @@
     lease: Option<Lease>,
     slots: Slots,
     loads: BTreeMap<EndpointId, Load>,
-    /// Runners whose load has ended but whose reports may still be older than that, with the end of this period.
+    /// Runners whose load has ended, and the time until which their reports may predate that.
     awaiting_report: BTreeMap<EndpointId, Duration>,
     candidate: bool,
     assignments: Vec<Assignment>,
--- a/crates/control/src/startup.rs
+++ b/crates/control/src/startup.rs
@@ -48,7 +48,7 @@
     Waiting,
     /// Neither the platform nor any peer is reachable.
     #[display("neither the platform nor a peer can be reached")]
-    NobodyReached,
+    NoneReachable,
     /// Some peers answered, but none has a configuration.
     #[display("the platform can't be reached and no peer has a configuration")]
     NoPeerReady,
@@ -142,7 +142,7 @@
         Start::NotReady(if reached {
             NotReady::NoPeerReady
         } else {
-            NotReady::NobodyReached
+            NotReady::NoneReachable
         })
     }
 
--- a/crates/control/tests/following.rs
+++ b/crates/control/tests/following.rs
@@ -1,4 +1,4 @@
-//! What one failure domain asks of the platform.
+//! How the routers of one failure domain follow the configuration.
 
 use control::following::{
     DOMAIN_READ_INTERVAL, Follow, UpdateSource, WATCHERS, eligible_leaders, follow, update_source,
@@ -6,16 +6,16 @@
 use ids::{DomainId, VmId};
 use std::collections::BTreeMap;
 
-/// A fleet grows. If each router watched, each change would hit the platform with as many calls as there are routers.
+/// If every router kept a watch, each change would cost the platform as many calls as there are routers.
 #[test]
-fn a_domain_costs_the_same_whatever_its_size() {
+fn platform_load_does_not_grow_with_the_domain() {
     let domain = DomainId::from("lahore");
     for size in [1_usize, 2, 3, 4, 22, 95, 380] {
         let live: Vec<VmId> = (0..size).map(|number| VmId::from(format!("vm-{number}"))).collect();
-        let each: Vec<Follow> = live.iter().map(|own| follow(own, &domain, &live)).collect();
-        let watching = each.iter().filter(|follow| **follow == Follow::Watch).count();
+        let modes: Vec<Follow> = live.iter().map(|own| follow(own, &domain, &live)).collect();
+        let watching = modes.iter().filter(|follow| **follow == Follow::Watch).count();
         assert_eq!(watching, size.min(WATCHERS), "of {size}");
-        let rate: f64 = each
+        let rate: f64 = modes
             .iter()
             .map(|follow| match follow {
                 Follow::Watch => 0.0,
@@ -31,9 +31,9 @@
     }
 }
 
-/// A router that the others don't count as live yet must not rely on them.
+/// A router that its peers do not consider live yet must not rely on them for changes.
 #[test]
-fn an_unknown_router_watches_for_itself() {
+fn a_router_missing_from_the_live_list_keeps_a_watch() {
     let live = vec![VmId::from("a"), VmId::from("b"), VmId::from("c")];
     assert_eq!(
         follow(&VmId::from("d"), &DomainId::from("lahore"), &live),
@@ -41,10 +41,10 @@
     );
 }
 
-/// A domain grows, and every router needs every change. Two of them watch the store; were all others to follow the same
-/// one, it would carry the domain alone, and its death would send all of them to the store at once.
+/// Two routers of a domain watch the store. If all others followed the same one, it would carry the whole domain, and
+/// its failure would send all of them to the store at once.
 #[test]
-fn routers_that_do_not_watch_are_spread_over_those_that_do() {
+fn followers_are_spread_over_the_watchers() {
     let domain = DomainId::from("lahore");
     for size in [1_usize, 2, 3, 30, 95] {
         let live: Vec<VmId> = (0..size).map(|number| VmId::from(format!("vm-{number}"))).collect();
@@ -54,7 +54,7 @@
             match update_source(own, &domain, &live) {
                 UpdateSource::Store => watching += 1,
                 UpdateSource::Routers(leaders) => {
-                    assert_eq!(leaders.len(), WATCHERS, "each has a second choice");
+                    assert_eq!(leaders.len(), WATCHERS, "a follower has no second leader");
                     assert!(
                         leaders
                             .iter()
@@ -70,34 +70,34 @@
     }
 }
 
-/// The small VMs of a domain have links of 10 Mbit/s. One of them is followed by a dozen routers: its link fills up,
-/// they hear too late of what engines may share, and its callers wait.
+/// The small VMs of a domain have links of 10 Mbit/s. A dozen followers would saturate such a link: they would get
+/// updates about shared engine caches too late, and the router's clients would wait.
 #[test]
-fn routers_with_narrow_links_are_not_followed() {
+fn routers_with_slow_links_have_no_followers() {
     struct Case {
         links: &'static [f64],
-        followed: &'static [usize],
+        eligible: &'static [usize],
     }
     let cases = [
         Case {
             links: &[10.0, 200.0, 10.0, 200.0],
-            followed: &[1, 3],
+            eligible: &[1, 3],
         },
         Case {
             links: &[10.0, 10.0],
-            followed: &[0, 1],
+            eligible: &[0, 1],
         },
         Case {
             links: &[0.0, 0.0, 0.0],
-            followed: &[0, 1, 2],
+            eligible: &[0, 1, 2],
         },
         Case {
             links: &[400.0, 700.0],
-            followed: &[0, 1],
+            eligible: &[0, 1],
         },
         Case {
             links: &[],
-            followed: &[],
+            eligible: &[],
         },
     ];
     for case in cases {
@@ -108,7 +108,7 @@
             .enumerate()
             .map(|(at, link)| (vm(at), *link))
             .collect();
-        let followed: Vec<VmId> = case.followed.iter().map(|at| vm(*at)).collect();
-        assert_eq!(eligible_leaders(&links), followed, "{:?}", case.links);
+        let eligible: Vec<VmId> = case.eligible.iter().map(|at| vm(*at)).collect();
+        assert_eq!(eligible_leaders(&links), eligible, "{:?}", case.links);
     }
 }
--- a/crates/control/tests/health.rs
+++ b/crates/control/tests/health.rs
@@ -1,4 +1,4 @@
-//! What is believed of an endpoint, after what was seen of it.
+//! Health of an endpoint after a sequence of events, and the initial configuration of a router.
 
 use control::health::{Change, EndpointHealth, Event, Failure, HealthState, Listing, Report};
 use control::startup::{self, NotReady, Offer, PEER_TIMEOUT, Start, Startup};
@@ -14,20 +14,20 @@
     Duration::from_millis(millis)
 }
 
-fn report(life: u64, leaving: bool, own: bool, asked: u64) -> Event {
+fn report(incarnation: u64, leaving: bool, own: bool, requested: u64) -> Event {
     Event::Report(Report {
         endpoint: id(),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         leaving,
         own,
-        at: at(asked),
+        at: at(requested),
     })
 }
 
-fn replied(life: u64) -> Event {
+fn replied(incarnation: u64) -> Event {
     Event::Replied {
         endpoint: id(),
-        incarnation: Some(Incarnation(life)),
+        incarnation: Some(Incarnation(incarnation)),
     }
 }
 
@@ -50,109 +50,109 @@
 struct Case {
     name: &'static str,
     events: Vec<Event>,
-    belief: HealthState,
+    state: HealthState,
     probed: bool,
 }
 
-/// Events come 100 ms apart, the first after 100 ms.
+/// Events arrive 100 ms apart, the first one at 100 ms.
 #[test]
-fn beliefs() {
+fn health_state_after_events() {
     use Failure::{Connection, Timeout};
     let cases = vec![
         Case {
             name: "new",
             events: vec![],
-            belief: HealthState::Live,
+            state: HealthState::Live,
             probed: false,
         },
         Case {
             name: "not yet listed",
             events: vec![list(None)],
-            belief: HealthState::Live,
+            state: HealthState::Live,
             probed: false,
         },
         Case {
-            name: "list says so",
+            name: "listed as leaving",
             events: vec![list(Some(Listing::Leaving))],
-            belief: HealthState::Leaving,
+            state: HealthState::Leaving,
             probed: false,
         },
         Case {
-            name: "gone from the list",
+            name: "removed from the list",
             events: vec![list(Some(Listing::Live)), list(None)],
-            belief: HealthState::Leaving,
+            state: HealthState::Leaving,
             probed: false,
         },
         Case {
-            name: "says so itself, and the list lags",
+            name: "reports leaving while the list lags",
             events: vec![report(1, true, true, 50), list(Some(Listing::Live)), replied(1)],
-            belief: HealthState::Leaving,
+            state: HealthState::Leaving,
             probed: false,
         },
         Case {
-            name: "a peer passes it on",
+            name: "report forwarded by a peer",
             events: vec![report(1, true, false, 50)],
-            belief: HealthState::Leaving,
+            state: HealthState::Leaving,
             probed: false,
         },
         Case {
-            name: "one break",
+            name: "one connection failure",
             events: vec![failed(Connection)],
-            belief: HealthState::Suspected,
+            state: HealthState::Suspected,
             probed: true,
         },
         Case {
-            name: "two breaks",
+            name: "two connection failures",
             events: vec![list(Some(Listing::Live)), failed(Connection), failed(Connection)],
-            belief: HealthState::Dead,
+            state: HealthState::Dead,
             probed: true,
         },
         Case {
-            name: "a reply between",
+            name: "a reply between two connection failures",
             events: vec![failed(Connection), replied(1), failed(Connection)],
-            belief: HealthState::Suspected,
+            state: HealthState::Suspected,
             probed: true,
         },
         Case {
-            name: "slow only",
+            name: "timeouts only",
             events: vec![failed(Timeout); 30],
-            belief: HealthState::Suspected,
+            state: HealthState::Suspected,
             probed: true,
         },
         Case {
-            name: "one slow answer",
+            name: "one timeout",
             events: vec![failed(Timeout)],
-            belief: HealthState::Live,
+            state: HealthState::Live,
             probed: false,
         },
         Case {
-            name: "probed back",
+            name: "reply to a probe",
             events: vec![failed(Connection), failed(Connection), replied(1)],
-            belief: HealthState::Live,
+            state: HealthState::Live,
             probed: false,
         },
         Case {
-            name: "a report from before the crash",
+            name: "a report requested before the failure",
             events: vec![failed(Connection), failed(Connection), report(1, false, true, 150)],
-            belief: HealthState::Dead,
+            state: HealthState::Dead,
             probed: true,
         },
         Case {
-            name: "a peer still reaches it",
+            name: "still reachable for a peer",
             events: vec![failed(Connection), failed(Connection), report(1, false, false, 290)],
-            belief: HealthState::Dead,
+            state: HealthState::Dead,
             probed: true,
         },
         Case {
-            name: "back in a new life that doesn't leave",
+            name: "restarted while leaving",
             events: vec![replied(1), report(1, true, true, 150), replied(2)],
-            belief: HealthState::Live,
+            state: HealthState::Live,
             probed: false,
         },
         Case {
-            name: "a late answer of the old life",
+            name: "a late answer from the previous incarnation",
             events: vec![replied(1), report(2, true, true, 150), replied(1)],
-            belief: HealthState::Leaving,
+            state: HealthState::Leaving,
             probed: false,
         },
     ];
@@ -169,26 +169,26 @@
         now += at(100);
         health.on(event, now);
     }
-    assert_eq!(health.state(&id()), case.belief, "{}", case.name);
+    assert_eq!(health.state(&id()), case.state, "{}", case.name);
     assert_eq!(health.next_probe().is_some(), case.probed, "{}", case.name);
 }
 
-/// An engine restarts and comes back empty. Whoever keeps a record of its cache must hear of it once.
+/// An engine restarts with an empty cache. The record of its cache must be reset exactly once.
 #[test]
-fn a_new_life_is_told_once() {
+fn a_restart_is_reported_once() {
     let mut health = EndpointHealth::default();
     health.on(Event::Configured(vec![id()]), at(0));
     assert_eq!(health.on(replied(1), at(1)), []);
-    let told = vec![Change::Restarted {
+    let expected = vec![Change::Restarted {
         endpoint: id(),
         incarnation: Incarnation(2),
     }];
-    assert_eq!(health.on(replied(2), at(2)), told);
+    assert_eq!(health.on(replied(2), at(2)), expected);
     assert_eq!(health.on(replied(1), at(3)), []);
     assert_eq!(health.on(report(2, false, true, 4), at(5)), []);
 }
 
-/// A dead endpoint is probed a little later, then less and less often, and never forgotten.
+/// A dead endpoint that is no longer probed would never be used again; one that is probed too often costs calls.
 #[test]
 fn probes_back_off_to_two_seconds() {
     let mut health = EndpointHealth::default();
@@ -211,15 +211,15 @@
     }
 }
 
-/// A router restarts next to a stale peer and a newer one. Had it begun with the first answer, a change that it had in
-/// force before the restart would be gone.
+/// A router restarts while one peer is stale and another is up to date. If it used the first answer, a change that was
+/// in force before the restart would be reverted.
 #[test]
-fn starting() {
+fn a_restart_does_not_revert_the_configuration() {
     use startup::Event::{Peer, PeerFailed, Platform, PlatformEmpty, PlatformFailed, Tick};
     let vm = VmId::from;
     let wait = |reason| Start::NotReady(reason);
     let cases: Vec<(&str, Vec<startup::Event>, Duration, Start)> = vec![
-        ("nothing yet", vec![], at(0), wait(NotReady::Waiting)),
+        ("no answer yet", vec![], at(0), wait(NotReady::Waiting)),
         (
             "a stale peer only",
             vec![Peer(vm("a"), Some(offer(3)))],
@@ -233,19 +233,19 @@
             Start::With(offer(4)),
         ),
         (
-            "platform behind",
+            "platform older than a peer",
             vec![Peer(vm("a"), Some(offer(5))), Platform(offer(4))],
             at(0),
             Start::With(offer(5)),
         ),
         (
-            "one peer to come",
+            "one peer pending",
             vec![PlatformFailed, Peer(vm("a"), Some(offer(3)))],
             at(0),
             wait(NotReady::Waiting),
         ),
         (
-            "all peers",
+            "all peers answered",
             vec![
                 PlatformFailed,
                 Peer(vm("a"), Some(offer(3))),
@@ -255,24 +255,29 @@
             Start::With(offer(5)),
         ),
         (
-            "silent peer",
+            "a peer does not answer in time",
             vec![PlatformFailed, Peer(vm("a"), Some(offer(3)))],
             PEER_TIMEOUT,
             Start::With(offer(3)),
         ),
         (
-            "herd in a cut-off domain",
+            "no router of an isolated domain has a configuration",
             vec![PlatformFailed, Peer(vm("a"), None), PeerFailed(vm("b"))],
             at(0),
             wait(NotReady::NoPeerReady),
         ),
         (
-            "alone",
+            "nothing reachable",
             vec![PlatformFailed, PeerFailed(vm("a")), PeerFailed(vm("b"))],
             at(0),
-            wait(NotReady::NobodyReached),
+            wait(NotReady::NoneReachable),
+        ),
+        (
+            "platform without configuration",
+            vec![PlatformEmpty],
+            at(0),
+            wait(NotReady::Empty),
         ),
-        ("empty", vec![PlatformEmpty], at(0), wait(NotReady::Empty)),
     ];
     for (name, events, then, expected) in cases {
         let mut startup = Startup::new(&[vm("a"), vm("b")], at(0));
--- a/crates/control/tests/health_model.rs
+++ b/crates/control/tests/health_model.rs
@@ -1,4 +1,4 @@
-//! Beliefs against a naive version that keeps every event and derives the belief from all of them, each time anew.
+//! Compares endpoint health with a reference model that keeps all events and recomputes the state from them each time.
 
 use control::health::{EndpointHealth, Event, Failure, HealthState, Listing, Report};
 use ids::{EndpointId, Incarnation};
@@ -6,22 +6,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Each run tries the same cases, so that its verdict is the same.
+/// Fixed, so that every run tests the same cases.
 const SEED: u64 = 4;
 
 fn seeded() -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(100, SEED))
 }
 
-/// What is known at one time, made from two arbitrary bytes.
+/// One event, generated from two arbitrary bytes.
 #[derive(Debug, Clone, Copy)]
-enum Seen {
+enum Observation {
     Listed(Option<Listing>),
     Report {
-        life: u64,
+        incarnation: u64,
         leaving: bool,
         own: bool,
-        asked: u64,
+        requested: u64,
     },
     Replied(Option<u64>),
     Failed(Failure),
@@ -31,97 +31,101 @@
     EndpointId::from("engine")
 }
 
-fn seen(kind: u8, detail: u8, place: u64) -> Seen {
-    let life = u64::from(detail % 4);
+fn observation(kind: u8, detail: u8, position: u64) -> Observation {
+    let incarnation = u64::from(detail % 4);
     match kind % 8 {
-        0 => Seen::Listed(match detail % 3 {
+        0 => Observation::Listed(match detail % 3 {
             0 => None,
             1 => Some(Listing::Live),
             _ => Some(Listing::Leaving),
         }),
-        1 | 2 => Seen::Report {
-            life,
+        1 | 2 => Observation::Report {
+            incarnation,
             leaving: detail & 16 > 0,
             own: detail & 32 > 0,
-            asked: place.saturating_sub(u64::from(detail >> 6)),
+            requested: position.saturating_sub(u64::from(detail >> 6)),
         },
-        3 | 4 => Seen::Replied((detail & 16 > 0).then_some(life)),
-        5 => Seen::Failed(Failure::Timeout),
-        _ => Seen::Failed(Failure::Connection),
+        3 | 4 => Observation::Replied((detail & 16 > 0).then_some(incarnation)),
+        5 => Observation::Failed(Failure::Timeout),
+        _ => Observation::Failed(Failure::Connection),
     }
 }
 
-fn event(seen: Seen) -> Event {
-    match seen {
-        Seen::Listed(listing) => Event::Listed(
+fn event(observed: Observation) -> Event {
+    match observed {
+        Observation::Listed(listing) => Event::Listed(
             listing
                 .map(|listing| (id(), listing))
                 .into_iter()
                 .collect::<BTreeMap<_, _>>(),
         ),
-        Seen::Report {
-            life,
+        Observation::Report {
+            incarnation,
             leaving,
             own,
-            asked,
+            requested,
         } => Event::Report(Report {
             endpoint: id(),
-            incarnation: Incarnation(life),
+            incarnation: Incarnation(incarnation),
             leaving,
             own,
-            at: Duration::from_millis(asked),
+            at: Duration::from_millis(requested),
         }),
-        Seen::Replied(life) => Event::Replied {
+        Observation::Replied(incarnation) => Event::Replied {
             endpoint: id(),
-            incarnation: life.map(Incarnation),
+            incarnation: incarnation.map(Incarnation),
         },
-        Seen::Failed(failure) => Event::Failed {
+        Observation::Failed(failure) => Event::Failed {
             endpoint: id(),
             failure,
         },
     }
 }
 
-/// The life that an event tells of.
-fn life(seen: Seen) -> Option<u64> {
-    match seen {
-        Seen::Report { life, .. } => Some(life),
-        Seen::Replied(life) => life,
+/// The incarnation that an event names.
+fn incarnation(observed: Observation) -> Option<u64> {
+    match observed {
+        Observation::Report { incarnation, .. } => Some(incarnation),
+        Observation::Replied(incarnation) => incarnation,
         _ => None,
     }
 }
 
-/// Events that count: all but those of a life that was over before they came.
-fn counted(history: &[Seen]) -> Vec<(u64, Seen)> {
-    let mut kept: Vec<(u64, Seen)> = Vec::new();
-    for (place, now) in history.iter().enumerate() {
-        let lives: Vec<u64> = kept.iter().filter_map(|(_, seen)| life(*seen)).collect();
-        let over = life(*now).is_some_and(|new| lives.contains(&new) && lives.last() != Some(&new));
-        if !over {
-            kept.push((place as u64 + 1, *now));
+/// Events that count: all except those from an incarnation that had already ended.
+fn counted(history: &[Observation]) -> Vec<(u64, Observation)> {
+    let mut kept: Vec<(u64, Observation)> = Vec::new();
+    for (position, now) in history.iter().enumerate() {
+        let incarnations: Vec<u64> = kept.iter().filter_map(|(_, observed)| incarnation(*observed)).collect();
+        let outdated =
+            incarnation(*now).is_some_and(|new| incarnations.contains(&new) && incarnations.last() != Some(&new));
+        if !outdated {
+            kept.push((position as u64 + 1, *now));
         }
     }
     kept
 }
 
-fn naive(history: &[Seen]) -> HealthState {
+fn reference_state(history: &[Observation]) -> HealthState {
     let kept = counted(history);
     let failures_before = |at: u64| {
         kept.iter()
-            .rfind(|(place, seen)| *place < at && matches!(seen, Seen::Failed(_)))
+            .rfind(|(position, observed)| *position < at && matches!(observed, Observation::Failed(_)))
     };
-    let proves_life = |(place, seen): &(u64, Seen)| match seen {
-        Seen::Replied(_) => true,
-        Seen::Report { own: true, asked, .. } => failures_before(*place).is_none_or(|(failed, _)| asked > failed),
+    let proves_health = |(position, observed): &(u64, Observation)| match observed {
+        Observation::Replied(_) => true,
+        Observation::Report {
+            own: true, requested, ..
+        } => failures_before(*position).is_none_or(|(failed, _)| requested > failed),
         _ => false,
     };
-    let well = kept
+    let healthy_at = kept
         .iter()
-        .rfind(|event| proves_life(event))
-        .map_or(0, |(place, _)| *place);
-    let since = |wanted: Failure| {
-        let failed =
-            |(place, seen): &&(u64, Seen)| *place > well && matches!(seen, Seen::Failed(kind) if *kind == wanted);
+        .rfind(|event| proves_health(event))
+        .map_or(0, |(position, _)| *position);
+    let since = |kind: Failure| {
+        let failed = |(position, observed): &&(u64, Observation)| {
+            *position > healthy_at && matches!(observed, Observation::Failed(failure) if *failure == kind)
+        };
         kept.iter().filter(failed).count()
     };
     if since(Failure::Connection) >= 2 {
@@ -129,20 +133,20 @@
     }
     let lists: Vec<Option<Listing>> = kept
         .iter()
-        .filter_map(|(_, seen)| {
-            if let Seen::Listed(listing) = seen {
+        .filter_map(|(_, observed)| {
+            if let Observation::Listed(listing) = observed {
                 Some(*listing)
             } else {
                 None
             }
         })
         .collect();
-    let told_to_go = match lists.last() {
+    let listed_leaving = match lists.last() {
         Some(Some(listing)) => *listing == Listing::Leaving,
         Some(None) => lists.iter().any(Option::is_some),
         None => false,
     };
-    if told_to_go || says_it_leaves(&kept) {
+    if listed_leaving || reports_leaving(&kept) {
         return HealthState::Leaving;
     }
     if since(Failure::Connection) > 0 || since(Failure::Timeout) >= 2 {
@@ -152,38 +156,39 @@
     }
 }
 
-/// The endpoint's own last word, unless a reply came from a later life.
-fn says_it_leaves(kept: &[(u64, Seen)]) -> bool {
-    let current = kept.iter().rev().find_map(|(_, seen)| life(*seen));
-    let begun = kept
+/// Whether the endpoint last reported that it is leaving, unless a reply came from a later incarnation.
+fn reports_leaving(kept: &[(u64, Observation)]) -> bool {
+    let current = kept.iter().rev().find_map(|(_, observed)| incarnation(*observed));
+    let start = kept
         .iter()
         .rev()
-        .take_while(|(_, seen)| life(*seen).is_none_or(|life| Some(life) == current))
+        .take_while(|(_, observed)| incarnation(*observed).is_none_or(|incarnation| Some(incarnation) == current))
         .last();
-    let begun = begun.map_or(0, |(place, _)| *place);
-    let word = kept
-        .iter()
-        .rev()
-        .filter(|(place, _)| *place >= begun)
-        .find_map(|(_, seen)| match seen {
-            Seen::Report { leaving, .. } => Some(*leaving),
-            _ => None,
-        });
-    word.unwrap_or(false)
+    let start = start.map_or(0, |(position, _)| *position);
+    let reported =
+        kept.iter()
+            .rev()
+            .filter(|(position, _)| *position >= start)
+            .find_map(|(_, observed)| match observed {
+                Observation::Report { leaving, .. } => Some(*leaving),
+                _ => None,
+            });
+    reported.unwrap_or(false)
 }
 
+/// Guards against state that is kept or dropped wrongly between events, such as after a restart.
 #[test]
-fn beliefs_follow_from_all_that_was_seen() {
+fn health_state_matches_the_reference_model() {
     fn holds(bytes: Vec<(u8, u8)>) -> bool {
         let mut health = EndpointHealth::default();
         health.on(Event::Configured(vec![id()]), Duration::ZERO);
         let mut history = Vec::new();
-        bytes.into_iter().enumerate().all(|(place, (kind, detail))| {
-            let place = place as u64 + 1;
-            let now = seen(kind, detail, place);
+        bytes.into_iter().enumerate().all(|(position, (kind, detail))| {
+            let position = position as u64 + 1;
+            let now = observation(kind, detail, position);
             history.push(now);
-            health.on(event(now), Duration::from_millis(place));
-            health.state(&id()) == naive(&history)
+            health.on(event(now), Duration::from_millis(position));
+            health.state(&id()) == reference_state(&history)
         })
     }
     seeded().quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
--- a/crates/control/tests/holder.rs
+++ b/crates/control/tests/holder.rs
@@ -1,4 +1,4 @@
-//! When a holder may give orders, at the edges of its lease.
+//! When a holder may send orders, at the limits of its lease.
 
 use control::orders::{
     Assignment, Event, LEASE_MARGIN, LEASE_TTL, MAX_ORDER_DURATION, OrderHolder, Runner, SlotState, Step,
@@ -12,7 +12,7 @@
     EndpointId::from("engine")
 }
 
-/// A candidate that was granted a lease at 0, and has an empty runner to load.
+/// A candidate that was granted a lease at time 0 and has one empty runner to load.
 fn granted() -> OrderHolder {
     let mut holder = OrderHolder::new();
     let runner = Runner {
@@ -44,8 +44,8 @@
     }
 }
 
-/// Holds since 0 and has just decided on a load, whose slot it has; gives the time.
-fn ordering() -> (OrderHolder, Duration) {
+/// A holder since time 0 that has a slot and has just issued a load order, and the time of the order.
+fn with_order() -> (OrderHolder, Duration) {
     let mut holder = granted();
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
     let now = MAX_ORDER_DURATION;
@@ -56,10 +56,11 @@
     (holder, now)
 }
 
-/// A lease lapsed while its holder was paused in the middle of an order, which still reaches an engine that ignores
-/// fences. A successor that began at once would let two orders run side by side, and the old one could end last.
+/// A lease lapses while its holder is paused during an order, and the order still reaches an engine that ignores
+/// fencing tokens. If the new holder started at once, two orders would run concurrently, and the old one could end
+/// last.
 #[test]
-fn a_successor_waits_for_the_longest_order() {
+fn a_new_holder_waits_for_the_last_order_of_the_old_one() {
     let mut holder = granted();
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
     let early = holder.on(Event::Tick, MAX_ORDER_DURATION - TICK);
@@ -68,9 +69,9 @@
     assert!(then.contains(&Step::ReadSlots(Fence(1))), "{then:?}");
 }
 
-/// The holder is paused between its decision and the write. The lease may be over before the engine has the order.
+/// The holder is paused between issuing an order and writing it. The lease may expire before the engine gets the order.
 #[test]
-fn no_order_leaves_in_the_last_part_of_a_lease() {
+fn no_order_is_sent_within_the_lease_margin() {
     let cases = [
         (Duration::ZERO, true),
         (LEASE_TTL - LEASE_MARGIN - TICK, true),
@@ -78,8 +79,8 @@
         (LEASE_TTL, false),
     ];
     for (pause, expected) in cases {
-        let (mut holder, now) = ordering();
-        // The time of the order's decision passes with the pause, and is not what is tested here.
+        let (mut holder, now) = with_order();
+        // The order itself would have expired during the pause, which is not tested here.
         if pause < MAX_ORDER_DURATION {
             assert_eq!(holder.may_send(&engine(), now + pause), expected, "after {pause:?}");
             continue;
@@ -90,11 +91,11 @@
     }
 }
 
-/// An order is written some time after its decision. Its load may run that much longer, and a slot that is freed
-/// by the time of the decision would let a third runner load beside it.
+/// An order is written some time after it was issued, so its load ends later as well. If the slot were freed relative
+/// to the time of issue, a third runner could load at the same time.
 #[test]
-fn a_late_write_keeps_its_slot_longer() {
-    let (mut holder, now) = ordering();
+fn a_delayed_write_keeps_its_slot_longer() {
+    let (mut holder, now) = with_order();
     let written = now + Duration::from_secs(3);
     assert!(holder.may_send(&engine(), written));
     holder.on(grant(written), written);
@@ -104,10 +105,10 @@
     assert!(then.contains(&Step::FreeSlot(0)), "{then:?}");
 }
 
-/// Another domain's holder lost its lease while its runner loads. Its slot is gone from the platform at once, and the
-/// load is not.
+/// The holder of another domain loses its lease while its runner loads. Its slot key disappears at once, but the load
+/// still runs.
 #[test]
-fn a_lapsed_slot_is_taken_after_the_longest_order() {
+fn a_lapsed_slot_is_taken_only_after_the_maximum_order_duration() {
     let mut holder = granted();
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
     let mut now = MAX_ORDER_DURATION;
@@ -133,11 +134,11 @@
     );
 }
 
-/// The platform takes two seconds to answer. Its clock began somewhere in between, so that only the time of asking
-/// is safe to count from.
+/// The platform takes two seconds to answer. The lease started at an unknown time in between, so only the time of the
+/// request is a safe start.
 #[test]
-fn a_lease_is_counted_from_when_it_was_asked_for() {
-    let (mut holder, now) = ordering();
+fn lease_time_is_measured_from_the_request() {
+    let (mut holder, now) = with_order();
     holder.on(grant(now), now + Duration::from_secs(2));
     assert!(!holder.may_send(&engine(), now + LEASE_TTL - LEASE_MARGIN));
     assert_eq!(holder.fence(), Some(Fence(1)));
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who counts as live, against a list that lags, pauses and herds.
+//! Which routers count as live when the list lags, routers pause, or all start at once.
 
 use control::membership::{Event, HEARTBEAT_TIMEOUT, Listed, Member, Membership, Roster};
 use control::rendezvous::{WATCHERS, watches};
@@ -6,7 +6,7 @@
 use quickcheck::{Gen, QuickCheck};
 use std::time::Duration;
 
-/// Each run tries the same cases, so that its verdict is the same.
+/// Fixed, so that every run tests the same cases.
 const SEED: u64 = 3;
 
 fn seeded() -> QuickCheck {
@@ -32,7 +32,7 @@
     )
 }
 
-fn heard(number: u8) -> Event {
+fn heartbeat(number: u8) -> Event {
     Event::Heartbeat {
         from: member(number, "multan"),
         leaving: false,
@@ -44,25 +44,25 @@
     Duration::from_secs_f64(count)
 }
 
-enum Do {
+enum Action {
     On(f64, Event),
-    /// Ticks twice a second from here to there.
+    /// Ticks twice a second between these times.
     Ticks(f64, f64),
-    /// Ticks, and these peers are heard each time.
-    Beats(f64, f64, std::ops::Range<u8>),
+    /// Ticks, and each time a heartbeat from each of these peers.
+    Heartbeats(f64, f64, std::ops::Range<u8>),
     Live(usize),
     Total(u32),
 }
 
-fn check(name: &str, steps: Vec<Do>) {
+fn check(name: &str, steps: Vec<Action>) {
     let mut members = Membership::new(member(0, "multan"), Duration::ZERO);
     for step in steps {
         match step {
-            Do::On(at, event) => drop(members.on(event, seconds(at))),
-            Do::Ticks(from, to) => ticks(&mut members, from, to, 0..0),
-            Do::Beats(from, to, peers) => ticks(&mut members, from, to, peers),
-            Do::Live(count) => assert_eq!(members.live().len(), count, "{name}"),
-            Do::Total(count) => assert_eq!(members.total(), count, "{name}"),
+            Action::On(at, event) => drop(members.on(event, seconds(at))),
+            Action::Ticks(from, to) => ticks(&mut members, from, to, 0..0),
+            Action::Heartbeats(from, to, peers) => ticks(&mut members, from, to, peers),
+            Action::Live(count) => assert_eq!(members.live().len(), count, "{name}"),
+            Action::Total(count) => assert_eq!(members.total(), count, "{name}"),
         }
     }
 }
@@ -72,91 +72,96 @@
     while at < to {
         members.on(Event::Tick, seconds(at));
         for peer in peers.clone() {
-            members.on(heard(peer), seconds(at));
+            members.on(heartbeat(peer), seconds(at));
         }
         at += 0.5;
     }
 }
 
-/// All routers restart at once. None has heard of another yet; if each believed to be alone, each would admit the
-/// limits of all, and a workspace could use five times what it may.
+/// All routers restart at once, and none has received a heartbeat yet. If each assumed to be alone, each would admit
+/// the full limits, and a workspace could use five times its limit.
 #[test]
-fn routers_that_start_in_a_herd_share() {
+fn routers_that_start_together_share_the_limits() {
     check(
-        "herd",
+        "start together",
         vec![
-            Do::On(0.1, listed(0..5, "multan")),
-            Do::Live(5),
-            Do::Ticks(0.5, 8.0),
-            Do::Live(1),
+            Action::On(0.1, listed(0..5, "multan")),
+            Action::Live(5),
+            Action::Ticks(0.5, 8.0),
+            Action::Live(1),
         ],
     );
 }
 
-/// The list names a router that died, and doesn't name one that just started.
+/// The list still contains a router that died, and does not yet contain one that just started.
 #[test]
-fn the_list_lags() {
+fn heartbeats_override_a_lagging_list() {
     let list = || listed(0..2, "multan");
     let steps = vec![
-        Do::On(0.1, list()),
-        Do::Beats(0.5, 10.0, 1..3),
-        Do::Live(3),
-        Do::On(10.0, list()),
-        Do::Beats(10.0, 20.0, 2..3),
-        Do::On(20.0, list()),
-        Do::Live(2),
+        Action::On(0.1, list()),
+        Action::Heartbeats(0.5, 10.0, 1..3),
+        Action::Live(3),
+        Action::On(10.0, list()),
+        Action::Heartbeats(10.0, 20.0, 2..3),
+        Action::On(20.0, list()),
+        Action::Live(2),
     ];
-    check("lag", steps);
+    check("lagging list", steps);
 }
 
-/// The router itself is paused for a minute. The others did nothing wrong; had it taken them for dead, it would admit
-/// their share of every limit until it hears them again.
+/// The router itself is paused for a minute. If it considered its peers dead afterwards, it would admit their share of
+/// every limit until their next heartbeats.
 #[test]
-fn a_paused_router_does_not_blame_the_others() {
+fn a_paused_router_keeps_its_peers_live() {
     let steps = vec![
-        Do::Beats(0.0, 10.0, 1..5),
-        Do::On(70.0, Event::Tick),
-        Do::Live(5),
-        Do::Ticks(70.5, 78.0),
-        Do::Live(1),
+        Action::Heartbeats(0.0, 10.0, 1..5),
+        Action::On(70.0, Event::Tick),
+        Action::Live(5),
+        Action::Ticks(70.5, 78.0),
+        Action::Live(1),
     ];
     check("pause", steps);
 }
 
-/// Two routers tell each other of a third that died; it must not stay alive by hearsay.
+/// Two routers report a third, dead router to each other. It must not stay live without heartbeats of its own.
 #[test]
-fn hearsay_keeps_nobody_alive() {
+fn a_roster_does_not_keep_a_dead_router_live() {
     let roster = Roster {
         members: vec![member(1, "multan")],
         counts: Vec::new(),
     };
     check(
-        "never heard",
-        vec![Do::On(1.0, Event::Roster(roster.clone())), Do::Live(1)],
+        "no heartbeat yet",
+        vec![Action::On(1.0, Event::Roster(roster.clone())), Action::Live(1)],
     );
-    let mut steps = vec![Do::Beats(0.0, 5.0, 1..2), Do::Live(2)];
+    let mut steps = vec![Action::Heartbeats(0.0, 5.0, 1..2), Action::Live(2)];
     for second in 5..13 {
-        steps.push(Do::On(f64::from(second), Event::Roster(roster.clone())));
+        steps.push(Action::On(f64::from(second), Event::Roster(roster.clone())));
     }
-    steps.push(Do::Live(1));
-    check("hearsay", steps);
+    steps.push(Action::Live(1));
+    check("roster only", steps);
 }
 
-/// Another failure domain is cut off. It goes on serving its callers, so that its routers keep their share.
+/// Another failure domain is disconnected. It still serves its clients, so its routers must keep their share.
 #[test]
-fn a_domain_out_of_reach_keeps_its_share() {
-    let far = Event::Heartbeat {
+fn an_unreachable_domain_keeps_its_share() {
+    let remote = Event::Heartbeat {
         from: member(7, "lahore"),
         leaving: false,
         routers: 4,
     };
-    let steps = vec![Do::On(0.1, far), Do::Total(5), Do::Ticks(0.5, 100.0), Do::Total(5)];
-    check("far", steps);
+    let steps = vec![
+        Action::On(0.1, remote),
+        Action::Total(5),
+        Action::Ticks(0.5, 100.0),
+        Action::Total(5),
+    ];
+    check("unreachable domain", steps);
 }
 
-/// Each endpoint is watched by two of the live routers, and the watching is spread.
+/// Each endpoint is watched by two live routers. An uneven spread would overload single routers.
 #[test]
-fn watching_is_spread() {
+fn watched_endpoints_are_spread_over_the_routers() {
     let live: Vec<VmId> = (0..22).map(|number| member(number, "multan").id).collect();
     let endpoints: Vec<EndpointId> = (0..400)
         .map(|number| EndpointId::from(format!("engine-{number}")))
@@ -169,27 +174,27 @@
     assert!(counts.iter().all(|count| (18..=60).contains(count)), "{counts:?}");
 }
 
-/// Against a naive version that keeps every heartbeat ever heard.
+/// Compares the live routers with a reference model that keeps all heartbeats.
 #[test]
-fn live_is_whoever_was_heard_lately() {
-    fn holds(beats: Vec<(u8, u8)>) -> bool {
+fn live_routers_match_recent_heartbeats() {
+    fn holds(heartbeats: Vec<(u8, u8)>) -> bool {
         let mut members = Membership::new(member(0, "multan"), Duration::ZERO);
         let mut now = Duration::ZERO;
         let mut all: Vec<(Duration, u8)> = Vec::new();
-        beats.into_iter().all(|(from, wait)| {
+        heartbeats.into_iter().all(|(from, wait)| {
             now += Duration::from_millis(u64::from(wait) * 3);
             let from = from % 6 + 1;
             all.push((now, from));
-            members.on(heard(from), now);
-            let mut naive: Vec<VmId> = all
+            members.on(heartbeat(from), now);
+            let mut expected: Vec<VmId> = all
                 .iter()
                 .filter(|(at, _)| now - *at < HEARTBEAT_TIMEOUT)
                 .map(|(_, from)| member(*from, "multan").id)
                 .collect();
-            naive.push(member(0, "multan").id);
-            naive.sort_unstable();
-            naive.dedup();
-            members.live() == naive
+            expected.push(member(0, "multan").id);
+            expected.sort_unstable();
+            expected.dedup();
+            members.live() == expected
         })
     }
     seeded().quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Routers of two failure domains compete for the orders to their runners, over a platform that fails and a clock that
-//! goes on while they are paused.
+//! Simulation of two failure domains whose routers compete for the order lease, with platform failures and pauses of
+//! routers during which the clock advances.
 
 use control::orders::{Assignment, Event, LOAD_SLOTS, ORDER_CALL_TIMEOUT, OrderHolder, Runner, SlotState, Step};
 use ids::{EndpointId, Fence, Incarnation, ModelId, WeightsVersion};
@@ -14,10 +14,10 @@
 const ROUTERS: usize = 2;
 /// Failure domain of each runner.
 const RUNNERS: [usize; 5] = [0, 0, 0, 1, 1];
-/// Longest stall between the last check and the write, which nothing can rule out.
-const STALL: u64 = 1_500;
-/// Faults end here, and the rest of the run must bring every runner to what is wanted.
-const CALM: Duration = Duration::from_secs(300);
+/// Longest delay between the last check and the write, milliseconds. The code cannot prevent such a delay.
+const MAX_STALL_MS: u64 = 1_500;
+/// Faults end at this time. Afterwards every runner must reach its assigned weights.
+const FAULTS_END: Duration = Duration::from_secs(300);
 const END: Duration = Duration::from_secs(420);
 
 #[derive(Clone, Copy, PartialEq)]
@@ -32,25 +32,25 @@
     next: u64,
     holders: [Option<u64>; DOMAINS],
     slots: [SlotKey; LOAD_SLOTS],
-    /// Domains that can't reach the platform.
-    cut: [bool; DOMAINS],
+    /// Domains that cannot reach the platform.
+    disconnected: [bool; DOMAINS],
 }
 
 struct Router {
     domain: usize,
     holder: OrderHolder,
-    awake: Duration,
+    resumes_at: Duration,
     inbox: VecDeque<(Duration, Event)>,
-    /// Orders that are checked once more when they are written.
-    sends: Vec<(EndpointId, Order)>,
+    /// Orders that are checked again when they are written.
+    pending_orders: Vec<(EndpointId, Order)>,
 }
 
 struct Engine {
     domain: usize,
     id: EndpointId,
-    life: u64,
+    incarnation: u64,
     weights: Option<WeightsVersion>,
-    checks: bool,
+    checks_fence: bool,
     fence: Fence,
     load: Option<(Duration, Duration, WeightsVersion, Fence)>,
     reported: VecDeque<Runner>,
@@ -70,11 +70,11 @@
     routers: Vec<Router>,
     engines: Vec<Engine>,
     deliveries: Vec<Delivery>,
-    /// Newest fence whose order began, for each domain.
-    begun: [Fence; DOMAINS],
+    /// Newest fencing token of a started order, for each domain.
+    started: [Fence; DOMAINS],
     orders: usize,
     holders: usize,
-    /// Orders for what the runner serves already.
+    /// Orders to load weights that the runner already serves.
     redundant: usize,
     crashes: bool,
 }
@@ -87,7 +87,7 @@
     fn runner(&self) -> Runner {
         Runner {
             endpoint: self.id.clone(),
-            incarnation: Incarnation(self.life),
+            incarnation: Incarnation(self.incarnation),
             model: model(),
             weights: self.weights.clone(),
             available: true,
@@ -104,18 +104,18 @@
 impl Platform {
     fn expire(&mut self, now: Duration) {
         self.leases.retain(|(_, end)| now < *end);
-        let lives = |id: u64| self.leases.iter().any(|(lease, _)| *lease == id);
+        let lease_exists = |id: u64| self.leases.iter().any(|(lease, _)| *lease == id);
         for holder in &mut self.holders {
-            *holder = holder.filter(|id| lives(*id));
+            *holder = holder.filter(|id| lease_exists(*id));
         }
         for slot in &mut self.slots {
-            if matches!(slot, SlotKey::Held(id) if !lives(*id)) {
+            if matches!(slot, SlotKey::Held(id) if !lease_exists(*id)) {
                 *slot = SlotKey::Gone;
             }
         }
     }
 
-    fn lives(&self, id: Fence) -> bool {
+    fn lease_exists(&self, id: Fence) -> bool {
         self.leases.iter().any(|(lease, _)| *lease == id.0)
     }
 
@@ -151,7 +151,7 @@
                 self.expire(requested);
                 None
             }
-            Step::Claim(id) if !self.lives(*id) => Some(Event::Lapsed(*id)),
+            Step::Claim(id) if !self.lease_exists(*id) => Some(Event::Lapsed(*id)),
             Step::Claim(id) => {
                 let held = *self.holders[domain].get_or_insert(id.0);
                 Some(if held == id.0 {
@@ -166,7 +166,9 @@
                 SlotKey::Held(id) if id == own.0 => SlotState::Own,
                 SlotKey::Held(_) => SlotState::Held,
             }))),
-            Step::TakeSlot { slot, lease } if self.lives(*lease) && !matches!(self.slots[*slot], SlotKey::Held(_)) => {
+            Step::TakeSlot { slot, lease }
+                if self.lease_exists(*lease) && !matches!(self.slots[*slot], SlotKey::Held(_)) =>
+            {
                 self.slots[*slot] = SlotKey::Held(lease.0);
                 Some(Event::SlotTaken(*slot))
             }
@@ -184,19 +186,19 @@
 
 impl Run {
     fn new(seed: u64, crashes: bool) -> Self {
-        let router = |place: usize| Router {
-            domain: place / ROUTERS,
+        let router = |index: usize| Router {
+            domain: index / ROUTERS,
             holder: OrderHolder::new(),
-            awake: Duration::ZERO,
+            resumes_at: Duration::ZERO,
             inbox: VecDeque::from([(Duration::ZERO, Event::Candidate(true))]),
-            sends: Vec::new(),
+            pending_orders: Vec::new(),
         };
-        let engine = |place: usize| Engine {
-            domain: RUNNERS[place],
-            id: EndpointId::from(format!("engine-{place}")),
-            life: 1,
+        let engine = |index: usize| Engine {
+            domain: RUNNERS[index],
+            id: EndpointId::from(format!("engine-{index}")),
+            incarnation: 1,
             weights: Some(WeightsVersion::from("0")),
-            checks: place.is_multiple_of(2),
+            checks_fence: index.is_multiple_of(2),
             fence: Fence(0),
             load: None,
             reported: VecDeque::new(),
@@ -209,12 +211,12 @@
                 next: 0,
                 holders: [None; DOMAINS],
                 slots: [SlotKey::Free; LOAD_SLOTS],
-                cut: [false; DOMAINS],
+                disconnected: [false; DOMAINS],
             },
             routers: (0..DOMAINS * ROUTERS).map(router).collect(),
             engines: (0..RUNNERS.len()).map(engine).collect(),
             deliveries: Vec::new(),
-            begun: [Fence(0); DOMAINS],
+            started: [Fence(0); DOMAINS],
             orders: 0,
             holders: 0,
             redundant: 0,
@@ -222,60 +224,60 @@
         }
     }
 
-    fn millis(&mut self, most: u64) -> Duration {
-        Duration::from_millis(self.random.random_range(0..=most))
+    fn millis(&mut self, max: u64) -> Duration {
+        Duration::from_millis(self.random.random_range(0..=max))
     }
 
-    /// The version wanted changes every 6 s while faults last.
-    fn wanted(&self) -> WeightsVersion {
-        WeightsVersion::from(format!("{}", self.now.min(CALM).as_secs() / 6 + 1))
+    /// The assigned version. It changes every 6 s until the faults end.
+    fn assigned_weights(&self) -> WeightsVersion {
+        WeightsVersion::from(format!("{}", self.now.min(FAULTS_END).as_secs() / 6 + 1))
     }
 
     fn run(&mut self) {
         while self.now < END {
             self.now += STEP;
             self.platform.expire(self.now);
-            self.faults();
-            self.engines();
-            for place in 0..self.routers.len() {
-                self.router(place);
+            self.inject_faults();
+            self.step_engines();
+            for index in 0..self.routers.len() {
+                self.step_router(index);
             }
             self.deliver();
             let loading = self.engines.iter().filter(|engine| engine.loading(self.now)).count();
             assert!(loading <= LOAD_SLOTS, "{loading} runners load at {:?}", self.now);
         }
-        let wanted = Some(self.wanted());
+        let assigned_weights = Some(self.assigned_weights());
         for engine in &self.engines {
-            assert_eq!(engine.weights, wanted, "{} after a calm time", engine.id);
+            assert_eq!(engine.weights, assigned_weights, "{} after the last fault", engine.id);
         }
     }
 
-    fn faults(&mut self) {
-        if self.now > CALM {
-            self.platform.cut = [false; DOMAINS];
+    fn inject_faults(&mut self) {
+        if self.now > FAULTS_END {
+            self.platform.disconnected = [false; DOMAINS];
             return;
         }
         for domain in 0..DOMAINS {
             if self.random.random_ratio(1, 200) {
-                self.platform.cut[domain] = !self.platform.cut[domain];
+                self.platform.disconnected[domain] = !self.platform.disconnected[domain];
             }
         }
-        for place in 0..self.routers.len() {
-            let busy = !self.routers[place].sends.is_empty();
+        for index in 0..self.routers.len() {
+            let busy = !self.routers[index].pending_orders.is_empty();
             let (chance, longest) = if busy { (3, 10_000) } else { (600, 30_000) };
             if self.random.random_ratio(1, chance) {
-                self.routers[place].awake = self.now + self.millis(longest);
+                self.routers[index].resumes_at = self.now + self.millis(longest);
             }
         }
         if self.crashes && self.random.random_ratio(1, 300) {
-            let place = self.random.random_range(0..self.engines.len());
-            let engine = &mut self.engines[place];
-            engine.life += 1;
+            let index = self.random.random_range(0..self.engines.len());
+            let engine = &mut self.engines[index];
+            engine.incarnation += 1;
             (engine.weights, engine.load, engine.fence) = (None, None, Fence(0));
         }
     }
 
-    fn engines(&mut self) {
+    fn step_engines(&mut self) {
         for engine in &mut self.engines {
             if let Some((begin, end, weights, _)) = engine.load.clone() {
                 if begin <= self.now {
@@ -293,47 +295,47 @@
         }
     }
 
-    fn router(&mut self, place: usize) {
-        if self.now < self.routers[place].awake {
+    fn step_router(&mut self, index: usize) {
+        if self.now < self.routers[index].resumes_at {
             return;
         }
-        self.write(place);
+        self.write_orders(index);
         let mut events = vec![Event::Tick];
-        let domain = self.routers[place].domain;
-        let near = self.engines.iter().filter(|engine| engine.domain == domain);
-        let wanted = self.wanted();
-        let want = |engine: &Engine| Assignment {
+        let domain = self.routers[index].domain;
+        let local = self.engines.iter().filter(|engine| engine.domain == domain);
+        let assigned_weights = self.assigned_weights();
+        let assignment = |engine: &Engine| Assignment {
             endpoint: engine.id.clone(),
             model: model(),
-            weights: wanted.clone(),
+            weights: assigned_weights.clone(),
         };
-        events.push(Event::Assignments(near.clone().map(want).collect()));
-        events.push(Event::Runners(near.map(|engine| engine.reported[0].clone()).collect()));
-        let router = &mut self.routers[place];
+        events.push(Event::Assignments(local.clone().map(assignment).collect()));
+        events.push(Event::Runners(local.map(|engine| engine.reported[0].clone()).collect()));
+        let router = &mut self.routers[index];
         let (due, later): (VecDeque<_>, VecDeque<_>) = router.inbox.drain(..).partition(|(due, _)| *due <= self.now);
         router.inbox = later;
         events.extend(due.into_iter().map(|(_, event)| event));
         for event in events {
             let claimed = matches!(event, Event::Claimed(_));
-            let steps = self.routers[place].holder.on(event, self.now);
+            let steps = self.routers[index].holder.on(event, self.now);
             self.holders += usize::from(claimed);
             for step in steps {
-                self.carry_out(place, step);
+                self.execute(index, step);
             }
         }
     }
 
-    fn carry_out(&mut self, place: usize, step: Step) {
+    fn execute(&mut self, index: usize, step: Step) {
         if let Step::Send { endpoint, order } = step {
-            self.routers[place].sends.push((endpoint, order));
+            self.routers[index].pending_orders.push((endpoint, order));
             return;
         }
         if step == Step::Abandon {
-            self.routers[place].sends.clear();
+            self.routers[index].pending_orders.clear();
         }
-        let domain = self.routers[place].domain;
-        let lost = self.now < CALM && self.random.random_ratio(1, 10);
-        let answer = match (self.platform.cut[domain], lost) {
+        let domain = self.routers[index].domain;
+        let lost = self.now < FAULTS_END && self.random.random_ratio(1, 10);
+        let answer = match (self.platform.disconnected[domain], lost) {
             (true, _) => Some(Event::PlatformFailed),
             (false, true) => self
                 .platform
@@ -342,22 +344,22 @@
             (false, false) => self.platform.call(&step, domain, self.now),
         };
         let due = self.now + self.millis(300);
-        self.routers[place].inbox.extend(answer.map(|event| (due, event)));
+        self.routers[index].inbox.extend(answer.map(|event| (due, event)));
     }
 
-    /// A pause may lie between the decision and the write, so that the write checks once more.
-    fn write(&mut self, place: usize) {
-        for (endpoint, order) in std::mem::take(&mut self.routers[place].sends) {
-            if !self.routers[place].holder.may_send(&endpoint, self.now) {
+    /// Writes the pending orders. The router may have been paused since it issued them, so each is checked again.
+    fn write_orders(&mut self, index: usize) {
+        for (endpoint, order) in std::mem::take(&mut self.routers[index].pending_orders) {
+            if !self.routers[index].holder.may_send(&endpoint, self.now) {
                 continue;
             }
             let engine = self.engines.iter().position(|engine| engine.id == endpoint).unwrap();
             let slow = self.random.random_ratio(1, 2);
             let delivery = if slow { ORDER_CALL_TIMEOUT } else { self.millis(100) };
-            let due = self.now + self.millis(STALL) + delivery;
+            let due = self.now + self.millis(MAX_STALL_MS) + delivery;
             self.deliveries.push(Delivery {
                 due,
-                router: place,
+                router: index,
                 engine,
                 order,
             });
@@ -382,8 +384,8 @@
         let now = self.now;
         let engine = &mut self.engines[delivery.engine];
         let endpoint = engine.id.clone();
-        let old = engine.checks && delivery.order.fence < engine.fence;
-        if old || delivery.order.incarnation != Incarnation(engine.life) || engine.load.is_some() {
+        let is_stale = engine.checks_fence && delivery.order.fence < engine.fence;
+        if is_stale || delivery.order.incarnation != Incarnation(engine.incarnation) || engine.load.is_some() {
             return (now, Event::Refused(endpoint));
         }
         engine.fence = delivery.order.fence;
@@ -392,24 +394,27 @@
         };
         let domain = engine.domain;
         assert!(
-            self.begun[domain] <= delivery.order.fence,
-            "an old holder's order was acted on"
+            self.started[domain] <= delivery.order.fence,
+            "an order of an old holder was executed"
         );
-        self.begun[domain] = delivery.order.fence;
+        self.started[domain] = delivery.order.fence;
         if engine.weights.as_ref() == Some(weights) {
             self.redundant += 1;
             return (now, Event::Done(endpoint));
         }
         let (begin, end) = (now + wait, now + wait + work);
         engine.load = Some((begin, end, weights.clone(), delivery.order.fence));
-        let older = |other: &Engine| other.load.as_ref().is_some_and(|load| load.3 < delivery.order.fence);
-        let still = self.engines.iter().any(|other| other.domain == domain && older(other));
-        assert!(!still, "an old holder's order is still acted on");
+        let is_older = |other: &Engine| other.load.as_ref().is_some_and(|load| load.3 < delivery.order.fence);
+        let still_running = self
+            .engines
+            .iter()
+            .any(|other| other.domain == domain && is_older(other));
+        assert!(!still_running, "an order of an old holder has not ended");
         if !self.crashes {
             let other = |other: &&Engine| other.domain == domain && other.id != endpoint && other.load.is_none();
             assert!(
                 self.engines.iter().filter(other).any(|other| other.weights.is_some()),
-                "the last serving runner"
+                "the last serving runner was ordered to load"
             );
         }
         let answered = end < now + ORDER_CALL_TIMEOUT;
@@ -421,11 +426,11 @@
     }
 }
 
-/// A holder is paused past its lease, or cut from the platform, while another takes over. Some engines ignore fences,
-/// so that an order of the old holder would put old weights back, or take the last runner of a model out of service:
-/// users would get another version than the one announced, or wait for a load.
+/// A holder is paused beyond its lease, or disconnected from the platform, while another takes over. Some engines
+/// ignore fencing tokens. On them, an order of the old holder could restore old weights or take the last runner of a
+/// model out of service.
 #[test]
-fn one_holder_orders_at_a_time() {
+fn only_one_holder_at_a_time_issues_orders() {
     let (mut orders, mut holders, mut redundant) = (0, 0, 0);
     for seed in 0..60 {
         let mut run = Run::new(seed, seed % 2 == 1);
@@ -436,10 +441,10 @@
     }
     assert!(
         orders > 1000 && holders > 200,
-        "{orders} orders and {holders} holders are too few to show anything"
+        "too few cases tested: {orders} orders, {holders} holders"
     );
     assert!(
         redundant * 20 < orders,
-        "{redundant} of {orders} orders were for what the runner served already"
+        "{redundant} of {orders} orders were for weights that the runner already served"
     );
 }
