--- a/crates/lifecycle/src/claims/lease.rs
+++ b/crates/lifecycle/src/claims/lease.rs
@@ -48,7 +48,7 @@
     }
 
     /// The platform no longer knows the lease, as it said when refusing a write.
-    pub fn forgotten(&mut self) {
+    pub fn invalidate(&mut self) {
         self.current = None;
     }
 }
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -215,7 +215,7 @@
     shared.metrics.platform.with_label_values(&[label]).inc();
     if let PlatformError::Refused(_) = err {
         // The platform forgot the lease, as after its own restart: the next claim asks for another.
-        shared.claim_lease.lock().await.forgotten();
+        shared.claim_lease.lock().await.invalidate();
     }
     happened
 }
