--- a/crates/control/tests/holder.rs
+++ b/crates/control/tests/holder.rs
@@ -1,6 +1,8 @@
-//! When a holder may give orders, at the edges of its lease.
+//! When a holder may send orders, at the limits of its lease.
 
-use control::orders::{Assignment, Event, LEASE_MARGIN, LEASE_TTL, LONGEST_ORDER, OrderHolder, Runner, SlotSeen, Step};
+use control::orders::{
+    Assignment, Event, LEASE_MARGIN, LEASE_TTL, MAX_ORDER_DURATION, OrderHolder, Runner, SlotState, Step,
+};
 use ids::{EndpointId, Fence, Incarnation, ModelId, WeightsVersion};
 use std::time::Duration;
 
@@ -10,7 +12,7 @@
     EndpointId::from("engine")
 }
 
-/// A candidate that was granted a lease at 0, and has an empty runner to load.
+/// A candidate that was granted a lease at time 0 and has one empty runner to load.
 fn granted() -> OrderHolder {
     let mut holder = OrderHolder::new();
     let runner = Runner {
@@ -34,41 +36,42 @@
     holder
 }
 
-fn grant(asked: Duration) -> Event {
+fn grant(requested: Duration) -> Event {
     Event::Granted {
         id: Fence(1),
         ttl: LEASE_TTL,
-        asked,
+        requested,
     }
 }
 
-/// Holds since 0 and has just decided on a load, whose slot it has; gives the time.
-fn ordering() -> (OrderHolder, Duration) {
+/// A holder since time 0 that has a slot and has just issued a load order, and the time of the order.
+fn with_order() -> (OrderHolder, Duration) {
     let mut holder = granted();
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
-    let now = LONGEST_ORDER;
+    let now = MAX_ORDER_DURATION;
     holder.on(grant(now), now);
-    holder.on(Event::Slots([SlotSeen::Free; 2]), now);
+    holder.on(Event::Slots([SlotState::Free; 2]), now);
     let steps = holder.on(Event::SlotTaken(0), now);
     assert!(steps.iter().any(|step| matches!(step, Step::Send { .. })), "{steps:?}");
     (holder, now)
 }
 
-/// A lease lapsed while its holder was paused in the middle of an order, which still reaches an engine that ignores
-/// fences. A successor that began at once would let two orders run side by side, and the old one could end last.
+/// A lease lapses while its holder is paused during an order, and the order still reaches an engine that ignores
+/// fencing tokens. If the new holder started at once, two orders would run concurrently, and the old one could end
+/// last.
 #[test]
-fn a_successor_waits_for_the_longest_order() {
+fn a_new_holder_waits_for_the_last_order_of_the_old_one() {
     let mut holder = granted();
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
-    let early = holder.on(Event::Tick, LONGEST_ORDER - TICK);
+    let early = holder.on(Event::Tick, MAX_ORDER_DURATION - TICK);
     assert!(!early.contains(&Step::ReadSlots(Fence(1))), "{early:?}");
-    let then = holder.on(Event::Tick, LONGEST_ORDER);
+    let then = holder.on(Event::Tick, MAX_ORDER_DURATION);
     assert!(then.contains(&Step::ReadSlots(Fence(1))), "{then:?}");
 }
 
-/// The holder is paused between its decision and the write. The lease may be over before the engine has the order.
+/// The holder is paused between issuing an order and writing it. The lease may expire before the engine gets the order.
 #[test]
-fn no_order_leaves_in_the_last_part_of_a_lease() {
+fn no_order_is_sent_within_the_lease_margin() {
     let cases = [
         (Duration::ZERO, true),
         (LEASE_TTL - LEASE_MARGIN - TICK, true),
@@ -76,42 +79,42 @@
         (LEASE_TTL, false),
     ];
     for (pause, expected) in cases {
-        let (mut holder, now) = ordering();
-        // The time of the order's decision passes with the pause, and is not what is tested here.
-        if pause < LONGEST_ORDER {
+        let (mut holder, now) = with_order();
+        // The order itself would have expired during the pause, which is not tested here.
+        if pause < MAX_ORDER_DURATION {
             assert_eq!(holder.may_send(&engine(), now + pause), expected, "after {pause:?}");
             continue;
         }
         assert!(holder.may_send(&engine(), now));
-        holder.may_send(&engine(), now + LONGEST_ORDER - TICK);
+        holder.may_send(&engine(), now + MAX_ORDER_DURATION - TICK);
         assert_eq!(holder.may_send(&engine(), now + pause), expected, "after {pause:?}");
     }
 }
 
-/// An order is written some time after its decision. Its load may run that much longer, and a slot that is freed
-/// by the time of the decision would let a third runner load beside it.
+/// An order is written some time after it was issued, so its load ends later as well. If the slot were freed relative
+/// to the time of issue, a third runner could load at the same time.
 #[test]
-fn a_late_write_keeps_its_slot_longer() {
-    let (mut holder, now) = ordering();
+fn a_delayed_write_keeps_its_slot_longer() {
+    let (mut holder, now) = with_order();
     let written = now + Duration::from_secs(3);
     assert!(holder.may_send(&engine(), written));
     holder.on(grant(written), written);
-    let before = holder.on(Event::Tick, written + LONGEST_ORDER - TICK);
+    let before = holder.on(Event::Tick, written + MAX_ORDER_DURATION - TICK);
     assert!(!before.contains(&Step::FreeSlot(0)), "{before:?}");
-    let then = holder.on(Event::Tick, written + LONGEST_ORDER);
+    let then = holder.on(Event::Tick, written + MAX_ORDER_DURATION);
     assert!(then.contains(&Step::FreeSlot(0)), "{then:?}");
 }
 
-/// Another domain's holder lost its lease while its runner loads. Its slot is gone from the platform at once, and the
-/// load is not.
+/// The holder of another domain loses its lease while its runner loads. Its slot key disappears at once, but the load
+/// still runs.
 #[test]
-fn a_lapsed_slot_is_taken_after_the_longest_order() {
+fn a_lapsed_slot_is_taken_only_after_the_maximum_order_duration() {
     let mut holder = granted();
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
-    let mut now = LONGEST_ORDER;
+    let mut now = MAX_ORDER_DURATION;
     holder.on(grant(now), now);
-    let lapsed = || Event::Slots([SlotSeen::Held, SlotSeen::Lapsed]);
-    let free_at = now + LONGEST_ORDER;
+    let lapsed = || Event::Slots([SlotState::Held, SlotState::Lapsed]);
+    let free_at = now + MAX_ORDER_DURATION;
     while now < free_at {
         let steps = holder.on(lapsed(), now);
         assert!(
@@ -131,11 +134,11 @@
     );
 }
 
-/// The platform takes two seconds to answer. Its clock began somewhere in between, so that only the time of asking
-/// is safe to count from.
+/// The platform takes two seconds to answer. The lease started at an unknown time in between, so only the time of the
+/// request is a safe start.
 #[test]
-fn a_lease_is_counted_from_when_it_was_asked_for() {
-    let (mut holder, now) = ordering();
+fn lease_time_is_measured_from_the_request() {
+    let (mut holder, now) = with_order();
     holder.on(grant(now), now + Duration::from_secs(2));
     assert!(!holder.may_send(&engine(), now + LEASE_TTL - LEASE_MARGIN));
     assert_eq!(holder.fence(), Some(Fence(1)));
--- a/crates/gateway/src/follow/members.rs
+++ b/crates/gateway/src/follow/members.rs
@@ -2,7 +2,7 @@
 
 use crate::shared::Shared;
 use async_std::future::timeout;
-use control::following::{UpdateSource, lead, wide};
+use control::following::{UpdateSource, eligible_leaders, update_source};
 use control::rendezvous;
 use ids::{DomainId, VmId};
 use rand::seq::IteratorRandom;
@@ -114,8 +114,8 @@
             .iter()
             .map(|(vm, member)| (vm.clone(), member.link))
             .collect();
-        let followed = wide(&link_speeds);
-        let UpdateSource::Routers(leaders) = lead(own, domain, &followed) else {
+        let followed = eligible_leaders(&link_speeds);
+        let UpdateSource::Routers(leaders) = update_source(own, domain, &followed) else {
             return Vec::new();
         };
         let member = |vm: &VmId| self.same_domain.iter().find(|(known, _)| known == vm);
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -13,7 +13,7 @@
 use http::raw::{Answer, ExchangeError, Headers, Source, exchange};
 use ids::EndpointId;
 use lifecycle::events::EventSplitter;
-use lifecycle::request::{Repeat, Request, RequestEvent, RequestState, RequestStep};
+use lifecycle::request::{Request, RequestEvent, RequestState, RequestStep, RetryPolicy};
 use std::future::Future;
 use std::pin::pin;
 use std::sync::Arc;
@@ -83,9 +83,9 @@
 impl<'a> Attempts<'a> {
     pub(super) fn new(shared: &'a Arc<Shared>, request: &'a RoutedRequest<'a>, record: &'a mut Record) -> Self {
         let repeat = if request.route.kind.repeatable() {
-            Repeat::Idempotent
+            RetryPolicy::Idempotent
         } else {
-            Repeat::Once
+            RetryPolicy::Once
         };
         Self {
             shared,
@@ -481,8 +481,8 @@
 
     pub(super) fn response_broken(&mut self, in_flight: &InFlightAttempt<'_>) -> AttemptResult {
         in_flight.outcome(Outcome::Broken);
-        self.events.broke();
-        self.lifecycle.on(RequestEvent::AnswerBroke);
+        self.events.discard_partial();
+        self.lifecycle.on(RequestEvent::AnswerFailed);
         AttemptResult::Failed(Failure::Broken)
     }
 
@@ -511,7 +511,7 @@
         let response = CompleteResponse { status, headers, body };
         if status >= 500 && self.repeatable() {
             in_flight.outcome(Outcome::Failed);
-            self.lifecycle.on(RequestEvent::AnswerBroke);
+            self.lifecycle.on(RequestEvent::AnswerFailed);
             return AttemptResult::ServerError(response);
         }
         if status >= 500 {
@@ -519,7 +519,7 @@
         } else {
             in_flight.answered();
         }
-        self.lifecycle.on(RequestEvent::AnswerWhole);
+        self.lifecycle.on(RequestEvent::AnswerComplete);
         AttemptResult::Complete(response)
     }
 
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -84,14 +84,14 @@
 
     fn timed_out(self) -> AttemptResult {
         self.in_flight.outcome(Outcome::Timeout);
-        self.attempts.events.broke();
-        self.attempts.lifecycle.on(RequestEvent::AnswerBroke);
+        self.attempts.events.discard_partial();
+        self.attempts.lifecycle.on(RequestEvent::AnswerFailed);
         AttemptResult::Failed(Failure::Timeout)
     }
 
     fn cancelled(self) -> AttemptResult {
-        self.attempts.events.broke();
-        self.attempts.lifecycle.on(RequestEvent::AnswerBroke);
+        self.attempts.events.discard_partial();
+        self.attempts.lifecycle.on(RequestEvent::AnswerFailed);
         self.attempts.cancelled(self.in_flight)
     }
 
@@ -111,7 +111,7 @@
         if self.write(answer, &rest, true).await == WriteResult::ClientGone {
             return AttemptResult::Ended(self.attempts.client_gone());
         }
-        self.attempts.lifecycle.on(RequestEvent::AnswerWhole);
+        self.attempts.lifecycle.on(RequestEvent::AnswerComplete);
         if answer.clean && answer.head.keeps() {
             let connections = &self.attempts.shared.connections;
             connections.put_back(&self.in_flight.picked.endpoint, source, info.keep_alive);
--- a/crates/lifecycle/src/claims/acquire.rs
+++ b/crates/lifecycle/src/claims/acquire.rs
@@ -1,7 +1,7 @@
 //! Winning a claim.
 
-use super::held::Held;
-use super::record::{ClaimState, Kept, Nonce, Record, Seen};
+use super::held::HeldClaim;
+use super::record::{ClaimState, EntryState, Nonce, Record, StoredAnswer};
 use super::settle::{Settle, SettleStep};
 use ids::{Digest, Version};
 use std::time::Duration;
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimLimits {
     /// How long to try to win the claim; never longer than the caller waits.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Longest time from the beginning of the claim's first write to the send. A holder that was paused for
     /// longer must not send: its caller has gone, and others may already be told that the outcome is unknown.
     pub margin: Duration,
@@ -34,7 +34,7 @@
 impl Default for ClaimLimits {
     fn default() -> Self {
         Self {
-            patience: Duration::from_secs(2),
+            timeout: Duration::from_secs(2),
             margin: Duration::from_secs(5),
             lapse: Duration::from_secs(120),
             pause: Duration::from_millis(50),
@@ -61,9 +61,9 @@
     /// The write took effect and gave this version.
     Written(Version),
     /// The write was refused, as the entry is this now.
-    Conflict(Seen<'a>),
+    Conflict(EntryState<'a>),
     /// A read's answer.
-    Read(Seen<'a>),
+    Read(EntryState<'a>),
     /// No answer came: a write may have taken effect, or may still do so.
     Lost,
     /// Nothing was sent to the platform (no connection).
@@ -86,10 +86,10 @@
     Read,
     /// Wait, then give [`ClaimEvent::Tick`].
     Wait(Duration),
-    /// The claim is won; ask [`Held::may_send`] right before the send.
-    Won(Held),
+    /// The claim is won; ask [`HeldClaim::may_send`] right before the send.
+    Won(HeldClaim),
     /// Answer with this kept result; if its body was too large, say that the call ran and its result was not kept.
-    Answer(Kept),
+    Answer(StoredAnswer),
     /// Say that the call is still running, unknown for now.
     InProgress,
     /// Say that the outcome is unknown; nobody will run it again.
@@ -169,7 +169,7 @@
     }
 
     /// What the entry says. Whatever cannot be read or is not ours is never run.
-    fn judge(&mut self, seen: Seen<'_>, now: Duration) -> ClaimStep {
+    fn judge(&mut self, seen: EntryState<'_>, now: Duration) -> ClaimStep {
         let Some(value) = seen.value else {
             if self.late(now) {
                 return self.end(ClaimStep::Unavailable(self.unclaimed()));
@@ -199,7 +199,7 @@
     }
 
     fn late(&self, now: Duration) -> bool {
-        now.saturating_sub(self.begun) > self.limits.patience
+        now.saturating_sub(self.begun) > self.limits.timeout
     }
 
     /// Without a claim, an earlier attempt may have run, unless the caller states that there was none.
@@ -239,7 +239,7 @@
     }
 
     fn won(&mut self, version: Version) -> ClaimStep {
-        let held = Held {
+        let held = HeldClaim {
             record: self.record(),
             version,
             until: self.begun + self.limits.margin,
--- a/crates/lifecycle/src/claims/lease.rs
+++ b/crates/lifecycle/src/claims/lease.rs
@@ -16,15 +16,15 @@
 
 /// Time to live of a lease. Its excess over [`REMEMBERED`] and [`USED_FOR`] covers a router that is stopped
 /// between taking the lease and writing with it: 23 hours.
-pub const TIME_TO_LIVE: Duration = Duration::from_secs(48 * 3600);
+pub const CLAIM_LEASE_TTL: Duration = Duration::from_secs(48 * 3600);
 
 /// What to do before a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum LeaseStep {
     /// Write under this lease.
     Use(u64),
-    /// Ask for a new lease of [`TIME_TO_LIVE`] first; without it no claim can be made.
-    Grant,
+    /// Ask for a new lease of [`CLAIM_LEASE_TTL`] first; without it no claim can be made.
+    RequestNew,
 }
 
 /// The lease under which a router writes its claims; never renewed, never revoked.
@@ -38,7 +38,7 @@
     pub fn step(&self, now: Duration) -> LeaseStep {
         match self.current {
             Some((id, asked)) if now.saturating_sub(asked) < USED_FOR => LeaseStep::Use(id),
-            _ => LeaseStep::Grant,
+            _ => LeaseStep::RequestNew,
         }
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// The platform no longer knows the lease, as it said when refusing a write.
-    pub fn forgotten(&mut self) {
+    pub fn invalidate(&mut self) {
         self.current = None;
     }
 }
--- a/crates/lifecycle/src/claims/record.rs
+++ b/crates/lifecycle/src/claims/record.rs
@@ -39,14 +39,14 @@
     /// It may be running.
     Claimed,
     /// It ran, and this was the endpoint's answer.
-    Done(Kept),
+    Done(StoredAnswer),
     /// It may have run, and nobody will know.
     Unknown,
 }
 
 /// An endpoint's whole answer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type, if the endpoint named one.
@@ -69,7 +69,7 @@
 
 impl Body {
     /// What is kept of `body`.
-    pub fn keep(body: &[u8]) -> Self {
+    pub fn from_bytes(body: &[u8]) -> Self {
         if body.len() > KEPT_BYTES {
             return Self::TooLarge(body.len() as u64);
         }
@@ -80,7 +80,7 @@
     }
 
     /// The whole body, unless it was too large to keep.
-    pub fn whole(&self) -> Option<&[u8]> {
+    pub fn as_bytes(&self) -> Option<&[u8]> {
         match self {
             Self::Text(text) => Some(text.as_bytes()),
             Self::Bytes(bytes) => Some(bytes),
@@ -91,7 +91,7 @@
 
 /// What the platform showed of a claim's entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen<'a> {
+pub struct EntryState<'a> {
     /// Version of the entry, 0 if it never existed.
     pub version: Version,
     /// Its value, absent if it does not exist.
--- a/crates/lifecycle/src/claims/settle.rs
+++ b/crates/lifecycle/src/claims/settle.rs
@@ -1,8 +1,8 @@
 //! Writing down how a claimed call ended, so that a retry at any router is told the same.
 
 use super::acquire::ClaimEvent;
-use super::held::Held;
-use super::record::{ClaimState, Kept, Record, Seen};
+use super::held::HeldClaim;
+use super::record::{ClaimState, EntryState, Record, StoredAnswer};
 use ids::Version;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The endpoint's whole answer.
-    Done(Kept),
+    Done(StoredAnswer),
     /// It may have run.
     Unknown,
     /// It was never sent: the key becomes free again.
@@ -60,7 +60,7 @@
     /// Begins to write `outcome` down, and goes on trying for as long as `patience`.
     ///
     /// A claim that may have been sent is never released: [`Outcome::NotSent`] becomes unknown then.
-    pub fn start(held: Held, outcome: Outcome, pause: Duration, until: Duration) -> (Self, SettleStep) {
+    pub fn start(held: HeldClaim, outcome: Outcome, pause: Duration, until: Duration) -> (Self, SettleStep) {
         let wanted = match outcome {
             Outcome::Done(kept) => Some(ClaimState::Done(kept)),
             Outcome::NotSent if !held.used() => None,
@@ -110,7 +110,7 @@
         }
     }
 
-    fn judge(&mut self, seen: Seen<'_>) -> SettleStep {
+    fn judge(&mut self, seen: EntryState<'_>) -> SettleStep {
         let Some(value) = seen.value else {
             return self.end(self.wanted.is_none());
         };
--- a/crates/lifecycle/src/stream.rs
+++ b/crates/lifecycle/src/stream.rs
@@ -8,7 +8,7 @@
 
 /// Verdict on the head of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Head {
+pub enum HeadVerdict {
     /// It is this request's; read on.
     Accept,
     /// It bears another request's id or none: close the connection, pass nothing on.
@@ -19,7 +19,7 @@
 
 /// Verdict on a piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Piece {
+pub enum PieceVerdict {
     /// The next one: pass it on.
     Deliver,
     /// Delivered before: drop it.
@@ -32,9 +32,9 @@
 
 /// What the end of a connection means.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Break {
+pub enum ConnectionEnd {
     /// The end mark had come: the stream is whole.
-    Whole,
+    Complete,
     /// No piece was delivered: the request may be sent anew with any weights.
     Restart,
     /// Resume from this piece, only at an engine with these weights.
@@ -70,34 +70,34 @@
     }
 
     /// The head of a connection's answer: the id it echoes and the weights it names.
-    pub fn on_head(&mut self, echoed: Option<&str>, weights: Option<&str>) -> Head {
+    pub fn on_head(&mut self, echoed: Option<&str>, weights: Option<&str>) -> HeadVerdict {
         self.open = false;
         if echoed != Some(self.request.as_str()) {
-            return Head::OtherRequest;
+            return HeadVerdict::OtherRequest;
         }
         if self.next > 0 && !self.same_weights(weights) {
-            return Head::OtherWeights;
+            return HeadVerdict::OtherWeights;
         }
         if self.next == 0 {
             self.weights = weights.map(WeightsVersion::from);
         }
         self.open = true;
-        Head::Accept
+        HeadVerdict::Accept
     }
 
     /// A piece with its number.
-    pub fn on_piece(&mut self, number: u64) -> Piece {
+    pub fn on_piece(&mut self, number: u64) -> PieceVerdict {
         if !self.open || self.whole {
-            return Piece::Unexpected;
+            return PieceVerdict::Unexpected;
         }
         if number < self.next {
-            return Piece::Duplicate;
+            return PieceVerdict::Duplicate;
         }
         if number > self.next {
-            return Piece::Gap;
+            return PieceVerdict::Gap;
         }
         self.next += 1;
-        Piece::Deliver
+        PieceVerdict::Deliver
     }
 
     /// The end mark `[DONE]`; true if the stream is whole now and had not been before.
@@ -108,15 +108,15 @@
     }
 
     /// The connection ended, for whatever reason.
-    pub fn on_break(&mut self) -> Break {
+    pub fn on_break(&mut self) -> ConnectionEnd {
         self.open = false;
         if self.whole {
-            return Break::Whole;
+            return ConnectionEnd::Complete;
         }
         if self.next == 0 {
-            return Break::Restart;
+            return ConnectionEnd::Restart;
         }
-        Break::Resume {
+        ConnectionEnd::Resume {
             from: self.next,
             weights: self.weights.clone(),
         }
--- a/crates/lifecycle/tests/claims.rs
+++ b/crates/lifecycle/tests/claims.rs
@@ -41,14 +41,14 @@
     version: u64,
     late: Vec<(Option<String>, Version)>,
     executed: Vec<Digest>,
-    result: Option<Kept>,
+    result: Option<StoredAnswer>,
     faults: u64,
     said: Vec<&'static str>,
 }
 
 impl World {
-    fn seen(&self) -> Seen<'_> {
-        Seen {
+    fn seen(&self) -> EntryState<'_> {
+        EntryState {
             version: Version(self.version),
             value: self.value.as_deref(),
         }
@@ -103,7 +103,7 @@
     }
 
     /// The send of a claim's holder and what comes of it.
-    fn send(&mut self, random: &mut ChaCha8Rng, router: &mut Router, mut held: Held) -> Doing {
+    fn send(&mut self, random: &mut ChaCha8Rng, router: &mut Router, mut held: HeldClaim) -> Doing {
         if random.random_range(0..4) == 0 {
             self.faults += 1;
             self.now += Duration::from_secs(random.random_range(0..12));
@@ -114,10 +114,10 @@
             assert!(self.now <= router.begun + MARGIN, "a paused holder sent");
             assert_eq!(held.may_send(self.now), MaySend::Never, "one claim allowed two sends");
             router.sends += 1;
-            let kept = Kept {
+            let kept = StoredAnswer {
                 status: 200,
                 content: None,
-                body: Body::keep(format!("{:?}", self.now).as_bytes()),
+                body: Body::from_bytes(format!("{:?}", self.now).as_bytes()),
             };
             let fault = random.random_range(0..4);
             self.faults += u64::from(fault < 2);
@@ -362,7 +362,7 @@
     };
     let (mut claim, _) = Claim::start(request, ClaimLimits::default(), Duration::ZERO);
     claim.on(ClaimEvent::Lost, Duration::ZERO);
-    let seen = Seen {
+    let seen = EntryState {
         version: Version(3),
         value: case.0.as_deref(),
     };
@@ -379,10 +379,10 @@
 #[test]
 fn what_a_router_makes_of_an_entry() {
     let done = |body: &[u8]| {
-        ClaimState::Done(Kept {
+        ClaimState::Done(StoredAnswer {
             status: 200,
             content: None,
-            body: Body::keep(body),
+            body: Body::from_bytes(body),
         })
     };
     let large = vec![b'x'; KEPT_BYTES + 1];
@@ -398,15 +398,15 @@
         Case(entry(2, b"other", 1, done(b"whole")), "KeyReused"),
         Case(
             entry(2, b"mine", 1, done(b"whole")),
-            "Answer(Kept { status: 200, content: None, body: Text(\"whole\") }",
+            "Answer(StoredAnswer { status: 200, content: None, body: Text(\"whole\") }",
         ),
         Case(
             entry(2, b"mine", 1, done(&[0xff, 0])),
-            "Answer(Kept { status: 200, content: None, body: Bytes([255, 0]) })",
+            "Answer(StoredAnswer { status: 200, content: None, body: Bytes([255, 0]) })",
         ),
         Case(
             entry(2, b"mine", 1, done(&large)),
-            "Answer(Kept { status: 200, content: None, body: TooLarge(65537) })",
+            "Answer(StoredAnswer { status: 200, content: None, body: TooLarge(65537) })",
         ),
     ];
     cases.iter().for_each(check);
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -6,8 +6,8 @@
 use async_std::task;
 use ids::{IdempotencyKey, Version, WorkspaceId};
 use lifecycle::claims::{
-    Attempt, Body, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep, Held, Kept, LeaseStep, Nonce, Outcome,
-    Seen, Settle, SettleStep, TIME_TO_LIVE, call_digest, claim_key,
+    Attempt, Body, CLAIM_LEASE_TTL, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep, EntryState, HeldClaim,
+    LeaseStep, Nonce, Outcome, Settle, SettleStep, StoredAnswer, call_digest, claim_key,
 };
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -30,9 +30,9 @@
 /// What came of a claim.
 pub enum Claimed {
     /// The call is this router's.
-    Won(Held),
+    Won(HeldClaim),
     /// It has run; this was its answer.
-    Answer(Kept),
+    Answer(StoredAnswer),
     /// It is not run now.
     Refused(Refused),
 }
@@ -57,7 +57,7 @@
         wall: wall_ms(),
         attempt,
     };
-    let Some(lease) = lease_within(shared, limits.patience).await else {
+    let Some(lease) = lease_within(shared, limits.timeout).await else {
         let ran = if attempt == Attempt::First {
             Ran::NotRun
         } else {
@@ -110,7 +110,13 @@
 
 /// Writes down how a claimed call ended. Waits a while for it, then goes on in the background; a shutdown waits
 /// for what is left.
-pub async fn settle(shared: &Arc<Shared>, workspace: &WorkspaceId, key: &IdempotencyKey, held: Held, outcome: Outcome) {
+pub async fn settle(
+    shared: &Arc<Shared>,
+    workspace: &WorkspaceId,
+    key: &IdempotencyKey,
+    held: HeldClaim,
+    outcome: Outcome,
+) {
     let name = claim_key(workspace, key);
     let outcome = match outcome {
         Outcome::Done(kept) => Outcome::Done(bounded(kept)),
@@ -126,7 +132,7 @@
     let _ = http::timeout(SETTLE_WAIT, settling).await;
 }
 
-async fn run_settle(shared: &Arc<Shared>, name: &str, held: Held, outcome: Outcome) {
+async fn run_settle(shared: &Arc<Shared>, name: &str, held: HeldClaim, outcome: Outcome) {
     let until = shared.clock.now() + SETTLE_PATIENCE;
     let Some(lease) = lease_within(shared, SETTLE_PATIENCE).await else {
         shared.metrics.platform.with_label_values(&["settle_gave_up"]).inc();
@@ -172,8 +178,8 @@
     let asked = shared.clock.now();
     match current.step(asked) {
         LeaseStep::Use(id) => Some(id),
-        LeaseStep::Grant => {
-            let lease = shared.platform.grant(TIME_TO_LIVE).await.ok()?;
+        LeaseStep::RequestNew => {
+            let lease = shared.platform.grant(CLAIM_LEASE_TTL).await.ok()?;
             current.granted(lease.id, asked);
             Some(lease.id)
         }
@@ -209,7 +215,7 @@
     shared.metrics.platform.with_label_values(&[label]).inc();
     if let PlatformError::Refused(_) = err {
         // The platform forgot the lease, as after its own restart: the next claim asks for another.
-        shared.claim_lease.lock().await.forgotten();
+        shared.claim_lease.lock().await.invalidate();
     }
     happened
 }
@@ -230,13 +236,13 @@
     }
 }
 
-fn seen(entry: Option<&Entry>) -> Seen<'_> {
+fn seen(entry: Option<&Entry>) -> EntryState<'_> {
     match entry {
-        Some(entry) => Seen {
+        Some(entry) => EntryState {
             version: entry.version,
             value: entry.value.as_deref(),
         },
-        None => Seen {
+        None => EntryState {
             version: Version(0),
             value: None,
         },
@@ -244,9 +250,9 @@
 }
 
 /// The result as it is kept: a large body is not.
-fn bounded(kept: Kept) -> Kept {
-    let body = kept.body.whole().map_or(Body::TooLarge(0), Body::keep);
-    Kept { body, ..kept }
+fn bounded(kept: StoredAnswer) -> StoredAnswer {
+    let body = kept.body.as_bytes().map_or(Body::TooLarge(0), Body::from_bytes);
+    StoredAnswer { body, ..kept }
 }
 
 fn digest(call: &Call) -> ids::Digest {
--- a/crates/router/src/caller/completion.rs
+++ b/crates/router/src/caller/completion.rs
@@ -11,7 +11,7 @@
 use admission::{Job, Tokens};
 use http::{Response, StatusCode};
 use ids::{Incarnation, ModelId, WeightsVersion};
-use lifecycle::request::{Repeat, RequestEvent};
+use lifecycle::request::{RequestEvent, RetryPolicy};
 use placement::{PrefixChain, Scope};
 use serde::Deserialize;
 use std::cmp::Reverse;
@@ -54,7 +54,7 @@
             return Err(refusal.into());
         }
     };
-    let mut attempts = Attempts::new(shared, call, permit, Repeat::Idempotent);
+    let mut attempts = Attempts::new(shared, call, permit, RetryPolicy::Idempotent);
     attempts.chain = chain;
     attempts.weights = weights;
     let opened = attempts.open(send_pooled).await?;
@@ -108,7 +108,7 @@
         let first_token = opened.flight.first_token(shown.uncached);
         if let Some(body) = read(&attempts, opened.reply).await {
             attempts.shared.metrics.first_token.observe(first_token.as_secs_f64());
-            attempts.life.on(RequestEvent::AnswerWhole);
+            attempts.life.on(RequestEvent::AnswerComplete);
             let tokens = Tokens {
                 uncached: shown.uncached,
                 output: output(&body),
@@ -118,7 +118,7 @@
             return Ok(respond(status, content.as_deref(), body));
         }
         attempts.cancel(&opened.flight);
-        attempts.life.on(RequestEvent::AnswerBroke);
+        attempts.life.on(RequestEvent::AnswerFailed);
         attempts.again(opened.flight).await?;
         opened = attempts.open(send_pooled).await?;
         shown = seen(&attempts, &opened);
--- a/crates/router/src/caller/service.rs
+++ b/crates/router/src/caller/service.rs
@@ -11,7 +11,7 @@
 use admission::Tokens;
 use http::{Reply, Response, SendError};
 use ids::{IdempotencyKey, ServiceId};
-use lifecycle::claims::{Attempt, Guard, Held, Kept, MaySend, Outcome, guard};
+use lifecycle::claims::{Attempt, Guard, HeldClaim, MaySend, Outcome, StoredAnswer, guard};
 use lifecycle::request::{RequestEvent, RequestState};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -46,7 +46,7 @@
         (Guard::SingleSend | Guard::Claim, _) => single(attempts).await,
     }?;
     limit.settle(0);
-    let body = answer.body.whole().map(<[u8]>::to_vec).unwrap_or_default();
+    let body = answer.body.as_bytes().map(<[u8]>::to_vec).unwrap_or_default();
     let status = http::StatusCode::try_from(answer.status).unwrap_or(http::StatusCode::BadGateway);
     Ok(respond(status, answer.content.as_deref(), body))
 }
@@ -78,28 +78,28 @@
     refused
 }
 
-async fn repeatable(mut attempts: Attempts) -> Result<Kept, Refused> {
+async fn repeatable(mut attempts: Attempts) -> Result<StoredAnswer, Refused> {
     loop {
         let opened = attempts.open(send_pooled).await?;
         let kept = read(&attempts, opened.reply).await;
         if let Some(kept) = kept {
-            attempts.life.on(RequestEvent::AnswerWhole);
+            attempts.life.on(RequestEvent::AnswerComplete);
             let after = opened.flight.first_token(0);
             attempts.permit.served(after, Tokens::default());
             return Ok(kept);
         }
-        attempts.life.on(RequestEvent::AnswerBroke);
+        attempts.life.on(RequestEvent::AnswerFailed);
         attempts.again(opened.flight).await?;
     }
 }
 
 /// Sends once, without a claim: the caller gave no key, so its own retry would be another call.
-async fn single(attempts: Attempts) -> Result<Kept, Refused> {
+async fn single(attempts: Attempts) -> Result<StoredAnswer, Refused> {
     let (result, _) = send_once(attempts, || true, || ()).await;
     result
 }
 
-async fn claimed(mut attempts: Attempts, key: IdempotencyKey, attempt: Attempt) -> Result<Kept, Refused> {
+async fn claimed(mut attempts: Attempts, key: IdempotencyKey, attempt: Attempt) -> Result<StoredAnswer, Refused> {
     let shared = attempts.shared.clone();
     let held = match claim::claim(&shared, &attempts.call, &key, attempt).await {
         Claimed::Won(held) => held,
@@ -132,7 +132,7 @@
 }
 
 /// The kept answer of an earlier attempt.
-fn replay(kept: Kept, key: IdempotencyKey) -> Result<Kept, Refused> {
+fn replay(kept: StoredAnswer, key: IdempotencyKey) -> Result<StoredAnswer, Refused> {
     match kept.body {
         lifecycle::claims::Body::TooLarge(size) => Err(Refused::with(Cause::NotKept(key, size), Ran::Unknown)),
         _ => Ok(kept),
@@ -144,7 +144,7 @@
     mut attempts: Attempts,
     may_send: impl Fn() -> bool + Clone + Send + Sync + 'static,
     refused: impl Fn() + Clone + Send + Sync + 'static,
-) -> (Result<Kept, Refused>, RequestState) {
+) -> (Result<StoredAnswer, Refused>, RequestState) {
     let opened = attempts
         .open(|shared, request, body, to, within| {
             let (may_send, refused) = (may_send.clone(), refused.clone());
@@ -163,11 +163,11 @@
         Err(refused) => return (Err(refused), attempts.life.state()),
     };
     let Some(kept) = read(&attempts, opened.reply).await else {
-        attempts.life.on(RequestEvent::AnswerBroke);
+        attempts.life.on(RequestEvent::AnswerFailed);
         let refused = Refused::with(Cause::Endpoint, attempts.life.ran());
         return (Err(refused), attempts.life.state());
     };
-    attempts.life.on(RequestEvent::AnswerWhole);
+    attempts.life.on(RequestEvent::AnswerComplete);
     let after = opened.flight.first_token(0);
     attempts.permit.served(after, Tokens::default());
     (Ok(kept), RequestState::Answered)
@@ -185,13 +185,13 @@
 }
 
 /// The whole answer, none if it is not whole.
-async fn read(attempts: &Attempts, reply: Reply) -> Option<Kept> {
+async fn read(attempts: &Attempts, reply: Reply) -> Option<StoredAnswer> {
     let status = u16::from(reply.status());
     let content = reply.header("content-type").map(str::to_owned);
     let left = attempts.call.left(&attempts.shared)?;
     let limit = attempts.shared.settings.limits.answer_bytes;
     let body = http::timeout(left, reply.whole(limit)).await.ok()?.ok()?;
-    Some(Kept {
+    Some(StoredAnswer {
         status,
         content,
         body: whole_body(body),
@@ -205,6 +205,6 @@
     }
 }
 
-fn lock(held: &Mutex<Held>) -> std::sync::MutexGuard<'_, Held> {
+fn lock(held: &Mutex<HeldClaim>) -> std::sync::MutexGuard<'_, HeldClaim> {
     held.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/router/src/caller/stream.rs
+++ b/crates/router/src/caller/stream.rs
@@ -15,7 +15,7 @@
 use http::{Body, Piece, Pieces, Reply, Response, StatusCode};
 use ids::WeightsVersion;
 use lifecycle::request::RequestEvent;
-use lifecycle::stream::{Break, Head, Piece as Verdict, StreamAssembler};
+use lifecycle::stream::{ConnectionEnd, HeadVerdict, PieceVerdict as Verdict, StreamAssembler};
 use std::fmt::Write;
 use std::io;
 use std::time::Duration;
@@ -37,7 +37,7 @@
 pub async fn answer(mut attempts: Attempts, opened: Opened, seen: Seen, limit: Taken) -> Result<Response, Refused> {
     let mut assembler = StreamAssembler::new(attempts.call.id.clone());
     let head = on_head(&mut assembler, &opened.reply);
-    debug_assert_eq!(head, Head::Accept, "the attempt has judged this head already");
+    debug_assert_eq!(head, HeadVerdict::Accept, "the attempt has judged this head already");
     // From here on only the weights that began the stream can go on with it.
     attempts.weights = opened
         .reply
@@ -68,7 +68,7 @@
     Ok(response)
 }
 
-fn on_head(assembler: &mut StreamAssembler, reply: &Reply) -> Head {
+fn on_head(assembler: &mut StreamAssembler, reply: &Reply) -> HeadVerdict {
     assembler.on_head(reply.header(headers::REQUEST_ID), reply.header(headers::WEIGHTS))
 }
 
@@ -109,7 +109,7 @@
                 }
                 End::Broken => {}
             }
-            self.attempts.life.on(RequestEvent::AnswerBroke);
+            self.attempts.life.on(RequestEvent::AnswerFailed);
             self.attempts.tell(&flight, Sighting::Broke);
             let Some(next) = self.resume(flight).await else {
                 return self.fail(Cause::Endpoint).await;
@@ -192,9 +192,9 @@
         while self.resumes < RESUMES {
             self.resumes += 1;
             let from = match self.assembler.on_break() {
-                Break::Whole => return None,
-                Break::Restart => 0,
-                Break::Resume { from, .. } => from,
+                ConnectionEnd::Complete => return None,
+                ConnectionEnd::Restart => 0,
+                ConnectionEnd::Resume { from, .. } => from,
             };
             let left = self.attempts.call.left(&self.attempts.shared)?;
             let flight = self.attempts.place_again(last)?;
@@ -208,7 +208,7 @@
                 self.attempts.tell(&flight, Sighting::Broke);
                 continue;
             };
-            if !reply.status().is_success() || on_head(&mut self.assembler, &reply) != Head::Accept {
+            if !reply.status().is_success() || on_head(&mut self.assembler, &reply) != HeadVerdict::Accept {
                 self.attempts.life.on(RequestEvent::SendFailed);
                 reply.close();
                 continue;
@@ -218,13 +218,13 @@
                 self.attempts.shared.metrics.resumed.inc();
                 return Some((flight, pieces));
             }
-            self.attempts.life.on(RequestEvent::AnswerBroke);
+            self.attempts.life.on(RequestEvent::AnswerFailed);
         }
         None
     }
 
     fn served(mut self) {
-        self.attempts.life.on(RequestEvent::AnswerWhole);
+        self.attempts.life.on(RequestEvent::AnswerComplete);
         let tokens = Tokens {
             uncached: self.seen.uncached,
             output: self.assembler.resume_from(),
