--- a/crates/dispatch/src/fleet/candidates.rs
+++ b/crates/dispatch/src/fleet/candidates.rs
@@ -1,7 +1,7 @@
 //! Filters the endpoints that may serve a request.
 
-use super::known::EndpointState;
-use super::names::Target;
+use super::endpoint_state::EndpointState;
+use super::targets::Target;
 use super::{Fleet, PickContext, Prompt, ShortKey};
 use control::health::HealthState;
 use ids::ModelId;
--- a/crates/dispatch/src/fleet/known.rs
+++ b/crates/dispatch/src/fleet/endpoint_state.rs
@@ -1,6 +1,6 @@
 //! One router's state of a single endpoint.
 
-use crate::fade;
+use crate::decay;
 use crate::site::EndpointEntry;
 use ids::ModelId;
 use placement::EndpointKey;
@@ -234,7 +234,7 @@
     /// no requests, could not succeed and would be avoided for ever.
     pub(super) fn failure_share(&self, now: Duration) -> f64 {
         let (share, at) = self.failure_share;
-        share * fade::remaining(now.saturating_sub(at), FAILURE_HALF_LIFE_SECS)
+        share * decay::remaining(now.saturating_sub(at), FAILURE_HALF_LIFE_SECS)
     }
 
     pub(super) fn latency(&self) -> Option<f64> {
@@ -245,7 +245,7 @@
     /// requests first, so it doesn't show that the queue is short.
     pub(super) fn recent_delay(&self, now: Duration) -> Duration {
         let (delay, at) = self.recent_delay;
-        delay.mul_f64(fade::remaining(now.saturating_sub(at), DELAY_HALF_LIFE_SECS))
+        delay.mul_f64(decay::remaining(now.saturating_sub(at), DELAY_HALF_LIFE_SECS))
     }
 
     /// Estimated number of requests running or waiting at the endpoint, from all routers.
@@ -261,6 +261,7 @@
 
     fn decayed(&self, now: Duration, count: impl Fn(LoadReport) -> u32) -> f64 {
         let Some(latest) = self.report else { return 0.0 };
-        f64::from(count(latest.report)) * fade::remaining(now.saturating_sub(latest.reported_at), REPORT_HALF_LIFE_SECS)
+        f64::from(count(latest.report))
+            * decay::remaining(now.saturating_sub(latest.reported_at), REPORT_HALF_LIFE_SECS)
     }
 }
--- a/crates/dispatch/src/fleet/engines.rs
+++ b/crates/dispatch/src/fleet/engines.rs
@@ -4,7 +4,7 @@
 //! placer ranks engines by hashes of the nested prefixes and weighs the tokens to be read again against the queue of
 //! each engine.
 
-use super::known::EndpointState;
+use super::endpoint_state::EndpointState;
 use super::{Choice, Fleet, PickContext, PickedEndpoint, ShortKey};
 use ids::{Incarnation, ModelId};
 use placement::{Candidate, Placer, PrefixChain};
--- a/crates/dispatch/src/fleet/lanes.rs
+++ b/crates/dispatch/src/fleet/lanes.rs
@@ -7,8 +7,8 @@
 //! lanes assigned by hash they don't need to.
 
 use super::Prompt;
-use super::known::EndpointState;
-use crate::fade;
+use super::endpoint_state::EndpointState;
+use crate::decay;
 use placement::{EndpointKey, score};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -72,7 +72,7 @@
     }
 
     pub(super) fn current(&self, now: Duration) -> LaneTokens {
-        let factor = fade::remaining(now.saturating_sub(self.updated_at), HALF_LIFE_SECS);
+        let factor = decay::remaining(now.saturating_sub(self.updated_at), HALF_LIFE_SECS);
         LaneTokens {
             reading: self.tokens.reading * factor,
             generating: self.tokens.generating * factor,
--- a/crates/dispatch/src/fleet/mod.rs
+++ b/crates/dispatch/src/fleet/mod.rs
@@ -6,21 +6,21 @@
 //! hashing, so routers agree without communicating.
 
 mod backlogs;
-mod begin;
 mod candidates;
+mod endpoint_state;
 mod engines;
-mod known;
 pub(crate) mod lanes;
-mod names;
 mod plain;
-mod rates;
+mod rate_limits;
+mod staleness;
+mod targets;
 
 pub use backlogs::Backlog;
+pub use endpoint_state::{LoadReport, LoadUpdate, Outcome, ShortKey};
 pub use engines::{Prompt, PromptPart};
-pub use known::{LoadReport, LoadUpdate, Outcome, ShortKey};
 pub use lanes::LaneTokens;
-pub use names::{Staleness, TargetAge};
-pub use rates::RateUpdate;
+pub use rate_limits::RateUpdate;
+pub use targets::{Staleness, TargetAge};
 
 use crate::pressure::Pressure;
 use crate::retries::{RetryLimits, RetryMeter};
@@ -28,15 +28,15 @@
 use backlogs::PeerBacklogs;
 use candidates::Candidates;
 use control::health::{self, EndpointHealth};
+use endpoint_state::{EndpointState, ReceivedReport};
 use ids::{EndpointId, Incarnation, ModelId, ServiceId, VmId};
-use known::{EndpointState, ReceivedReport};
 use lanes::DecayingTokens;
-use names::Targets;
 use placement::Placer;
-use rates::RateLimits;
+use rate_limits::RateLimits;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
+use targets::Targets;
 
 /// Settings of endpoint selection.
 #[derive(Debug, Clone)]
--- a/crates/dispatch/src/fleet/plain.rs
+++ b/crates/dispatch/src/fleet/plain.rs
@@ -3,7 +3,7 @@
 //! Load pattern: endpoints of unequal speed with a handful of slots. The cost of an endpoint is its expected response
 //! time: its mean latency, extended by the running and waiting requests per slot.
 
-use super::known::EndpointState;
+use super::endpoint_state::EndpointState;
 use super::{Choice, Fleet, PickedEndpoint};
 use std::time::Duration;
 
--- a/crates/dispatch/src/fleet/begin.rs
+++ b/crates/dispatch/src/fleet/staleness.rs
@@ -5,9 +5,9 @@
 //! answer is worthless to the client.
 
 use super::Fleet;
+use super::endpoint_state::EndpointState;
 use super::engines::PREFILL_TOKENS_PER_SEC;
-use super::known::EndpointState;
-use super::names::Target;
+use super::targets::Target;
 use ids::ModelId;
 use std::time::Duration;
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -16,7 +16,7 @@
 //! | [`loading`] | when an endpoint is ordered to load, again or not at all |
 
 pub mod attempt;
-mod fade;
+mod decay;
 pub mod fleet;
 pub mod freshness;
 pub mod holder;
--- a/crates/dispatch/src/pressure.rs
+++ b/crates/dispatch/src/pressure.rs
@@ -8,7 +8,7 @@
 //! A router judges by the first events of its own requests, which are a representative sample. Each kind of request
 //! is judged by its own objective, because engines admit more urgent requests first.
 
-use crate::fade;
+use crate::decay;
 use std::time::Duration;
 
 /// Half-life of an observation: a router of a larger site sees some five first events in it.
@@ -60,6 +60,6 @@
     }
 
     fn decay(&self, now: Duration) -> f64 {
-        fade::remaining(now.saturating_sub(self.updated_at), HALF_LIFE_SECS)
+        decay::remaining(now.saturating_sub(self.updated_at), HALF_LIFE_SECS)
     }
 }
--- a/crates/dispatch/tests/crowd.rs
+++ b/crates/dispatch/tests/engine_load.rs
@@ -4,7 +4,7 @@
 
 use dispatch::fleet::Prompt;
 use std::collections::BTreeSet;
-use support::crowd::{Served, Workload, simulate};
+use support::engine_load::{Served, Workload, simulate};
 use support::fleet::{at, entry, fleet, prompt, send};
 
 const WORKLOAD: Workload = Workload {
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! Helpers shared by several test files.
 #![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
-pub mod crowd;
+pub mod engine_load;
 pub mod fleet;
 pub mod pool;
