--- a/crates/lifecycle/src/claims/guard.rs
+++ b/crates/lifecycle/src/claims/guard.rs
@@ -4,7 +4,7 @@
 
 /// How a call is kept from running twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Guard {
+pub enum Protection {
     /// Not needed: a second execution does no harm. Served while the platform is out.
     Idempotent,
     /// The service itself runs a key at most once. Served while the platform is out.
@@ -17,17 +17,21 @@
 }
 
 /// The guard of a call, from the operation's configuration and whether the caller gave a key.
-pub fn guard(idempotent: bool, deduplicates: bool, keyed: bool) -> Guard {
+pub fn guard(idempotent: bool, deduplicates: bool, keyed: bool) -> Protection {
     if idempotent {
-        return Guard::Idempotent;
+        return Protection::Idempotent;
     }
     if !keyed {
-        return Guard::SingleSend;
+        return Protection::SingleSend;
+    }
+    if deduplicates {
+        Protection::Endpoint
+    } else {
+        Protection::Claim
     }
-    if deduplicates { Guard::Endpoint } else { Guard::Claim }
 }
 
-impl Guard {
+impl Protection {
     /// How often the router may send the call.
     pub fn repeat(self) -> RetryPolicy {
         match self {
--- a/crates/router/src/caller/service.rs
+++ b/crates/router/src/caller/service.rs
@@ -11,7 +11,7 @@
 use admission::Tokens;
 use http::{Reply, Response, SendError};
 use ids::{IdempotencyKey, ServiceId};
-use lifecycle::claims::{Attempt, Guard, HeldClaim, MaySend, Outcome, StoredAnswer, guard};
+use lifecycle::claims::{Attempt, HeldClaim, MaySend, Outcome, Protection, StoredAnswer, guard};
 use lifecycle::request::{RequestEvent, RequestState};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -41,9 +41,9 @@
     let permit = entered.map_err(|refusal| before_claim(refusal.into(), guard, attempt))?;
     let attempts = Attempts::new(shared, call, permit, guard.repeat());
     let answer = match (guard, key) {
-        (Guard::Idempotent | Guard::Endpoint, _) => repeatable(attempts).await,
-        (Guard::Claim, Some(key)) => claimed(attempts, key, attempt).await,
-        (Guard::SingleSend | Guard::Claim, _) => single(attempts).await,
+        (Protection::Idempotent | Protection::Endpoint, _) => repeatable(attempts).await,
+        (Protection::Claim, Some(key)) => claimed(attempts, key, attempt).await,
+        (Protection::SingleSend | Protection::Claim, _) => single(attempts).await,
     }?;
     limit.settle(0);
     let body = answer.body.as_bytes().map(<[u8]>::to_vec).unwrap_or_default();
@@ -67,8 +67,8 @@
 }
 
 /// A refusal before the claim was looked up: an earlier attempt of this key may have run at another router.
-fn before_claim(refused: Refused, guard: Guard, attempt: Attempt) -> Refused {
-    let keyed = matches!(guard, Guard::Claim | Guard::Endpoint);
+fn before_claim(refused: Refused, guard: Protection, attempt: Attempt) -> Refused {
+    let keyed = matches!(guard, Protection::Claim | Protection::Endpoint);
     if keyed && attempt == Attempt::Unstated {
         return Refused {
             ran: Ran::Unknown,
