--- a/crates/lifecycle/src/claims/guard.rs
+++ b/crates/lifecycle/src/claims/guard.rs
@@ -17,7 +17,7 @@
 }
 
 /// The guard of a call, from the operation's configuration and whether the caller gave a key.
-pub fn guard(idempotent: bool, deduplicates: bool, keyed: bool) -> Protection {
+pub fn protection(idempotent: bool, deduplicates: bool, keyed: bool) -> Protection {
     if idempotent {
         return Protection::Idempotent;
     }
--- a/crates/lifecycle/src/claims/mod.rs
+++ b/crates/lifecycle/src/claims/mod.rs
@@ -17,7 +17,7 @@
 mod settle;
 
 pub use acquire::{Attempt, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep};
-pub use guard::{Protection, guard};
+pub use guard::{Protection, protection};
 pub use held::{HeldClaim, MaySend};
 pub use lease::{CLAIM_LEASE_TTL, ClaimLease, LeaseStep, REMEMBERED, USED_FOR};
 pub use record::{Body, ClaimState, EntryState, KEPT_BYTES, Nonce, Record, StoredAnswer, call_digest, claim_key};
--- a/crates/router/src/caller/service.rs
+++ b/crates/router/src/caller/service.rs
@@ -11,7 +11,7 @@
 use admission::Tokens;
 use http::{Reply, Response, SendError};
 use ids::{IdempotencyKey, ServiceId};
-use lifecycle::claims::{Attempt, HeldClaim, MaySend, Outcome, Protection, StoredAnswer, guard};
+use lifecycle::claims::{Attempt, HeldClaim, MaySend, Outcome, Protection, StoredAnswer, protection};
 use lifecycle::request::{RequestEvent, RequestState};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -30,7 +30,7 @@
         .ok_or(Refused::not_run(Cause::Operation))?;
     call.path = path;
     let key = call::text(&call.head, headers::IDEMPOTENCY_KEY).map(IdempotencyKey::from);
-    let guard = guard(operation.idempotent, operation.deduplicates, key.is_some());
+    let guard = protection(operation.idempotent, operation.deduplicates, key.is_some());
     let attempt = attempt(&call)?;
     let pool = shared
         .pools
