--- a/crates/lifecycle/src/claims/guard.rs
+++ b/crates/lifecycle/src/claims/guard.rs
@@ -33,7 +33,7 @@
 
 impl Protection {
     /// How often the router may send the call.
-    pub fn repeat(self) -> RetryPolicy {
+    pub fn retry_policy(self) -> RetryPolicy {
         match self {
             Self::Idempotent | Self::Endpoint => RetryPolicy::Idempotent,
             Self::SingleSend => RetryPolicy::Once,
--- a/crates/router/src/caller/service.rs
+++ b/crates/router/src/caller/service.rs
@@ -39,7 +39,7 @@
     let limit = shared.limits.take(&call.caller, 0, shared.clock.now())?;
     let entered = pool.enter(job(&call, Tokens::default())).await;
     let permit = entered.map_err(|refusal| before_claim(refusal.into(), guard, attempt))?;
-    let attempts = Attempts::new(shared, call, permit, guard.repeat());
+    let attempts = Attempts::new(shared, call, permit, guard.retry_policy());
     let answer = match (guard, key) {
         (Protection::Idempotent | Protection::Endpoint, _) => repeatable(attempts).await,
         (Protection::Claim, Some(key)) => claimed(attempts, key, attempt).await,
