--- a/crates/gateway/src/serve/outgoing.rs
+++ b/crates/gateway/src/serve/outgoing.rs
@@ -25,7 +25,7 @@
             weights: picked.weights.filter(|_| salt.is_some()),
             transfers,
             rank: self.call.wish.prompt.as_ref().map(|_| self.call.rank),
-            after: self.events.last(),
+            after: self.events.last_number(),
         };
         let headers = (self.shared.dialect.forward)(&caller.head.headers, &forward);
         let line = format!("{} {} HTTP/1.1\r\n", caller.head.method, caller.head.target);
--- a/crates/lifecycle/src/events.rs
+++ b/crates/lifecycle/src/events.rs
@@ -55,7 +55,7 @@
     }
 
     /// Number of the last event that was passed on.
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_number(&self) -> Option<u64> {
         self.last
     }
 }
--- a/crates/lifecycle/tests/events.rs
+++ b/crates/lifecycle/tests/events.rs
@@ -15,7 +15,7 @@
     let mut passed = Vec::new();
     passed.extend(splitter.push(b"id: 1\ndata: t1\n\nid: 2\nda").bytes);
     splitter.discard_partial();
-    assert_eq!(splitter.last(), Some(1));
+    assert_eq!(splitter.last_number(), Some(1));
     // The next run begins with what the caller has already.
     for number in 1..=3 {
         passed.extend(splitter.push(&event(number)).bytes);
@@ -63,7 +63,7 @@
         let mut splitter = EventSplitter::default();
         let whole = splitter.push(case.bytes);
         assert_eq!(
-            (whole.bytes.as_slice(), splitter.last()),
+            (whole.bytes.as_slice(), splitter.last_number()),
             (case.whole, case.last),
             "{:?}",
             case.bytes
