--- a/crates/lifecycle/src/claims/acquire.rs
+++ b/crates/lifecycle/src/claims/acquire.rs
@@ -50,7 +50,7 @@
     /// Digest of the call.
     pub call: Digest,
     /// Wall clock, milliseconds since 1970.
-    pub wall: u64,
+    pub wall_ms: u64,
     /// What the caller states.
     pub attempt: Attempt,
 }
@@ -194,7 +194,7 @@
     }
 
     fn lapsed(&self, at: u64, now: Duration) -> bool {
-        let wall = Duration::from_millis(self.request.wall) + now.saturating_sub(self.begun);
+        let wall = Duration::from_millis(self.request.wall_ms) + now.saturating_sub(self.begun);
         wall.saturating_sub(Duration::from_millis(at)) > self.limits.lapse
     }
 
@@ -211,11 +211,13 @@
     }
 
     fn record(&self) -> Record {
-        let ClaimRequest { nonce, call, wall, .. } = self.request.clone();
+        let ClaimRequest {
+            nonce, call, wall_ms, ..
+        } = self.request.clone();
         Record {
             nonce,
             call,
-            at: wall,
+            at: wall_ms,
             state: ClaimState::Claimed,
         }
     }
--- a/crates/lifecycle/tests/claims.rs
+++ b/crates/lifecycle/tests/claims.rs
@@ -233,11 +233,11 @@
     });
     let attempt = if number == 0 { Attempt::First } else { Attempt::Unstated };
     let skew = random.random_range(0..60_000);
-    let wall = 1_000_000 + world.now.as_millis() as u64 + skew;
+    let wall_ms = 1_000_000 + world.now.as_millis() as u64 + skew;
     let request = ClaimRequest {
         nonce: Nonce::from(number),
         call,
-        wall,
+        wall_ms,
         attempt,
     };
     let limits = ClaimLimits {
@@ -357,7 +357,7 @@
     let request = ClaimRequest {
         nonce: Nonce::from(1),
         call,
-        wall: 1_000_000,
+        wall_ms: 1_000_000,
         attempt: Attempt::Unstated,
     };
     let (mut claim, _) = Claim::start(request, ClaimLimits::default(), Duration::ZERO);
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -54,7 +54,7 @@
     let request = ClaimRequest {
         nonce: Nonce::from(rand::random::<u128>()),
         call: digest(call),
-        wall: wall_ms(),
+        wall_ms: wall_ms(),
         attempt,
     };
     let Some(lease) = lease_within(shared, limits.timeout).await else {
