--- a/crates/lifecycle/src/claims/acquire.rs
+++ b/crates/lifecycle/src/claims/acquire.rs
@@ -157,7 +157,8 @@
         }
     }
 
-    /// After [`ClaimStep::Unavailable`], and nothing after any other end: frees the key of a claim that may have been written although no answer came.
+    /// After [`ClaimStep::Unavailable`], and nothing after any other end: frees the key of a claim that may have been
+    /// written although no answer came.
     ///
     /// Left there, the key would be in progress and then unknown although its call has never run, and a caller that
     /// retries it once the platform is back would wait in vain. Nothing was sent and nothing will be, so that the
--- a/crates/lifecycle/src/events.rs
+++ b/crates/lifecycle/src/events.rs
@@ -1,66 +1,66 @@
-//! Whole events of a stream of server-sent events, byte for byte.
+//! Splits a stream of server-sent events into complete events, without changing their bytes.
 //!
-//! What goes wrong without it: an endpoint crashes in the middle of an event, the half is passed on, and the stream that
-//! another endpoint resumes is joined to it; the caller reads an event that nobody made. So bytes are passed on only up
-//! to the end of an event, and an event that was passed on before is dropped.
+//! If an endpoint crashes in the middle of an event and the partial event were forwarded, the resumed stream from
+//! another endpoint would be appended to it, and the client would read a corrupt event. Therefore bytes are forwarded
+//! only up to the end of an event, and an event that was already forwarded is dropped.
 
-/// Splits a stream into whole events.
+/// Splits a stream into complete events.
 #[derive(Debug, Clone, Default)]
 pub struct EventSplitter {
-    rest: Vec<u8>,
-    last: Option<u64>,
+    buffer: Vec<u8>,
+    last_number: Option<u64>,
 }
 
-/// Events that may be passed on.
+/// Events that may be forwarded.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct WholeEvents {
-    /// Their bytes, as they came.
+pub struct CompleteEvents {
+    /// Their bytes, unchanged.
     pub bytes: Vec<u8>,
-    /// How many.
+    /// Number of events.
     pub count: usize,
 }
 
 impl EventSplitter {
-    /// Takes what arrived, and gives what has become whole. Events with a number that is not above the last one's are
-    /// dropped: they were passed on before the stream was resumed.
-    pub fn push(&mut self, bytes: &[u8]) -> WholeEvents {
-        self.rest.extend_from_slice(bytes);
-        let mut whole = WholeEvents::default();
+    /// Adds received bytes and returns the events completed by them. An event whose number is not greater than the last
+    /// one's is dropped: it was forwarded before the stream was resumed.
+    pub fn push(&mut self, bytes: &[u8]) -> CompleteEvents {
+        self.buffer.extend_from_slice(bytes);
+        let mut complete = CompleteEvents::default();
         let mut begin = 0;
-        while let Some(length) = event_length(&self.rest[begin..]) {
-            let event = &self.rest[begin..begin + length];
+        while let Some(length) = event_length(&self.buffer[begin..]) {
+            let event = &self.buffer[begin..begin + length];
             begin += length;
             let number = number(event);
-            if let (Some(number), Some(last)) = (number, self.last)
+            if let (Some(number), Some(last)) = (number, self.last_number)
                 && number <= last
             {
                 continue;
             }
-            self.last = number.or(self.last);
-            whole.bytes.extend_from_slice(event);
-            whole.count += 1;
+            self.last_number = number.or(self.last_number);
+            complete.bytes.extend_from_slice(event);
+            complete.count += 1;
         }
-        self.rest.drain(..begin);
-        whole
+        self.buffer.drain(..begin);
+        complete
     }
 
-    /// What is left when the body is whole; an event need not end in an empty line then.
+    /// The remaining bytes at the end of the body, where the last event need not end with an empty line.
     pub fn finish(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.rest)
+        std::mem::take(&mut self.buffer)
     }
 
-    /// The connection broke: half an event is of no use.
+    /// Discards a partial event after the connection broke.
     pub fn discard_partial(&mut self) {
-        self.rest.clear();
+        self.buffer.clear();
     }
 
-    /// Number of the last event that was passed on.
+    /// Number of the last forwarded event.
     pub fn last_number(&self) -> Option<u64> {
-        self.last
+        self.last_number
     }
 }
 
-/// Length of the first event, with the empty line that ends it.
+/// Length of the first event, including the empty line that ends it.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line = 0;
     for (at, byte) in bytes.iter().enumerate() {
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,7 +1,7 @@
-//! State machines of a request, a stream and an idempotency claim. Never does I/O.
+//! State machines for a request, a stream and an idempotency claim. No I/O.
 //!
-//! Each machine takes an event and returns what to do next. Time is an argument (`now`, since the process
-//! started), and so is everything random. The caller of a machine does the I/O and reports what came of it.
+//! Each state machine takes an event and returns what to do next. The time since the process started (`now`) and random
+//! values are arguments. The code that drives a state machine performs the I/O and reports the result as an event.
 
 pub mod claims;
 pub mod events;
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -1,42 +1,42 @@
-//! A request's life: what may be done next and what may be said to the caller follow from the state alone.
+//! State machine of a request. The state alone determines what may be done next and what the client may be told.
 //!
-//! What goes wrong without it: a router refuses a call as "not run" although its bytes had left, or repeats a
-//! call that may run once. Callers notice a doubled command. Here the step into [`RequestState::Sent`] is asked
-//! for before the first byte can leave, and no later state says "not run" again, unless the endpoint itself
-//! refused that very send.
+//! A router must not refuse a call as "not run" after sending bytes of it, and must not repeat a call that may run only
+//! once: the client would execute a command twice. Therefore the transition to [`RequestState::Sent`] is requested
+//! before the first byte is sent, and no later state reports "not run", unless the endpoint itself refused that send.
 
 use derive_more::Display;
 use wire::caller::Ran;
 
-/// Where a request is in its life.
+/// State of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display)]
 pub enum RequestState {
-    /// Waits for its claim or for an endpoint.
+    /// Waiting for its claim or for an endpoint.
     Queued,
-    /// Its idempotency claim is confirmed; nothing has been sent.
+    /// Its idempotency claim is confirmed. Nothing has been sent.
     Claimed,
-    /// Bytes may have left for an endpoint.
+    /// Bytes may have been sent to an endpoint.
     Sent,
-    /// The endpoint has begun to answer; the caller has seen nothing yet.
+    /// The endpoint has started to answer. The client has received nothing yet.
     FirstByte,
-    /// The caller has seen a part of the answer.
+    /// The client has received a part of the answer.
     Streaming,
-    /// Ended: the endpoint's whole answer.
+    /// Ended with the endpoint's complete answer.
     Answered,
-    /// Ended: refused, and it has not run.
+    /// Ended: refused without having run.
     Refused,
-    /// Ended: it may have run, and there is no whole answer.
+    /// Ended without a complete answer. The call may have run.
     Unknown,
 }
 
 /// How often a call may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RetryPolicy {
-    /// A second execution does no harm: a completion, or a call whose endpoint drops repeated keys.
+    /// Any number of times, because a second execution does no harm: a completion, or a call whose endpoint ignores
+    /// repeated keys.
     Idempotent,
-    /// At most once by this router; no claim, as the caller gave no key.
+    /// At most once by this router, without a claim because the client gave no key.
     Once,
-    /// At most once over all routers: a claim comes first.
+    /// At most once over all routers, after a claim.
     Claimed,
 }
 
@@ -45,85 +45,87 @@
 pub enum RequestEvent {
     /// Its claim is confirmed.
     ClaimHeld,
-    /// Asked right before the first byte leaves; connecting does not count as sending.
+    /// The first byte is about to be sent. Connecting does not count as sending.
     SendStarts,
-    /// The connection broke or timed out before the answer began.
+    /// The connection broke or timed out before the answer started.
     SendFailed,
-    /// The endpoint's own word that it has not acted on this send.
+    /// The endpoint stated that it has not acted on this send.
     EndpointRefused,
-    /// The answer's head arrived, and is this request's.
+    /// The head of this request's answer arrived.
     HeadArrived,
-    /// A part of the answer is there for the caller.
+    /// A part of the answer arrived.
     PartArrived,
-    /// The answer broke off, was shorter than declared or another request's.
+    /// The answer was interrupted, was shorter than declared or belongs to another request.
     AnswerFailed,
-    /// The answer is whole.
+    /// The answer is complete.
     AnswerComplete,
-    /// Deadline passed, no endpoint, caller gone, claim refused or shutdown.
+    /// The deadline passed, no endpoint is available, the client disconnected, the claim was refused or the router
+    /// shuts down.
     GiveUp,
 }
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RequestStep {
-    /// Choose an endpoint, connect, and ask with [`RequestEvent::SendStarts`].
+    /// Choose an endpoint, connect and report [`RequestEvent::SendStarts`].
     Choose,
     /// Send now.
     Send,
     /// Read the answer.
     Read,
-    /// Pass this part on to the caller.
+    /// Forward this part to the client.
     Deliver,
-    /// Resume the stream from the first piece that was not delivered, at an engine of the same weights.
+    /// Resume the stream from the first undelivered piece, on an engine with the same weights.
     Resume,
-    /// The caller has the whole answer: the end.
+    /// Ended: the client has the complete answer.
     Answer,
-    /// Refuse as "not run": the end. A claim that is held is released.
+    /// Ended: refuse as "not run". A held claim is released.
     RefuseNotRun,
-    /// Fail as "unknown": the end. The send is cancelled; a stream gets an explicit error event.
+    /// Ended: fail as "unknown". The send is cancelled, and a stream gets an explicit error event.
     FailUnknown,
-    /// Too late, the request has ended; pass nothing on.
+    /// The request has already ended. Forward nothing.
     Ignore,
-    /// Not allowed from this state; do not do it. A fault of the code that drives the machine.
+    /// The event is not allowed in this state, and its action must not be performed. Indicates a bug in the driving
+    /// code.
     Forbidden,
 }
 
-/// How far the current send has come.
+/// State of the current send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Link {
-    /// No send is open.
+enum SendProgress {
+    /// No send is in progress.
     Idle,
-    /// Bytes may have left, and the answer has not begun.
+    /// Bytes may have been sent, and the answer has not started.
     Sent,
     /// The answer's head has arrived.
-    Head,
+    HeadReceived,
 }
 
-/// The life of one request at one router.
+/// One request at one router.
 #[derive(Debug, Clone)]
 pub struct Request {
     state: RequestState,
-    repeat: RetryPolicy,
-    link: Link,
-    /// Bytes of an earlier send may have been acted on.
-    exposed: bool,
+    policy: RetryPolicy,
+    progress: SendProgress,
+    /// Whether an endpoint may have acted on an earlier send.
+    may_have_run: bool,
     /// Sends that were started and not refused by their endpoint.
     sends: u32,
 }
 
 impl Request {
-    /// A request that has just been accepted.
-    pub fn new(repeat: RetryPolicy) -> Self {
+    /// A newly accepted request.
+    pub fn new(policy: RetryPolicy) -> Self {
         Self {
             state: RequestState::Queued,
-            repeat,
-            link: Link::Idle,
-            exposed: false,
+            policy,
+            progress: SendProgress::Idle,
+            may_have_run: false,
             sends: 0,
         }
     }
 
-    /// Where it is.
+    /// Its state.
     pub fn state(&self) -> RequestState {
         self.state
     }
@@ -136,24 +138,25 @@
         )
     }
 
-    /// What a refusal may say now: "not run" only while no byte can have reached an endpoint that may act on it.
+    /// What a refusal may state now: "not run" only if no endpoint can have received bytes that it may act on.
     pub fn ran(&self) -> Ran {
-        let untouched = matches!(
+        let not_sent = matches!(
             self.state,
             RequestState::Queued | RequestState::Claimed | RequestState::Refused
         );
-        if untouched && !self.exposed {
+        if not_sent && !self.may_have_run {
             Ran::NotRun
         } else {
             Ran::Unknown
         }
     }
 
-    /// Takes an event and says what to do next.
+    /// Handles an event and returns what to do next.
     ///
     /// # Panics
     ///
-    /// If a call that may run once would be sent twice, or an ended request would go on.
+    /// If a call that may run only once would be sent twice, or a request that may have run would be refused as "not
+    /// run".
     pub fn on(&mut self, event: RequestEvent) -> RequestStep {
         if self.ended() {
             return if event == RequestEvent::SendStarts {
@@ -162,41 +165,41 @@
                 RequestStep::Ignore
             };
         }
-        let Some(link) = self.linked(event) else {
+        let Some(progress) = self.next_progress(event) else {
             return RequestStep::Forbidden;
         };
         let Some((next, step)) = self.transition(event) else {
             return RequestStep::Forbidden;
         };
-        self.link = link;
+        self.progress = progress;
         match event {
             RequestEvent::SendStarts => self.sends += 1,
             RequestEvent::EndpointRefused => self.sends -= 1,
-            RequestEvent::SendFailed | RequestEvent::AnswerFailed => self.exposed = true,
+            RequestEvent::SendFailed | RequestEvent::AnswerFailed => self.may_have_run = true,
             _ => {}
         }
         assert!(
-            self.repeat == RetryPolicy::Idempotent || self.sends <= 1,
+            self.policy == RetryPolicy::Idempotent || self.sends <= 1,
             "a call that may run once is sent twice"
         );
         assert!(
-            next != RequestState::Refused || !self.exposed,
+            next != RequestState::Refused || !self.may_have_run,
             "a request that may have run is refused as not run"
         );
         self.state = next;
         step
     }
 
-    /// How far the send has come after the event; none if the event does not fit the send.
-    fn linked(&self, event: RequestEvent) -> Option<Link> {
+    /// State of the send after the event, or `None` if the event is not valid in the current one.
+    fn next_progress(&self, event: RequestEvent) -> Option<SendProgress> {
         use RequestEvent as E;
-        match (self.link, event) {
-            (Link::Idle, E::SendStarts) => Some(Link::Sent),
-            (Link::Sent, E::HeadArrived) => Some(Link::Head),
-            (Link::Sent, E::SendFailed | E::EndpointRefused) => Some(Link::Idle),
-            (Link::Head, E::PartArrived) => Some(Link::Head),
-            (Link::Head, E::AnswerFailed | E::AnswerComplete) => Some(Link::Idle),
-            (Link::Idle, E::ClaimHeld) | (_, E::GiveUp) => Some(Link::Idle),
+        match (self.progress, event) {
+            (SendProgress::Idle, E::SendStarts) => Some(SendProgress::Sent),
+            (SendProgress::Sent, E::HeadArrived) => Some(SendProgress::HeadReceived),
+            (SendProgress::Sent, E::SendFailed | E::EndpointRefused) => Some(SendProgress::Idle),
+            (SendProgress::HeadReceived, E::PartArrived) => Some(SendProgress::HeadReceived),
+            (SendProgress::HeadReceived, E::AnswerFailed | E::AnswerComplete) => Some(SendProgress::Idle),
+            (SendProgress::Idle, E::ClaimHeld) | (_, E::GiveUp) => Some(SendProgress::Idle),
             _ => None,
         }
     }
@@ -206,17 +209,17 @@
         use RequestState as S;
         use RequestStep as T;
         let next = match (self.state, event) {
-            (S::Queued, E::ClaimHeld) if self.repeat == RetryPolicy::Claimed => (S::Claimed, T::Choose),
-            (S::Queued, E::SendStarts) if self.repeat != RetryPolicy::Claimed => (S::Sent, T::Send),
+            (S::Queued, E::ClaimHeld) if self.policy == RetryPolicy::Claimed => (S::Claimed, T::Choose),
+            (S::Queued, E::SendStarts) if self.policy != RetryPolicy::Claimed => (S::Sent, T::Send),
             (S::Claimed, E::SendStarts) => (S::Sent, T::Send),
-            (S::Queued | S::Claimed, E::GiveUp) if !self.exposed => (S::Refused, T::RefuseNotRun),
+            (S::Queued | S::Claimed, E::GiveUp) if !self.may_have_run => (S::Refused, T::RefuseNotRun),
             (S::Queued | S::Claimed, E::GiveUp) => (S::Unknown, T::FailUnknown),
             (S::Sent, E::HeadArrived) => (S::FirstByte, T::Read),
-            (S::Sent, E::EndpointRefused) => (self.waiting(), T::Choose),
-            (S::Sent, E::SendFailed) | (S::FirstByte, E::AnswerFailed) => self.again(),
+            (S::Sent, E::EndpointRefused) => (self.state_after_refusal(), T::Choose),
+            (S::Sent, E::SendFailed) | (S::FirstByte, E::AnswerFailed) => self.after_failed_send(),
             (S::FirstByte | S::Streaming, E::PartArrived) => (S::Streaming, T::Deliver),
             (S::FirstByte | S::Streaming, E::AnswerComplete) => (S::Answered, T::Answer),
-            (S::Streaming, E::AnswerFailed) if self.repeat != RetryPolicy::Idempotent => (S::Unknown, T::FailUnknown),
+            (S::Streaming, E::AnswerFailed) if self.policy != RetryPolicy::Idempotent => (S::Unknown, T::FailUnknown),
             (S::Streaming, E::AnswerFailed | E::SendFailed | E::EndpointRefused) => (S::Streaming, T::Resume),
             (S::Streaming, E::SendStarts) => (S::Streaming, T::Send),
             (S::Streaming, E::HeadArrived) => (S::Streaming, T::Read),
@@ -226,18 +229,18 @@
         Some(next)
     }
 
-    /// The state to go back to after an endpoint refused the send.
-    fn waiting(&self) -> RequestState {
-        if self.repeat == RetryPolicy::Claimed {
+    /// The state to return to after an endpoint refused the send.
+    fn state_after_refusal(&self) -> RequestState {
+        if self.policy == RetryPolicy::Claimed {
             RequestState::Claimed
         } else {
             RequestState::Queued
         }
     }
 
-    /// After a send that may have been acted on and of which the caller has seen nothing.
-    fn again(&self) -> (RequestState, RequestStep) {
-        if self.repeat == RetryPolicy::Idempotent {
+    /// Transition after a send that an endpoint may have acted on and of which the client has received nothing.
+    fn after_failed_send(&self) -> (RequestState, RequestStep) {
+        if self.policy == RetryPolicy::Idempotent {
             return (RequestState::Queued, RequestStep::Choose);
         }
         (RequestState::Unknown, RequestStep::FailUnknown)
--- a/crates/lifecycle/src/stream.rs
+++ b/crates/lifecycle/src/stream.rs
@@ -1,60 +1,60 @@
-//! Whole answers: numbered pieces of a server-sent event stream, and bodies of declared length.
+//! Completeness checks for answers: numbered pieces of a server-sent event stream, and bodies of declared length.
 //!
-//! What goes wrong without it: a connection breaks and the resumed stream repeats or skips pieces; an answer of
-//! another request arrives on a reused connection; the HTTP library reports a body that was cut short as if it
-//! were whole. A caller notices text that is doubled, missing or someone else's.
+//! Without these checks, a client could receive repeated, missing or foreign text: a stream that is resumed after a
+//! broken connection may repeat or skip pieces, an answer to another request may arrive on a reused connection, and the
+//! HTTP library reports a truncated body as if it were complete.
 
 use ids::{RequestId, WeightsVersion};
 
 /// Verdict on the head of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum HeadVerdict {
-    /// It is this request's; read on.
+    /// It belongs to this request. Continue reading.
     Accept,
-    /// It bears another request's id or none: close the connection, pass nothing on.
+    /// It has the id of another request or none. Close the connection and forward nothing.
     OtherRequest,
-    /// It resumes with other weights or does not name them: pass nothing on.
+    /// It resumes the stream with other weights or does not name them. Forward nothing.
     OtherWeights,
 }
 
-/// Verdict on a piece.
+/// Verdict on a piece of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum PieceVerdict {
-    /// The next one: pass it on.
+    /// It is the next piece. Forward it.
     Deliver,
-    /// Delivered before: drop it.
+    /// It was delivered before. Drop it.
     Duplicate,
-    /// Pieces are missing before it: drop it and resume from [`StreamAssembler::resume_from`].
+    /// Pieces before it are missing. Drop it and resume from [`StreamAssembler::resume_from`].
     Gap,
-    /// The stream has ended, or no head was accepted on this connection: drop it.
+    /// The stream has ended, or no head was accepted on this connection. Drop it.
     Unexpected,
 }
 
 /// What the end of a connection means.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum ConnectionEnd {
-    /// The end mark had come: the stream is whole.
+    /// The end mark was received: the stream is complete.
     Complete,
-    /// No piece was delivered: the request may be sent anew with any weights.
+    /// No piece was delivered: the request may be sent again, with any weights.
     Restart,
-    /// Resume from this piece, only at an engine with these weights.
+    /// Resume from this piece, only on an engine with these weights.
     Resume {
         /// Number of the first piece that was not delivered.
         from: u64,
-        /// The weights that made the delivered pieces; absent if the engine did not name them, and then the
-        /// stream cannot be resumed and the caller gets an explicit error event.
+        /// The weights that generated the delivered pieces. Absent if the engine did not name them: then the stream
+        /// cannot be resumed, and the client gets an explicit error event.
         weights: Option<WeightsVersion>,
     },
 }
 
-/// Puts the pieces of one request's stream in order over any number of connections.
+/// Assembles the pieces of one request's stream over any number of connections.
 #[derive(Debug, Clone)]
 pub struct StreamAssembler {
     request: RequestId,
     weights: Option<WeightsVersion>,
-    next: u64,
+    next_piece: u64,
     open: bool,
-    whole: bool,
+    complete: bool,
 }
 
 impl StreamAssembler {
@@ -63,73 +63,73 @@
         Self {
             request,
             weights: None,
-            next: 0,
+            next_piece: 0,
             open: false,
-            whole: false,
+            complete: false,
         }
     }
 
-    /// The head of a connection's answer: the id it echoes and the weights it names.
+    /// Handles the head of a connection's answer: the request id it echoes and the weights it names.
     pub fn on_head(&mut self, echoed: Option<&str>, weights: Option<&str>) -> HeadVerdict {
         self.open = false;
         if echoed != Some(self.request.as_str()) {
             return HeadVerdict::OtherRequest;
         }
-        if self.next > 0 && !self.same_weights(weights) {
+        if self.next_piece > 0 && !self.same_weights(weights) {
             return HeadVerdict::OtherWeights;
         }
-        if self.next == 0 {
+        if self.next_piece == 0 {
             self.weights = weights.map(WeightsVersion::from);
         }
         self.open = true;
         HeadVerdict::Accept
     }
 
-    /// A piece with its number.
+    /// Handles a piece with this number.
     pub fn on_piece(&mut self, number: u64) -> PieceVerdict {
-        if !self.open || self.whole {
+        if !self.open || self.complete {
             return PieceVerdict::Unexpected;
         }
-        if number < self.next {
+        if number < self.next_piece {
             return PieceVerdict::Duplicate;
         }
-        if number > self.next {
+        if number > self.next_piece {
             return PieceVerdict::Gap;
         }
-        self.next += 1;
+        self.next_piece += 1;
         PieceVerdict::Deliver
     }
 
-    /// The end mark `[DONE]`; true if the stream is whole now and had not been before.
+    /// Handles the end mark `[DONE]`. Returns whether this completes the stream.
     pub fn on_done(&mut self) -> bool {
-        let ends = self.open && !self.whole;
-        self.whole |= ends;
+        let ends = self.open && !self.complete;
+        self.complete |= ends;
         ends
     }
 
-    /// The connection ended, for whatever reason.
+    /// Handles the end of a connection, for any reason.
     pub fn on_break(&mut self) -> ConnectionEnd {
         self.open = false;
-        if self.whole {
+        if self.complete {
             return ConnectionEnd::Complete;
         }
-        if self.next == 0 {
+        if self.next_piece == 0 {
             return ConnectionEnd::Restart;
         }
         ConnectionEnd::Resume {
-            from: self.next,
+            from: self.next_piece,
             weights: self.weights.clone(),
         }
     }
 
     /// Number of the first piece that was not delivered.
     pub fn resume_from(&self) -> u64 {
-        self.next
+        self.next_piece
     }
 
-    /// Whether the end mark has come.
-    pub fn whole(&self) -> bool {
-        self.whole
+    /// Whether the end mark was received.
+    pub fn is_complete(&self) -> bool {
+        self.complete
     }
 
     fn same_weights(&self, named: Option<&str>) -> bool {
@@ -137,43 +137,43 @@
     }
 }
 
-/// What was read of an answer with a body.
+/// What was received of an answer with a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct WholeAnswer<'a> {
+pub struct ReceivedAnswer<'a> {
     /// Length the head declared, bytes.
     pub declared: Option<u64>,
-    /// Whether the body was chunked; the library reports a cut inside chunks as an error.
+    /// Whether the body was chunked. The HTTP library reports a truncated chunked body as an error.
     pub chunked: bool,
-    /// Bytes read before the body ended without an error.
+    /// Number of bytes read before the body ended without an error.
     pub read: u64,
-    /// Request id in the answer's head.
+    /// Request id echoed in the head.
     pub echoed: Option<&'a str>,
 }
 
 /// Verdict on an answer with a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Verdict {
-    /// Whole and this request's: pass it on.
-    Whole,
-    /// Shorter or longer than declared: never pass it on.
+pub enum AnswerVerdict {
+    /// Complete, and belongs to this request. Forward it.
+    Complete,
+    /// Shorter or longer than declared. Must not be forwarded.
     WrongLength,
-    /// Neither length nor chunks: whether it is whole cannot be told, never pass it on.
-    Undeclared,
-    /// Another request's, or nobody's: never pass it on.
+    /// Neither a length nor chunked encoding, so completeness cannot be checked. Must not be forwarded.
+    LengthUnknown,
+    /// Belongs to another request or names none. Must not be forwarded.
     OtherRequest,
 }
 
-impl WholeAnswer<'_> {
-    /// Whether this is the whole answer to `request`.
-    pub fn check(&self, request: &RequestId) -> Verdict {
+impl ReceivedAnswer<'_> {
+    /// Checks whether this is the complete answer to `request`.
+    pub fn check(&self, request: &RequestId) -> AnswerVerdict {
         if self.echoed != Some(request.as_str()) {
-            return Verdict::OtherRequest;
+            return AnswerVerdict::OtherRequest;
         }
         match self.declared {
-            Some(length) if length == self.read => Verdict::Whole,
-            Some(_) => Verdict::WrongLength,
-            None if self.chunked => Verdict::Whole,
-            None => Verdict::Undeclared,
+            Some(length) if length == self.read => AnswerVerdict::Complete,
+            Some(_) => AnswerVerdict::WrongLength,
+            None if self.chunked => AnswerVerdict::Complete,
+            None => AnswerVerdict::LengthUnknown,
         }
     }
 }
--- a/crates/lifecycle/tests/events.rs
+++ b/crates/lifecycle/tests/events.rs
@@ -7,8 +7,8 @@
     format!("id: {number}\ndata: t{number}\n\n").into_bytes()
 }
 
-/// An endpoint crashes in the middle of an event, and another one goes on after the last whole one. Half an event joined to the
-/// next run's would be text that nobody made.
+/// An endpoint crashes in the middle of an event, and another one goes on after the last whole one. Half an event
+/// joined to the next run's would be text that nobody made.
 #[test]
 fn half_an_event_is_never_passed_on() {
     let mut splitter = EventSplitter::default();
--- a/crates/lifecycle/tests/stream.rs
+++ b/crates/lifecycle/tests/stream.rs
@@ -1,7 +1,7 @@
 //! Streams over broken connections against the text that the engine would send in one go.
 
 use ids::RequestId;
-use lifecycle::stream::{ConnectionEnd, HeadVerdict, PieceVerdict, StreamAssembler, Verdict, WholeAnswer};
+use lifecycle::stream::{AnswerVerdict, ConnectionEnd, HeadVerdict, PieceVerdict, ReceivedAnswer, StreamAssembler};
 use quickcheck::{Gen, QuickCheck};
 
 /// Each run tries the same cases, so that its verdict is the same.
@@ -58,7 +58,7 @@
         let mut stream = StreamAssembler::new(RequestId::from("mine"));
         let mut seen = Vec::new();
         for connection in connections {
-            let was = stream.whole();
+            let was = stream.is_complete();
             connect(&mut stream, &mut seen, connection);
             let numbers: Vec<u64> = seen.iter().map(|piece| piece.0).collect();
             assert_eq!(
@@ -67,7 +67,7 @@
                 "doubled, missing or out of order"
             );
             assert!(seen.iter().all(|piece| piece.1 == seen[0].1), "mixed weights");
-            assert!(!was || stream.whole(), "a whole stream opened again");
+            assert!(!was || stream.is_complete(), "a whole stream opened again");
             let wanted = match stream.on_break() {
                 ConnectionEnd::Complete => LENGTH,
                 ConnectionEnd::Restart => 0,
@@ -86,12 +86,12 @@
 }
 
 /// Declared length, chunked, bytes read, echoed id, and the verdict.
-struct Case(Option<u64>, bool, u64, Option<&'static str>, Verdict);
+struct Case(Option<u64>, bool, u64, Option<&'static str>, AnswerVerdict);
 
 #[track_caller]
 fn check(case: &Case) {
     let Case(declared, chunked, read, echoed, verdict) = *case;
-    let answer = WholeAnswer {
+    let answer = ReceivedAnswer {
         declared,
         chunked,
         read,
@@ -106,13 +106,13 @@
 fn whole_answers() {
     let mine = Some("mine");
     let cases = [
-        Case(Some(10), false, 10, mine, Verdict::Whole),
-        Case(Some(10), false, 5, mine, Verdict::WrongLength),
-        Case(Some(5), false, 10, mine, Verdict::WrongLength),
-        Case(None, true, 7, mine, Verdict::Whole),
-        Case(None, false, 0, mine, Verdict::Undeclared),
-        Case(Some(10), false, 10, Some("other"), Verdict::OtherRequest),
-        Case(Some(10), false, 10, None, Verdict::OtherRequest),
+        Case(Some(10), false, 10, mine, AnswerVerdict::Complete),
+        Case(Some(10), false, 5, mine, AnswerVerdict::WrongLength),
+        Case(Some(5), false, 10, mine, AnswerVerdict::WrongLength),
+        Case(None, true, 7, mine, AnswerVerdict::Complete),
+        Case(None, false, 0, mine, AnswerVerdict::LengthUnknown),
+        Case(Some(10), false, 10, Some("other"), AnswerVerdict::OtherRequest),
+        Case(Some(10), false, 10, None, AnswerVerdict::OtherRequest),
     ];
     cases.iter().for_each(check);
 }
