--- a/crates/lifecycle/examples/claim_writes.rs
+++ b/crates/lifecycle/examples/claim_writes.rs
@@ -9,7 +9,7 @@
 //! Run: `cargo run --release -p lifecycle --example claim_writes`
 
 use ids::Digest;
-use lifecycle::claims::{Body, ClaimState, Nonce, REMEMBERED, Record, StoredAnswer};
+use lifecycle::claims::{Body, ClaimState, KEY_RETENTION, Nonce, Record, StoredAnswer};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -229,7 +229,7 @@
 fn print(design: Design, rate: u64) {
     let totals = run(design, rate);
     let calls = totals.calls as f64;
-    let kept = (rate * REMEMBERED.as_secs()) as f64;
+    let kept = (rate * KEY_RETENTION.as_secs()) as f64;
     let entry = if design.shards == u64::MAX {
         1.0
     } else {
@@ -285,7 +285,7 @@
     println!(
         "record of a done call: {} bytes; remembered {} h",
         record_bytes(),
-        REMEMBERED.as_secs() / 3600
+        KEY_RETENTION.as_secs() / 3600
     );
     println!(
         "| calls/s | design | writes/call | of these conflicts | reads/call | writes/s | claim p50 ms | p99 ms | entry kB | fits 1 MB |"
--- a/crates/lifecycle/src/claims/acquire.rs
+++ b/crates/lifecycle/src/claims/acquire.rs
@@ -1,4 +1,4 @@
-//! Winning a claim.
+//! Acquires a claim.
 
 use super::held::HeldClaim;
 use super::record::{ClaimState, EntryState, Nonce, Record, StoredAnswer};
@@ -7,98 +7,99 @@
 use std::time::Duration;
 use wire::caller::Ran;
 
-/// What the caller states of this attempt.
+/// What the client states about this attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Attempt {
-    /// The caller has never used this key before.
+    /// The client has never used this key before.
     First,
-    /// Nothing stated: an earlier attempt may have run.
+    /// Nothing: an earlier attempt may have run.
     Unstated,
 }
 
-/// Times of a claim.
+/// Time limits of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimLimits {
-    /// How long to try to win the claim; never longer than the caller waits.
+    /// How long to try to acquire the claim. Must not exceed the time that the client waits.
     pub timeout: Duration,
-    /// Longest time from the beginning of the claim's first write to the send. A holder that was paused for
-    /// longer must not send: its caller has gone, and others may already be told that the outcome is unknown.
-    pub margin: Duration,
-    /// Age after which a claim without a result counts as left by a dead router. Longer than the margin, the
-    /// longest call and the difference of two wall clocks together.
-    pub lapse: Duration,
-    /// Pause between two tries while the platform does not answer.
-    pub pause: Duration,
+    /// Longest time from the start of the claim's first write to the send. A router that was paused for longer must not
+    /// send: its client has disconnected, and a retry may already have been answered with "unknown".
+    pub send_window: Duration,
+    /// Age after which a claim without a result counts as abandoned by a failed router. Longer than the send window,
+    /// the longest call and the difference between two wall clocks together.
+    pub abandoned_after: Duration,
+    /// Delay between two tries while the platform does not answer.
+    pub retry_delay: Duration,
 }
 
 impl Default for ClaimLimits {
     fn default() -> Self {
         Self {
             timeout: Duration::from_secs(2),
-            margin: Duration::from_secs(5),
-            lapse: Duration::from_secs(120),
-            pause: Duration::from_millis(50),
+            send_window: Duration::from_secs(5),
+            abandoned_after: Duration::from_secs(120),
+            retry_delay: Duration::from_millis(50),
         }
     }
 }
 
-/// Which call wants the key.
+/// The call that requests the key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// Drawn anew for each attempt.
+    /// A new random number for each attempt.
     pub nonce: Nonce,
     /// Digest of the call.
     pub call: Digest,
     /// Wall clock, milliseconds since 1970.
     pub wall_ms: u64,
-    /// What the caller states.
+    /// What the client states.
     pub attempt: Attempt,
 }
 
-/// What came of a step.
+/// Result of a [`ClaimStep`] or [`SettleStep`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimEvent<'a> {
-    /// The write took effect and gave this version.
+    /// The write took effect. The entry now has this version.
     Written(Version),
-    /// The write was refused, as the entry is this now.
+    /// The write was refused because the entry has changed to this.
     Conflict(EntryState<'a>),
-    /// A read's answer.
+    /// The entry was read.
     Read(EntryState<'a>),
-    /// No answer came: a write may have taken effect, or may still do so.
+    /// No answer arrived. A write may have taken effect or may still do so.
     Lost,
-    /// Nothing was sent to the platform (no connection).
+    /// Nothing was sent to the platform, because there is no connection.
     Unreachable,
-    /// The pause is over.
+    /// The requested wait has ended.
     Tick,
 }
 
 /// What to do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Write this value, expecting this version, under the lease of [`super::ClaimLease`].
+    /// Write this value under the lease of [`super::ClaimLease`] if the entry has the expected version.
     Write {
         /// The entry's new value.
         value: String,
-        /// Version the entry must have now.
+        /// Version that the entry must currently have.
         expect: Version,
     },
     /// Read the entry.
     Read,
-    /// Wait, then give [`ClaimEvent::Tick`].
+    /// Wait, then report [`ClaimEvent::Tick`].
     Wait(Duration),
-    /// The claim is won; ask [`HeldClaim::may_send`] right before the send.
+    /// The claim is held. Call [`HeldClaim::may_send`] right before the send.
     Won(HeldClaim),
-    /// Answer with this kept result; if its body was too large, say that the call ran and its result was not kept.
+    /// Answer with this stored result. If its body was too large, state that the call ran and its result was not
+    /// stored.
     Answer(StoredAnswer),
-    /// Say that the call is still running, unknown for now.
+    /// State that the call is still running and its outcome not known yet.
     InProgress,
-    /// Say that the outcome is unknown; nobody will run it again.
+    /// State that the outcome is unknown. The call will not be run again.
     Unknown,
-    /// Say that the key stands for another call; this one has not run.
+    /// State that the key belongs to another call and that this call has not run.
     KeyReused,
-    /// Say that the claim cannot be made.
+    /// State that the claim cannot be acquired.
     Unavailable(Ran),
-    /// Too late: this machine has ended.
+    /// The claim has already ended.
     Ended,
 }
 
@@ -106,105 +107,105 @@
 enum Phase {
     Writing(Version),
     Reading,
-    /// A pause before the write or the read is tried again.
+    /// Waiting before the write (with this expected version) or the read is retried.
     Paused(Option<Version>),
     Ended,
 }
 
-/// The attempt to win one key for one call.
+/// An attempt to acquire one key for one call.
 #[derive(Debug, Clone)]
 pub struct Claim {
     request: ClaimRequest,
     limits: ClaimLimits,
     phase: Phase,
-    begun: Duration,
-    /// Version that the last write without an answer expected.
-    lost: Option<Version>,
+    started: Duration,
+    /// Version expected by the last write that got no answer.
+    unconfirmed_write: Option<Version>,
 }
 
 impl Claim {
-    /// An attempt that begins `now`, with its first step: a write that expects no entry, as most keys are new.
+    /// Starts an attempt. The first step is a write that expects no entry, since most keys are new.
     pub fn start(request: ClaimRequest, limits: ClaimLimits, now: Duration) -> (Self, ClaimStep) {
         let mut claim = Self {
             request,
             limits,
             phase: Phase::Ended,
-            begun: now,
-            lost: None,
+            started: now,
+            unconfirmed_write: None,
         };
         let step = claim.write(Version(0));
         (claim, step)
     }
 
-    /// Takes an event and says what to do next.
+    /// Handles an event and returns what to do next.
     pub fn on(&mut self, event: ClaimEvent<'_>, now: Duration) -> ClaimStep {
         if let (Phase::Writing(expect), ClaimEvent::Lost) = (self.phase, event) {
-            self.lost = Some(expect);
+            self.unconfirmed_write = Some(expect);
         }
         match (self.phase, event) {
             (Phase::Ended, _) => ClaimStep::Ended,
             (Phase::Writing(_), ClaimEvent::Written(version)) => self.won(version),
-            (Phase::Writing(_), ClaimEvent::Conflict(seen)) | (Phase::Reading, ClaimEvent::Read(seen)) => {
-                self.judge(seen, now)
+            (Phase::Writing(_), ClaimEvent::Conflict(entry)) | (Phase::Reading, ClaimEvent::Read(entry)) => {
+                self.evaluate(entry, now)
             }
-            _ if self.late(now) => self.end(ClaimStep::Unavailable(self.unclaimed())),
+            _ if self.is_timed_out(now) => self.end(ClaimStep::Unavailable(self.ran_without_claim())),
             (Phase::Writing(_), ClaimEvent::Lost) => self.read(),
-            (Phase::Writing(expect), ClaimEvent::Unreachable) => self.pause(Some(expect)),
-            (Phase::Reading, ClaimEvent::Lost | ClaimEvent::Unreachable) => self.pause(None),
+            (Phase::Writing(expect), ClaimEvent::Unreachable) => self.pause_before(Some(expect)),
+            (Phase::Reading, ClaimEvent::Lost | ClaimEvent::Unreachable) => self.pause_before(None),
             (Phase::Paused(Some(expect)), _) => self.write(expect),
             (Phase::Paused(None), _) => self.read(),
-            _ => ClaimStep::Wait(self.limits.pause),
+            _ => ClaimStep::Wait(self.limits.retry_delay),
         }
     }
 
-    /// After [`ClaimStep::Unavailable`], and nothing after any other end: frees the key of a claim that may have been
-    /// written although no answer came.
+    /// Frees the key after [`ClaimStep::Unavailable`] if the claim may have been written although no answer arrived.
+    /// Returns `None` after any other end.
     ///
-    /// Left there, the key would be in progress and then unknown although its call has never run, and a caller that
-    /// retries it once the platform is back would wait in vain. Nothing was sent and nothing will be, so that the
-    /// key may be freed. The deletion expects the version that the lost write expected: should that write arrive
-    /// later, the version has moved on and it is refused.
+    /// Otherwise the key would be "in progress" and later "unknown" although its call never ran, and a client that
+    /// retries after the platform recovers would never get an answer. The key may be freed because the call was not and
+    /// will not be sent. The deletion expects the same version as the unanswered write. If that write arrives later,
+    /// the version has changed and the write is refused.
     pub fn clear(&self, pause: Duration, until: Duration) -> Option<(Settle, SettleStep)> {
-        let version = self.lost.filter(|_| self.phase == Phase::Ended)?;
+        let version = self.unconfirmed_write.filter(|_| self.phase == Phase::Ended)?;
         Some(Settle::release(self.record(), version, pause, until))
     }
 
-    /// What the entry says. Whatever cannot be read or is not ours is never run.
-    fn judge(&mut self, seen: EntryState<'_>, now: Duration) -> ClaimStep {
-        let Some(value) = seen.value else {
-            if self.late(now) {
-                return self.end(ClaimStep::Unavailable(self.unclaimed()));
+    /// Decides by the entry. The call does not run if the entry cannot be parsed or belongs to another attempt.
+    fn evaluate(&mut self, entry: EntryState<'_>, now: Duration) -> ClaimStep {
+        let Some(value) = entry.value else {
+            if self.is_timed_out(now) {
+                return self.end(ClaimStep::Unavailable(self.ran_without_claim()));
             }
-            return self.write(seen.version);
+            return self.write(entry.version);
         };
         let Some(record) = Record::from_value(value) else {
             return self.end(ClaimStep::Unknown);
         };
         if record.nonce == self.request.nonce && record.state == ClaimState::Claimed {
-            return self.won(seen.version);
+            return self.won(entry.version);
         }
-        let lapsed = self.lapsed(record.at, now);
+        let abandoned = self.is_abandoned(record.at, now);
         let reused = record.call != self.request.call;
         self.end(match record.state {
-            // Only an outcome is for good: a claim may still be released, and then an attempt of this call may run.
+            // Only an outcome is final: a claim may still be released, and then a later attempt of this call may run.
             ClaimState::Done(_) | ClaimState::Unknown if reused => ClaimStep::KeyReused,
             ClaimState::Done(kept) => ClaimStep::Answer(kept),
-            ClaimState::Claimed if !lapsed => ClaimStep::InProgress,
+            ClaimState::Claimed if !abandoned => ClaimStep::InProgress,
             ClaimState::Claimed | ClaimState::Unknown => ClaimStep::Unknown,
         })
     }
 
-    fn lapsed(&self, at: u64, now: Duration) -> bool {
-        let wall = Duration::from_millis(self.request.wall_ms) + now.saturating_sub(self.begun);
-        wall.saturating_sub(Duration::from_millis(at)) > self.limits.lapse
+    fn is_abandoned(&self, at: u64, now: Duration) -> bool {
+        let wall_time = Duration::from_millis(self.request.wall_ms) + now.saturating_sub(self.started);
+        wall_time.saturating_sub(Duration::from_millis(at)) > self.limits.abandoned_after
     }
 
-    fn late(&self, now: Duration) -> bool {
-        now.saturating_sub(self.begun) > self.limits.timeout
+    fn is_timed_out(&self, now: Duration) -> bool {
+        now.saturating_sub(self.started) > self.limits.timeout
     }
 
-    /// Without a claim, an earlier attempt may have run, unless the caller states that there was none.
-    fn unclaimed(&self) -> Ran {
+    /// Without a claim, an earlier attempt may have run, unless the client states that there was none.
+    fn ran_without_claim(&self) -> Ran {
         match self.request.attempt {
             Attempt::First => Ran::NotRun,
             Attempt::Unstated => Ran::Unknown,
@@ -236,17 +237,17 @@
         ClaimStep::Read
     }
 
-    fn pause(&mut self, expect: Option<Version>) -> ClaimStep {
+    fn pause_before(&mut self, expect: Option<Version>) -> ClaimStep {
         self.phase = Phase::Paused(expect);
-        ClaimStep::Wait(self.limits.pause)
+        ClaimStep::Wait(self.limits.retry_delay)
     }
 
     fn won(&mut self, version: Version) -> ClaimStep {
         let held = HeldClaim {
             record: self.record(),
             version,
-            until: self.begun + self.limits.margin,
-            used: false,
+            send_deadline: self.started + self.limits.send_window,
+            send_permitted: false,
         };
         self.end(ClaimStep::Won(held))
     }
@@ -254,8 +255,8 @@
     fn end(&mut self, step: ClaimStep) -> ClaimStep {
         self.phase = Phase::Ended;
         if !matches!(step, ClaimStep::Unavailable(_)) {
-            // The claim is this attempt's own, or the entry has moved on past what it wrote.
-            self.lost = None;
+            // Either this attempt holds the claim, or the entry has a newer version than the one that it wrote.
+            self.unconfirmed_write = None;
         }
         step
     }
--- a/crates/lifecycle/src/claims/held.rs
+++ b/crates/lifecycle/src/claims/held.rs
@@ -1,4 +1,4 @@
-//! The last look before the send of a claimed call.
+//! The final check before a claimed call is sent.
 
 use super::record::Record;
 use ids::Version;
@@ -9,37 +9,37 @@
 pub enum MaySend {
     /// Send it now.
     Now,
-    /// Never send it: the holder was paused for too long, or has sent before. Settle it instead.
+    /// Never send it: the router was paused for too long or has already sent it. Settle the claim instead.
     Never,
 }
 
-/// A claim that was won.
+/// A claim held by this router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldClaim {
     pub(super) record: Record,
     pub(super) version: Version,
-    pub(super) until: Duration,
-    pub(super) used: bool,
+    pub(super) send_deadline: Duration,
+    pub(super) send_permitted: bool,
 }
 
 impl HeldClaim {
-    /// Asked once, right before the first byte leaves. A router that was stopped between winning its claim and
-    /// the send wakes up without noticing; only the clock tells.
+    /// Whether the call may be sent. Must be called once, right before the first byte. A router that was paused between
+    /// acquiring the claim and sending can detect the pause only by the clock.
     pub fn may_send(&mut self, now: Duration) -> MaySend {
-        if self.used || now > self.until {
+        if self.send_permitted || now > self.send_deadline {
             return MaySend::Never;
         }
-        self.used = true;
+        self.send_permitted = true;
         MaySend::Now
     }
 
-    /// Takes back the permission after the endpoint's own word that it has not acted on this send.
+    /// Records that the endpoint stated that it has not acted on this send, so that the call may be sent again.
     pub fn endpoint_refused(&mut self) {
-        self.used = false;
+        self.send_permitted = false;
     }
 
-    /// Whether a send was allowed; only a claim without one may be released.
-    pub fn used(&self) -> bool {
-        self.used
+    /// Whether a send was permitted. Only a claim without a permitted send may be released.
+    pub fn send_permitted(&self) -> bool {
+        self.send_permitted
     }
 }
--- a/crates/lifecycle/src/claims/lease.rs
+++ b/crates/lifecycle/src/claims/lease.rs
@@ -1,21 +1,21 @@
-//! The end of claims: each is written under a long lease of the platform, which all claims of an hour share.
+//! Expiry of claims: each claim is written under a long platform lease, which is shared by all claims of one hour.
 //!
-//! What goes wrong without it: claims pile up for ever, or each costs a third write to delete it, or a router
-//! with a wrong clock takes a claim for ended and runs the call again. With a lease the platform's own clock ends
-//! claims, at the price of one lease call per router and hour.
+//! Without a lease, claims would accumulate, or each would cost a third write to delete it, or a router with a wrong
+//! clock could consider a claim expired and run the call again. With a lease, claims expire by the platform's clock, at
+//! the cost of one lease call per router and hour.
 //!
-//! What a caller must know: a key is remembered for at least [`REMEMBERED`]. Used again later, it is a new call.
+//! A key is retained for at least [`KEY_RETENTION`]. A client that uses it again later makes a new call.
 
 use std::time::Duration;
 
-/// How long a key is remembered at least.
-pub const REMEMBERED: Duration = Duration::from_secs(24 * 3600);
+/// Minimum time for which a key is retained.
+pub const KEY_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// How long one lease is used for new claims.
-pub const USED_FOR: Duration = Duration::from_secs(3600);
+pub const LEASE_USE_PERIOD: Duration = Duration::from_secs(3600);
 
-/// Time to live of a lease. Its excess over [`REMEMBERED`] and [`USED_FOR`] covers a router that is stopped
-/// between taking the lease and writing with it: 23 hours.
+/// Time to live of a claim lease. It exceeds [`KEY_RETENTION`] plus [`LEASE_USE_PERIOD`] by 23 hours, for a router that
+/// is paused between choosing the lease and writing under it.
 pub const CLAIM_LEASE_TTL: Duration = Duration::from_secs(48 * 3600);
 
 /// What to do before a write.
@@ -23,11 +23,11 @@
 pub enum LeaseStep {
     /// Write under this lease.
     Use(u64),
-    /// Ask for a new lease of [`CLAIM_LEASE_TTL`] first; without it no claim can be made.
+    /// Request a new lease of [`CLAIM_LEASE_TTL`] first. Without it, no claim can be written.
     RequestNew,
 }
 
-/// The lease under which a router writes its claims; never renewed, never revoked.
+/// The lease under which a router writes its claims. It is never renewed or revoked.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClaimLease {
     current: Option<(u64, Duration)>,
@@ -37,17 +37,17 @@
     /// What to do before a write.
     pub fn step(&self, now: Duration) -> LeaseStep {
         match self.current {
-            Some((id, asked)) if now.saturating_sub(asked) < USED_FOR => LeaseStep::Use(id),
+            Some((id, requested)) if now.saturating_sub(requested) < LEASE_USE_PERIOD => LeaseStep::Use(id),
             _ => LeaseStep::RequestNew,
         }
     }
 
-    /// The platform granted this lease to a call that was begun at `asked`.
-    pub fn granted(&mut self, id: u64, asked: Duration) {
-        self.current = Some((id, asked));
+    /// Records a lease that was requested at `requested` and granted by the platform.
+    pub fn granted(&mut self, id: u64, requested: Duration) {
+        self.current = Some((id, requested));
     }
 
-    /// The platform no longer knows the lease, as it said when refusing a write.
+    /// Discards the lease after the platform refused a write because it no longer has the lease.
     pub fn invalidate(&mut self) {
         self.current = None;
     }
--- a/crates/lifecycle/src/claims/guard.rs
+++ b/crates/lifecycle/src/claims/protection.rs
@@ -1,22 +1,22 @@
-//! Which protection a call needs, and so what can be served while the platform is out.
+//! Which protection against repeated execution a call needs, and whether it can be served during a platform outage.
 
 use crate::request::RetryPolicy;
 
-/// How a call is kept from running twice.
+/// How a call is protected against running twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Protection {
-    /// Not needed: a second execution does no harm. Served while the platform is out.
+    /// Not needed, because a second execution does no harm. Served during a platform outage.
     Idempotent,
-    /// The service itself runs a key at most once. Served while the platform is out.
+    /// The service itself runs each key at most once. Served during a platform outage.
     Endpoint,
-    /// No key: this router sends it at most once; a retry by the caller is a new call. Served while the
-    /// platform is out.
+    /// No key: this router sends the call at most once. A retry by the client is a new call. Served during a platform
+    /// outage.
     SingleSend,
-    /// A claim comes first. Refused while the platform is out.
+    /// A claim is acquired first. Refused during a platform outage.
     Claim,
 }
 
-/// The guard of a call, from the operation's configuration and whether the caller gave a key.
+/// The protection of a call, from the operation's configuration and whether the client gave a key.
 pub fn protection(idempotent: bool, deduplicates: bool, keyed: bool) -> Protection {
     if idempotent {
         return Protection::Idempotent;
@@ -32,7 +32,7 @@
 }
 
 impl Protection {
-    /// How often the router may send the call.
+    /// How often a router may send the call.
     pub fn retry_policy(self) -> RetryPolicy {
         match self {
             Self::Idempotent | Self::Endpoint => RetryPolicy::Idempotent,
--- a/crates/lifecycle/src/claims/record.rs
+++ b/crates/lifecycle/src/claims/record.rs
@@ -1,13 +1,13 @@
-//! What stands in the platform's key-value service for one claim.
+//! The entry of one claim in the platform's key-value service.
 
 use derive_more::Display;
 use ids::{Digest, IdempotencyKey, Version, WorkspaceId};
 use serde::{Deserialize, Serialize};
 
-/// Largest body that is kept, bytes. A value holds at most 1 MB, and a body that is not text grows fourfold.
-pub const KEPT_BYTES: usize = 64 * 1024;
+/// Largest body that is stored, bytes. A value holds at most 1 MB, and a body that is not text grows fourfold in JSON.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// A random number that tells one attempt to claim from all others.
+/// A random number that identifies one attempt to acquire a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Nonce(String);
@@ -21,30 +21,30 @@
 /// A claim as it is stored, in JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Whose it is.
+    /// The attempt that holds the claim.
     pub nonce: Nonce,
-    /// Which call the key stands for.
+    /// Digest of the call that the key belongs to.
     pub call: Digest,
-    /// Wall clock of the holder when it began to claim, milliseconds since 1970. Only tells "in progress" from
-    /// "unknown", both of which are true; at most once never hangs on a clock.
+    /// Wall clock of the holder when it started to acquire the claim, milliseconds since 1970. Only distinguishes "in
+    /// progress" from "unknown", which are both correct. At-most-once execution does not depend on a clock.
     pub at: u64,
-    /// How far it has come.
+    /// State of the call.
     pub state: ClaimState,
 }
 
-/// How far a claimed call has come.
+/// State of a claimed call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
     /// It may be running.
     Claimed,
-    /// It ran, and this was the endpoint's answer.
+    /// It ran, with this answer.
     Done(StoredAnswer),
-    /// It may have run, and nobody will know.
+    /// It may have run; this can no longer be determined.
     Unknown,
 }
 
-/// An endpoint's whole answer.
+/// An endpoint's complete answer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// HTTP status.
@@ -55,22 +55,22 @@
     pub body: Body,
 }
 
-/// A kept body.
+/// A stored body.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Body {
-    /// Text, as most are.
+    /// UTF-8 text.
     Text(String),
     /// Anything else.
     Bytes(Vec<u8>),
-    /// The call ran; its body of this many bytes was too large to keep.
+    /// The call ran, but its body of this many bytes was too large to store.
     TooLarge(u64),
 }
 
 impl Body {
-    /// What is kept of `body`.
+    /// The stored form of `body`.
     pub fn from_bytes(body: &[u8]) -> Self {
-        if body.len() > KEPT_BYTES {
+        if body.len() > MAX_BODY_BYTES {
             return Self::TooLarge(body.len() as u64);
         }
         match std::str::from_utf8(body) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The whole body, unless it was too large to keep.
+    /// The complete body, unless it was too large to store.
     pub fn as_bytes(&self) -> Option<&[u8]> {
         match self {
             Self::Text(text) => Some(text.as_bytes()),
@@ -89,29 +89,29 @@
     }
 }
 
-/// What the platform showed of a claim's entry.
+/// The entry of a claim as read from the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EntryState<'a> {
     /// Version of the entry, 0 if it never existed.
     pub version: Version,
-    /// Its value, absent if it does not exist.
+    /// Its value, or `None` if it does not exist.
     pub value: Option<&'a str>,
 }
 
 impl Record {
-    /// The record as stored.
+    /// The record as a stored value.
     pub fn to_value(&self) -> String {
         serde_json::to_string(self).expect("a record has no map and no failing serializer")
     }
 
-    /// The record of a stored value; none if it cannot be read, and then nobody may run the call.
+    /// The record in a stored value. `None` if it cannot be parsed; then no router may run the call.
     pub fn from_value(value: &str) -> Option<Self> {
         serde_json::from_str(value).ok()
     }
 }
 
-/// Name of the entry that holds the claim of `key` in `workspace`. A digest, so that no key of one workspace can
-/// be written so as to meet another's.
+/// Name of the entry for the claim of `key` in `workspace`. It is a digest, so that a key of one workspace cannot be
+/// chosen to collide with a key of another.
 pub fn claim_key(workspace: &WorkspaceId, key: &IdempotencyKey) -> String {
     format!(
         "claims/{}",
@@ -119,8 +119,8 @@
     )
 }
 
-/// Digest of a call's parts (method, service, path and query, content type, body), each with its length, so that
-/// moving a byte from one part to the next gives another digest.
+/// Digest of a call's parts (method, service, path and query, content type, body). Each part is prefixed with its
+/// length, so that moving a byte from one part to the next changes the digest.
 pub fn call_digest(parts: &[&[u8]]) -> Digest {
     let mut text = Vec::with_capacity(parts.iter().map(|part| part.len() + size_of::<u64>()).sum());
     for part in parts {
--- a/crates/lifecycle/src/claims/settle.rs
+++ b/crates/lifecycle/src/claims/settle.rs
@@ -1,4 +1,4 @@
-//! Writing down how a claimed call ended, so that a retry at any router is told the same.
+//! Stores the outcome of a claimed call, so that a retry at any router gets the same answer.
 
 use super::acquire::ClaimEvent;
 use super::held::HeldClaim;
@@ -9,32 +9,32 @@
 /// How a claimed call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// The endpoint's whole answer.
+    /// It ran, with this complete answer.
     Done(StoredAnswer),
     /// It may have run.
     Unknown,
-    /// It was never sent: the key becomes free again.
+    /// It was never sent. The key becomes free again.
     NotSent,
 }
 
 /// What to do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettleStep {
-    /// Write this value (absent: delete), expecting this version, under the lease of [`super::ClaimLease`].
+    /// Write this value, or delete the entry, under the lease of [`super::ClaimLease`] if it has the expected version.
     Write {
-        /// The entry's new value.
+        /// The entry's new value. Absent to delete the entry.
         value: Option<String>,
-        /// Version the entry must have now.
+        /// Version that the entry must currently have.
         expect: Version,
     },
     /// Read the entry.
     Read,
-    /// Wait, then give [`ClaimEvent::Tick`].
+    /// Wait, then report [`ClaimEvent::Tick`].
     Wait(Duration),
-    /// It is written down.
+    /// The outcome is stored.
     Settled,
-    /// It could not be written in time, or the claim has ended meanwhile: retries are told "in progress", then
-    /// "unknown". Both are true.
+    /// The outcome could not be stored in time, or the claim was removed meanwhile. Retries get "in progress" and later
+    /// "unknown", which are both correct.
     GaveUp,
 }
 
@@ -46,30 +46,31 @@
     Ended(bool),
 }
 
-/// The end of one claim. The caller's answer does not wait for it, but a shutdown does.
+/// Stores the outcome of one claim. A shutdown waits for it; the answer to the client need not.
 #[derive(Debug, Clone)]
 pub struct Settle {
     record: Record,
-    wanted: Option<ClaimState>,
+    target: Option<ClaimState>,
     phase: Phase,
     pause: Duration,
     until: Duration,
 }
 
 impl Settle {
-    /// Begins to write `outcome` down, and goes on trying for as long as `patience`.
+    /// Starts to store `outcome`, retrying every `pause` until `until`.
     ///
-    /// A claim that may have been sent is never released: [`Outcome::NotSent`] becomes unknown then.
+    /// The claim of a call that may have been sent is never released: in this case [`Outcome::NotSent`] is stored as
+    /// unknown.
     pub fn start(held: HeldClaim, outcome: Outcome, pause: Duration, until: Duration) -> (Self, SettleStep) {
-        let wanted = match outcome {
+        let target = match outcome {
             Outcome::Done(kept) => Some(ClaimState::Done(kept)),
-            Outcome::NotSent if !held.used() => None,
+            Outcome::NotSent if !held.send_permitted() => None,
             Outcome::Unknown | Outcome::NotSent => Some(ClaimState::Unknown),
         };
         let version = held.version;
         let mut settle = Self {
             record: held.record,
-            wanted,
+            target,
             phase: Phase::Reading,
             pause,
             until,
@@ -78,11 +79,11 @@
         (settle, step)
     }
 
-    /// Begins to free a key whose claim was perhaps written, and never sent.
+    /// Starts to free a key whose claim may have been written, but whose call was never sent.
     pub(super) fn release(record: Record, version: Version, pause: Duration, until: Duration) -> (Self, SettleStep) {
         let mut settle = Self {
             record,
-            wanted: None,
+            target: None,
             phase: Phase::Reading,
             pause,
             until,
@@ -91,28 +92,28 @@
         (settle, step)
     }
 
-    /// Takes an event and says what to do next.
+    /// Handles an event and returns what to do next.
     pub fn on(&mut self, event: ClaimEvent<'_>, now: Duration) -> SettleStep {
         match (self.phase, event) {
             (Phase::Ended(true), _) => SettleStep::Settled,
             (Phase::Ended(false), _) => SettleStep::GaveUp,
             (Phase::Writing(_), ClaimEvent::Written(_)) => self.end(true),
-            (Phase::Writing(_), ClaimEvent::Conflict(seen)) | (Phase::Reading, ClaimEvent::Read(seen)) => {
-                self.judge(seen)
+            (Phase::Writing(_), ClaimEvent::Conflict(entry)) | (Phase::Reading, ClaimEvent::Read(entry)) => {
+                self.evaluate(entry)
             }
             _ if now > self.until => self.end(false),
             (Phase::Writing(_), ClaimEvent::Lost) => self.read(),
-            (Phase::Writing(expect), ClaimEvent::Unreachable) => self.wait(Some(expect)),
-            (Phase::Reading, ClaimEvent::Lost | ClaimEvent::Unreachable) => self.wait(None),
+            (Phase::Writing(expect), ClaimEvent::Unreachable) => self.pause_before(Some(expect)),
+            (Phase::Reading, ClaimEvent::Lost | ClaimEvent::Unreachable) => self.pause_before(None),
             (Phase::Paused(Some(expect)), _) => self.write(expect),
             (Phase::Paused(None), _) => self.read(),
             _ => SettleStep::Wait(self.pause),
         }
     }
 
-    fn judge(&mut self, seen: EntryState<'_>) -> SettleStep {
-        let Some(value) = seen.value else {
-            return self.end(self.wanted.is_none());
+    fn evaluate(&mut self, entry: EntryState<'_>) -> SettleStep {
+        let Some(value) = entry.value else {
+            return self.end(self.target.is_none());
         };
         let Some(found) = Record::from_value(value) else {
             return self.end(false);
@@ -120,15 +121,15 @@
         if found.nonce != self.record.nonce {
             return self.end(false);
         }
-        if self.wanted.as_ref() == Some(&found.state) {
+        if self.target.as_ref() == Some(&found.state) {
             return self.end(true);
         }
-        self.write(seen.version)
+        self.write(entry.version)
     }
 
     fn write(&mut self, expect: Version) -> SettleStep {
         self.phase = Phase::Writing(expect);
-        let value = self.wanted.clone().map(|state| {
+        let value = self.target.clone().map(|state| {
             Record {
                 state,
                 ..self.record.clone()
@@ -143,7 +144,7 @@
         SettleStep::Read
     }
 
-    fn wait(&mut self, expect: Option<Version>) -> SettleStep {
+    fn pause_before(&mut self, expect: Option<Version>) -> SettleStep {
         self.phase = Phase::Paused(expect);
         SettleStep::Wait(self.pause)
     }
--- a/crates/lifecycle/tests/claims.rs
+++ b/crates/lifecycle/tests/claims.rs
@@ -241,7 +241,7 @@
         attempt,
     };
     let limits = ClaimLimits {
-        margin: MARGIN,
+        send_window: MARGIN,
         ..ClaimLimits::default()
     };
     let (claim, step) = Claim::start(request, limits, world.now);
@@ -385,7 +385,7 @@
             body: Body::from_bytes(body),
         })
     };
-    let large = vec![b'x'; KEPT_BYTES + 1];
+    let large = vec![b'x'; MAX_BODY_BYTES + 1];
     let cases = [
         Case(None, "Write"),
         Case(Some("written by a later release".into()), "Unknown"),
