--- a/crates/lifecycle/examples/claim_writes.rs
+++ b/crates/lifecycle/examples/claim_writes.rs
@@ -1,10 +1,11 @@
-//! Platform calls that at-most-once claims cost: an entry per claim against claims grouped in shared entries.
+//! Compares the platform calls of at-most-once claims: one entry per claim, or claims grouped in shared entries.
 //!
-//! A deterministic loop of 14 routers and one platform. Calls arrive at random at any router. Each call needs its
-//! claim written before it is sent and its result written after it. Grouped: the key picks one of `shards` entries;
-//! a router gathers what is pending for an entry for `linger`, writes it all with one compare-and-swap, and after
-//! a conflict merges and writes again. `read` first reads the entry, so that only writes in the same instant
-//! collide. `owner` sends all calls of an entry to one router, which no other then collides with.
+//! A deterministic simulation of 14 routers and one platform. Calls arrive at random routers. Each call needs one write
+//! of its claim before it is sent and one write of its result afterwards. In a grouped design, the key selects one of
+//! `shards` entries. A router collects the pending writes of an entry for `linger` microseconds and writes them with
+//! one compare-and-swap. After a conflict it merges and writes again. With `read`, it first reads the entry, so that
+//! only concurrent writes conflict. With `owner`, all calls of an entry go to one router, so that there are no
+//! conflicts.
 //!
 //! Run: `cargo run --release -p lifecycle --example claim_writes`
 
@@ -16,9 +17,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 const ROUTERS: u64 = 14;
-/// One way to the platform, microseconds.
+/// One-way latency to the platform, microseconds.
 const ONE_WAY: u64 = 2_000;
-/// Time an endpoint takes, microseconds.
+/// Duration of a call at the endpoint, microseconds.
 const WORK: u64 = 50_000;
 const SECONDS: u64 = 60;
 const MICROS: u64 = 1_000_000;
@@ -61,11 +62,11 @@
 
 #[derive(Default)]
 struct Group {
-    known: u64,
+    version: u64,
     claims: Vec<u64>,
     results: u64,
-    flying: Option<(usize, u64)>,
-    waking: bool,
+    in_flight: Option<(usize, u64)>,
+    scheduled: bool,
 }
 
 #[derive(Default)]
@@ -77,7 +78,7 @@
     delays: Vec<u64>,
 }
 
-struct Bench {
+struct Simulation {
     design: Design,
     now: u64,
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
@@ -87,19 +88,19 @@
     totals: Totals,
 }
 
-impl Bench {
-    fn at(&mut self, time: u64, event: Event) {
+impl Simulation {
+    fn push(&mut self, time: u64, event: Event) {
         self.order += 1;
         self.queue.push(Reverse((time, self.order, event)));
     }
 
-    fn wake(&mut self, router: u64, shard: u64, linger: u64) {
+    fn schedule(&mut self, router: u64, shard: u64, linger: u64) {
         let group = self.groups.entry((router, shard)).or_default();
-        if group.waking || group.flying.is_some() || (group.claims.is_empty() && group.results == 0) {
+        if group.scheduled || group.in_flight.is_some() || (group.claims.is_empty() && group.results == 0) {
             return;
         }
-        group.waking = true;
-        self.at(self.now + linger, Event::Write { router, shard });
+        group.scheduled = true;
+        self.push(self.now + linger, Event::Write { router, shard });
     }
 
     fn step(&mut self, event: Event) {
@@ -109,11 +110,11 @@
                 self.totals.calls += 1;
                 let now = self.now;
                 self.groups.entry((router, shard)).or_default().claims.push(now);
-                self.wake(router, shard, linger);
+                self.schedule(router, shard, linger);
             }
             Event::Result { router, shard } => {
                 self.groups.entry((router, shard)).or_default().results += 1;
-                self.wake(router, shard, linger);
+                self.schedule(router, shard, linger);
             }
             Event::Write { router, shard } => self.send(router, shard),
             Event::Arrive { router, shard } => self.arrive(router, shard),
@@ -129,27 +130,27 @@
     fn send(&mut self, router: u64, shard: u64) {
         let read = self.design.read;
         let current = self.versions.get(&shard).copied().unwrap_or(0);
-        let group = self.groups.get_mut(&(router, shard)).expect("a woken group exists");
-        group.waking = false;
-        group.flying = Some((group.claims.len(), group.results));
+        let group = self.groups.get_mut(&(router, shard)).expect("a scheduled group exists");
+        group.scheduled = false;
+        group.in_flight = Some((group.claims.len(), group.results));
         let mut delay = ONE_WAY;
-        if read && group.known != current {
-            // The read sees the entry as it is half-way through its own round trip.
-            group.known = current;
+        if read && group.version != current {
+            // The read returns the entry as of half its round trip.
+            group.version = current;
             self.totals.reads += 1;
             delay += 2 * ONE_WAY;
         }
-        self.at(self.now + delay, Event::Arrive { router, shard });
+        self.push(self.now + delay, Event::Arrive { router, shard });
     }
 
     fn arrive(&mut self, router: u64, shard: u64) {
         let version = self.versions.entry(shard).or_default();
-        let ok = self.groups[&(router, shard)].known == *version;
+        let ok = self.groups[&(router, shard)].version == *version;
         *version += u64::from(ok);
         let version = *version;
         self.totals.writes += 1;
         self.totals.conflicts += u64::from(!ok);
-        self.at(
+        self.push(
             self.now + ONE_WAY,
             Event::Answer {
                 router,
@@ -163,26 +164,26 @@
     fn answer(&mut self, router: u64, shard: u64, version: u64, ok: bool) {
         let now = self.now;
         let group = self.groups.get_mut(&(router, shard)).expect("an answered group exists");
-        group.known = version;
-        let Some((claims, results)) = group.flying.take() else {
+        group.version = version;
+        let Some((claims, results)) = group.in_flight.take() else {
             return;
         };
         if !ok {
-            self.wake(router, shard, 0);
+            self.schedule(router, shard, 0);
             return;
         }
         group.results -= results;
         let won: Vec<u64> = group.claims.drain(..claims).collect();
-        for begun in won {
-            self.totals.delays.push(now - begun);
-            self.at(now + WORK, Event::Result { router, shard });
+        for started in won {
+            self.totals.delays.push(now - started);
+            self.push(now + WORK, Event::Result { router, shard });
         }
-        self.wake(router, shard, self.design.linger);
+        self.schedule(router, shard, self.design.linger);
     }
 }
 
 fn run(design: Design, rate: u64) -> Totals {
-    let mut bench = Bench {
+    let mut simulation = Simulation {
         design,
         now: 0,
         queue: BinaryHeap::new(),
@@ -200,14 +201,14 @@
             random.random_range(0..ROUTERS)
         };
         let time = random.random_range(0..SECONDS * MICROS);
-        bench.at(time, Event::Call { router, shard });
+        simulation.push(time, Event::Call { router, shard });
     }
-    while let Some(Reverse((time, _, event))) = bench.queue.pop() {
-        bench.now = time;
-        bench.step(event);
+    while let Some(Reverse((time, _, event))) = simulation.queue.pop() {
+        simulation.now = time;
+        simulation.step(event);
     }
-    bench.totals.delays.sort_unstable();
-    bench.totals
+    simulation.totals.delays.sort_unstable();
+    simulation.totals
 }
 
 fn record_bytes() -> f64 {
@@ -229,11 +230,11 @@
 fn print(design: Design, rate: u64) {
     let totals = run(design, rate);
     let calls = totals.calls as f64;
-    let kept = (rate * KEY_RETENTION.as_secs()) as f64;
+    let retained = (rate * KEY_RETENTION.as_secs()) as f64;
     let entry = if design.shards == u64::MAX {
         1.0
     } else {
-        (kept / design.shards as f64).max(1.0)
+        (retained / design.shards as f64).max(1.0)
     } * record_bytes();
     let writes = totals.writes as f64 / calls;
     let percentile = |share: usize| totals.delays[totals.delays.len() * share / 100] as f64 / 1e3;
--- a/crates/lifecycle/tests/claims.rs
+++ b/crates/lifecycle/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of one key by several routers, through a platform that loses, delays and refuses.
+//! Simulation of several routers that claim the same key, over a platform that loses, delays and refuses writes.
 
 use ids::{Digest, Version};
 use lifecycle::claims::*;
@@ -8,45 +8,45 @@
 use std::time::Duration;
 use wire::caller::Ran;
 
-/// Each run tries the same cases, so that its verdict is the same.
+/// Fixed, so that every run tests the same cases.
 const SEED: u64 = 7;
 
 fn seeded() -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(100, SEED))
 }
 
-/// Faults of the long run; set `LIFECYCLE_FAULTS` for a longer one.
+/// Minimum number of faults in the long run. Set `LIFECYCLE_FAULTS` for a longer one.
 const FAULTS: u64 = 20_000;
-const MARGIN: Duration = Duration::from_secs(5);
+const SEND_WINDOW: Duration = Duration::from_secs(5);
 
-enum Doing {
+enum Task {
     Claiming(Claim, ClaimStep),
     Settling(Settle, SettleStep),
-    Nothing,
+    Idle,
 }
 
 struct Router {
-    first: bool,
+    first_attempt: bool,
     call: Digest,
-    begun: Duration,
+    started: Duration,
     sends: u32,
-    said: Option<&'static str>,
-    doing: Doing,
+    response: Option<&'static str>,
+    task: Task,
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     now: Duration,
     value: Option<String>,
     version: u64,
-    late: Vec<(Option<String>, Version)>,
+    delayed_writes: Vec<(Option<String>, Version)>,
     executed: Vec<Digest>,
     result: Option<StoredAnswer>,
     faults: u64,
-    said: Vec<&'static str>,
+    responses: Vec<&'static str>,
 }
 
-impl World {
+impl Simulation {
     fn seen(&self) -> EntryState<'_> {
         EntryState {
             version: Version(self.version),
@@ -62,7 +62,7 @@
         let (was, is) = (state(&self.value), state(&value));
         assert!(
             !matches!(was, Some(ClaimState::Done(_))) || was == is,
-            "a kept result was lost"
+            "a stored result was lost"
         );
         assert!(
             is.is_some() || self.executed.is_empty(),
@@ -73,7 +73,7 @@
         true
     }
 
-    /// One write with what may go wrong, and then the event that its sender sees.
+    /// Performs a write with a random fault and returns the event for its sender.
     fn write(&mut self, random: &mut ChaCha8Rng, value: Option<String>, expect: Version) -> ClaimEvent<'_> {
         let fault = random.random_range(0..8);
         self.faults += u64::from(fault < 4);
@@ -81,13 +81,13 @@
             0 => return ClaimEvent::Unreachable,
             1 => return ClaimEvent::Lost,
             2 => {
-                self.late.push((value, expect));
+                self.delayed_writes.push((value, expect));
                 return ClaimEvent::Lost;
             }
             _ => {}
         }
-        let took = self.apply(value, expect);
-        match (fault, took) {
+        let applied = self.apply(value, expect);
+        match (fault, applied) {
             (3, _) => ClaimEvent::Lost,
             (_, true) => ClaimEvent::Written(Version(self.version)),
             (_, false) => ClaimEvent::Conflict(self.seen()),
@@ -102,16 +102,16 @@
         ClaimEvent::Read(self.seen())
     }
 
-    /// The send of a claim's holder and what comes of it.
-    fn send(&mut self, random: &mut ChaCha8Rng, router: &mut Router, mut held: HeldClaim) -> Doing {
+    /// Sends the call of a held claim and starts to settle the outcome.
+    fn send(&mut self, random: &mut ChaCha8Rng, router: &mut Router, mut held: HeldClaim) -> Task {
         if random.random_range(0..4) == 0 {
             self.faults += 1;
             self.now += Duration::from_secs(random.random_range(0..12));
         }
         let mut outcome = Outcome::NotSent;
-        let mut says = "not run";
+        let mut response = "not run";
         if held.may_send(self.now) == MaySend::Now {
-            assert!(self.now <= router.begun + MARGIN, "a paused holder sent");
+            assert!(self.now <= router.started + SEND_WINDOW, "a paused holder sent");
             assert_eq!(held.may_send(self.now), MaySend::Never, "one claim allowed two sends");
             router.sends += 1;
             let kept = StoredAnswer {
@@ -130,37 +130,37 @@
             } else {
                 Outcome::Done(kept)
             };
-            says = if fault < 2 { "unknown" } else { "answer" };
-            // Whoever takes an interrupted send for none must still not free the key.
+            response = if fault < 2 { "unknown" } else { "answer" };
+            // Settling an interrupted send as not sent must not free the key either.
             if fault < 2 && random.random_range(0..2) == 0 {
                 outcome = Outcome::NotSent;
             }
         }
-        self.say(router, says);
-        let (settle, step) = Settle::start(held, outcome, Duration::from_millis(50), self.now + MARGIN);
-        Doing::Settling(settle, step)
+        self.respond(router, response);
+        let (settle, step) = Settle::start(held, outcome, Duration::from_millis(50), self.now + SEND_WINDOW);
+        Task::Settling(settle, step)
     }
 
-    fn say(&mut self, router: &mut Router, says: &'static str) {
-        assert_eq!(router.said.replace(says), None, "a request ended twice");
+    fn respond(&mut self, router: &mut Router, response: &'static str) {
+        assert_eq!(router.response.replace(response), None, "a request ended twice");
         let ran = self.executed.contains(&router.call);
         assert!(
-            says != "not run" || router.sends == 0 && self.executed.is_empty(),
-            "not run, and yet it ran"
+            response != "not run" || router.sends == 0 && self.executed.is_empty(),
+            "reported as not run although it ran"
         );
         assert!(
-            says != "key reused" || !ran,
-            "refused as another call's key, and yet it ran"
+            response != "key reused" || !ran,
+            "reported as another call's key although it ran"
         );
-        self.said.push(says);
+        self.responses.push(response);
     }
 
-    fn claiming(&mut self, random: &mut ChaCha8Rng, router: &mut Router, mut claim: Claim, step: ClaimStep) -> Doing {
-        let says = match step {
+    fn step_claim(&mut self, random: &mut ChaCha8Rng, router: &mut Router, mut claim: Claim, step: ClaimStep) -> Task {
+        let response = match step {
             ClaimStep::Won(held) => {
                 assert!(
-                    claim.clear(MARGIN, MARGIN).is_none(),
-                    "the claim that was won would be freed"
+                    claim.clear(SEND_WINDOW, SEND_WINDOW).is_none(),
+                    "a held claim would be freed"
                 );
                 return self.send(random, router, held);
             }
@@ -172,159 +172,173 @@
                     _ => ClaimEvent::Tick,
                 };
                 let step = claim.on(event, now);
-                return Doing::Claiming(claim, step);
+                return Task::Claiming(claim, step);
             }
             ClaimStep::Answer(kept) => {
-                assert_eq!(Some(&kept), self.result.as_ref(), "not the whole answer");
-                "kept"
+                assert_eq!(Some(&kept), self.result.as_ref(), "not the complete answer");
+                "stored answer"
             }
             ClaimStep::InProgress => "in progress",
             ClaimStep::Unknown => "unknown to all",
             ClaimStep::KeyReused => "key reused",
             ClaimStep::Unavailable(Ran::Unknown) => "unavailable",
-            // The caller's word that there was no earlier attempt; others that run at the same time are its own.
+            // The client stated that there was no earlier attempt. Concurrent attempts are the client's responsibility.
             ClaimStep::Unavailable(Ran::NotRun) => {
-                assert!(router.first || self.executed.is_empty(), "an earlier attempt ran");
+                assert!(
+                    router.first_attempt || self.executed.is_empty(),
+                    "an earlier attempt ran"
+                );
                 "unavailable first"
             }
-            ClaimStep::Ended => panic!("no event came after the end"),
+            ClaimStep::Ended => panic!("no event was sent after the end"),
         };
-        self.say(router, says);
-        match claim.clear(Duration::from_millis(50), self.now + MARGIN) {
-            Some((settle, step)) => Doing::Settling(settle, step),
-            None => Doing::Nothing,
+        self.respond(router, response);
+        match claim.clear(Duration::from_millis(50), self.now + SEND_WINDOW) {
+            Some((settle, step)) => Task::Settling(settle, step),
+            None => Task::Idle,
         }
     }
 
-    fn settling(&mut self, random: &mut ChaCha8Rng, says: Option<&str>, mut settle: Settle, step: SettleStep) -> Doing {
+    fn step_settle(
+        &mut self,
+        random: &mut ChaCha8Rng,
+        response: Option<&str>,
+        mut settle: Settle,
+        step: SettleStep,
+    ) -> Task {
         let now = self.now;
         let event = match step {
             SettleStep::Write { value, expect } => self.write(random, value, expect),
             SettleStep::Read => self.read(random),
             SettleStep::Wait(_) => ClaimEvent::Tick,
-            SettleStep::GaveUp => return Doing::Nothing,
+            SettleStep::GaveUp => return Task::Idle,
             SettleStep::Settled => {
                 let record = self.value.as_deref().and_then(Record::from_value);
-                let kept = record.is_some_and(|record| matches!(record.state, ClaimState::Done(_)));
-                assert!(says != Some("answer") || kept, "settled, and the result is not kept");
-                return Doing::Nothing;
+                let stored = record.is_some_and(|record| matches!(record.state, ClaimState::Done(_)));
+                assert!(
+                    response != Some("answer") || stored,
+                    "settled without storing the result"
+                );
+                return Task::Idle;
             }
         };
         let step = settle.on(event, now);
-        Doing::Settling(settle, step)
+        Task::Settling(settle, step)
     }
 
-    fn turn(&mut self, random: &mut ChaCha8Rng, router: &mut Router) {
-        let doing = std::mem::replace(&mut router.doing, Doing::Nothing);
-        router.doing = match doing {
-            Doing::Claiming(claim, step) => self.claiming(random, router, claim, step),
-            Doing::Settling(settle, step) => self.settling(random, router.said, settle, step),
-            Doing::Nothing => Doing::Nothing,
+    fn step(&mut self, random: &mut ChaCha8Rng, router: &mut Router) {
+        let task = std::mem::replace(&mut router.task, Task::Idle);
+        router.task = match task {
+            Task::Claiming(claim, step) => self.step_claim(random, router, claim, step),
+            Task::Settling(settle, step) => self.step_settle(random, router.response, settle, step),
+            Task::Idle => Task::Idle,
         };
         assert!(self.executed.len() <= 1, "the call ran twice");
     }
 }
 
-fn arrive(world: &World, random: &mut ChaCha8Rng, number: u128) -> Router {
+fn start_attempt(simulation: &Simulation, random: &mut ChaCha8Rng, index: u128) -> Router {
     let call = Digest::of(if random.random_range(0..6) == 0 {
         b"other call"
     } else {
         b"the call"
     });
-    let attempt = if number == 0 { Attempt::First } else { Attempt::Unstated };
+    let attempt = if index == 0 { Attempt::First } else { Attempt::Unstated };
     let skew = random.random_range(0..60_000);
-    let wall_ms = 1_000_000 + world.now.as_millis() as u64 + skew;
+    let wall_ms = 1_000_000 + simulation.now.as_millis() as u64 + skew;
     let request = ClaimRequest {
-        nonce: Nonce::from(number),
+        nonce: Nonce::from(index),
         call,
         wall_ms,
         attempt,
     };
     let limits = ClaimLimits {
-        send_window: MARGIN,
+        send_window: SEND_WINDOW,
         ..ClaimLimits::default()
     };
-    let (claim, step) = Claim::start(request, limits, world.now);
+    let (claim, step) = Claim::start(request, limits, simulation.now);
     Router {
-        first: number == 0,
+        first_attempt: index == 0,
         call,
-        begun: world.now,
+        started: simulation.now,
         sends: 0,
-        said: None,
-        doing: Doing::Claiming(claim, step),
+        response: None,
+        task: Task::Claiming(claim, step),
     }
 }
 
-/// One key, up to seven attempts at as many routers, in a random order of steps, pauses, deaths and lost answers.
-fn run(seed: u64) -> World {
+/// Simulates one key with up to seven attempts at as many routers, in a random order of steps, pauses, router failures
+/// and lost answers.
+fn run(seed: u64) -> Simulation {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut world = World::default();
+    let mut simulation = Simulation::default();
     let mut routers = Vec::new();
     for _ in 0..160 {
-        world.now += Duration::from_millis(random.random_range(0..30));
+        simulation.now += Duration::from_millis(random.random_range(0..30));
         match random.random_range(0..40) {
             0 => {
-                world.faults += 1;
-                world.now += Duration::from_secs(random.random_range(0..200));
+                simulation.faults += 1;
+                simulation.now += Duration::from_secs(random.random_range(0..200));
             }
             1 if !routers.is_empty() => {
-                world.faults += 1;
-                let dead = random.random_range(0..routers.len());
-                routers[dead] = Router {
-                    doing: Doing::Nothing,
-                    ..arrive(&world, &mut random, 0)
+                simulation.faults += 1;
+                let failed = random.random_range(0..routers.len());
+                routers[failed] = Router {
+                    task: Task::Idle,
+                    ..start_attempt(&simulation, &mut random, 0)
                 };
             }
-            2..6 if !world.late.is_empty() => {
-                let (value, expect) = world.late.remove(0);
-                world.apply(value, expect);
+            2..6 if !simulation.delayed_writes.is_empty() => {
+                let (value, expect) = simulation.delayed_writes.remove(0);
+                simulation.apply(value, expect);
             }
-            6..10 if routers.len() < 7 => routers.push(arrive(&world, &mut random, routers.len() as u128)),
+            6..10 if routers.len() < 7 => routers.push(start_attempt(&simulation, &mut random, routers.len() as u128)),
             _ if !routers.is_empty() => {
                 let router = random.random_range(0..routers.len());
-                world.turn(&mut random, &mut routers[router]);
+                simulation.step(&mut random, &mut routers[router]);
             }
             _ => {}
         }
     }
-    world
+    simulation
 }
 
-// Callers whose answer was lost try again at other routers, while the platform loses answers, writes late and
-// routers die or stop for seconds. A caller would notice a fan that is switched twice, or a false "not run".
+// Clients whose answer was lost retry at other routers, while the platform loses answers and delays writes and routers
+// fail or pause for seconds. Guards against a call that runs twice and against a wrong "not run".
 #[test]
-fn any_order_of_faults() {
-    fn holds(seed: u64) -> bool {
+fn no_order_of_faults_runs_a_call_twice() {
+    fn check_seed(seed: u64) -> bool {
         run(seed);
         true
     }
-    seeded().tests(500).quickcheck(holds as fn(u64) -> bool);
+    seeded().tests(500).quickcheck(check_seed as fn(u64) -> bool);
 }
 
+// The same over many seeds. Also checks that every kind of answer occurs, so that none is left untested.
 #[test]
-fn many_faults_from_fixed_seeds() {
-    let wanted = std::env::var("LIFECYCLE_FAULTS")
+fn many_faults_run_no_call_twice() {
+    let min_faults = std::env::var("LIFECYCLE_FAULTS")
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(FAULTS);
     let mut faults = 0;
-    let mut said = std::collections::BTreeMap::<_, u64>::new();
+    let mut responses = std::collections::BTreeMap::<_, u64>::new();
     for seed in 0.. {
-        let world = run(seed);
-        faults += world.faults;
-        world
-            .said
+        let simulation = run(seed);
+        faults += simulation.faults;
+        simulation
+            .responses
             .into_iter()
-            .for_each(|says| *said.entry(says).or_default() += 1);
-        if faults >= wanted {
-            println!("{faults} faults over {} keys; said {said:?}", seed + 1);
+            .for_each(|response| *responses.entry(response).or_default() += 1);
+        if faults >= min_faults {
+            println!("{faults} faults over {} keys; responses {responses:?}", seed + 1);
             break;
         }
     }
     let all = [
         "answer",
         "in progress",
-        "kept",
+        "stored answer",
         "key reused",
         "not run",
         "unavailable",
@@ -332,11 +346,11 @@
         "unknown",
     ];
     all.iter()
-        .for_each(|says| assert!(said.contains_key(says), "never happened: {says}"));
-    assert!(said.contains_key("unknown to all"));
+        .for_each(|response| assert!(responses.contains_key(response), "never happened: {response}"));
+    assert!(responses.contains_key("unknown to all"));
 }
 
-/// The entry as read back, and how the step begins.
+/// The entry as read back, and the beginning of the expected step.
 struct Case(Option<String>, &'static str);
 
 fn entry(nonce: u128, call: &[u8], at: u64, state: ClaimState) -> Option<String> {
@@ -374,10 +388,10 @@
     );
 }
 
-// The answer to the claim's write was lost, and the router reads the entry back. Whatever it finds there, the caller
-// gets the one true answer of the key.
+// The answer to a claim's write is lost, and the router reads the entry back. A wrong decision would run the call twice
+// or give the client a wrong answer.
 #[test]
-fn what_a_router_makes_of_an_entry() {
+fn the_entry_read_back_decides_the_next_step() {
     let done = |body: &[u8]| {
         ClaimState::Done(StoredAnswer {
             status: 200,
--- a/crates/lifecycle/tests/request.rs
+++ b/crates/lifecycle/tests/request.rs
@@ -1,10 +1,10 @@
-//! A request's life against a naive model that only remembers which sends could have been acted on.
+//! Compares the request state machine with a reference model that only records which sends may have been acted on.
 
 use lifecycle::request::{Request, RequestEvent as E, RequestState as S, RequestStep as T, RetryPolicy};
 use quickcheck::{Gen, QuickCheck};
 use wire::caller::Ran;
 
-/// Each run tries the same cases, so that its verdict is the same.
+/// Fixed, so that every run tests the same cases.
 const SEED: u64 = 9;
 
 fn seeded() -> QuickCheck {
@@ -22,69 +22,75 @@
     E::AnswerComplete,
     E::GiveUp,
 ];
-const REPEATS: [RetryPolicy; 3] = [RetryPolicy::Idempotent, RetryPolicy::Once, RetryPolicy::Claimed];
+const POLICIES: [RetryPolicy; 3] = [RetryPolicy::Idempotent, RetryPolicy::Once, RetryPolicy::Claimed];
 
-/// What an observer outside the machine knows.
+/// What an observer outside the state machine can see.
 #[derive(Default)]
-struct Naive {
+struct ReferenceModel {
     claimed: bool,
     sends: u32,
-    open: bool,
-    exposed: bool,
+    sending: bool,
+    may_have_run: bool,
     delivered: bool,
     ends: u32,
 }
 
-impl Naive {
-    fn check(&mut self, repeat: RetryPolicy, event: E, step: T, request: &Request) {
+impl ReferenceModel {
+    fn check(&mut self, policy: RetryPolicy, event: E, step: T, request: &Request) {
         match step {
             T::Send => {
-                assert!(!self.open && self.ends == 0, "two sends at once, or one after the end");
                 assert!(
-                    repeat == RetryPolicy::Idempotent || !self.exposed,
+                    !self.sending && self.ends == 0,
+                    "two sends at once, or one after the end"
+                );
+                assert!(
+                    policy == RetryPolicy::Idempotent || !self.may_have_run,
                     "sent again after it may have run"
                 );
-                assert!(repeat != RetryPolicy::Claimed || self.claimed, "sent without a claim");
-                self.open = true;
+                assert!(policy != RetryPolicy::Claimed || self.claimed, "sent without a claim");
+                self.sending = true;
                 self.sends += 1;
             }
             T::Choose if event == E::ClaimHeld => self.claimed = true,
             T::Choose | T::Resume => {
                 assert!(
                     step == T::Resume || !self.delivered,
-                    "starts anew after the caller has seen a part"
+                    "restarted after the client received a part"
                 );
-                self.exposed |= event != E::EndpointRefused;
-                self.open = false;
+                self.may_have_run |= event != E::EndpointRefused;
+                self.sending = false;
             }
             T::Deliver => {
-                assert!(self.open, "a part of no send is delivered");
+                assert!(self.sending, "delivered a part without a send");
                 self.delivered = true;
             }
-            T::RefuseNotRun => assert!(!self.open && !self.exposed, "refused as not run, and it may have run"),
+            T::RefuseNotRun => assert!(
+                !self.sending && !self.may_have_run,
+                "refused as not run although it may have run"
+            ),
             _ => {}
         }
         self.ends += u32::from(matches!(step, T::Answer | T::RefuseNotRun | T::FailUnknown));
         assert_eq!(self.ends > 0, request.ended());
         assert!(self.ends <= 1, "a request ended twice");
-        let untouched = !self.open && !self.exposed && self.ends == 0 || request.state() == S::Refused;
+        let not_sent = !self.sending && !self.may_have_run && self.ends == 0 || request.state() == S::Refused;
         assert_eq!(
             request.ran() == Ran::NotRun,
-            untouched,
+            not_sent,
             "{event:?} {step:?} {:?}",
             request.state()
         );
     }
 }
 
-// Connections break, endpoints refuse, answers come late and callers leave, in any order and at any moment. A caller
-// would notice a doubled command, a false "not run" or a second answer.
+// Connections break, endpoints refuse, answers arrive late and clients disconnect, in any order. Guards against a
+// command that runs twice, a wrong "not run" and a second answer.
 #[test]
-fn any_order_of_events() {
-    fn holds(repeat: usize, events: Vec<usize>) -> bool {
-        let repeat = REPEATS[repeat % REPEATS.len()];
-        let mut request = Request::new(repeat);
-        let mut naive = Naive::default();
+fn no_order_of_events_repeats_or_misreports_a_call() {
+    fn check_events(policy: usize, events: Vec<usize>) -> bool {
+        let policy = POLICIES[policy % POLICIES.len()];
+        let mut request = Request::new(policy);
+        let mut reference = ReferenceModel::default();
         for event in events {
             let event = EVENTS[event % EVENTS.len()];
             let before = (request.state(), request.ran());
@@ -93,38 +99,38 @@
                 assert_eq!(
                     before,
                     (request.state(), request.ran()),
-                    "a refused event changed something"
+                    "a rejected event changed the state"
                 );
                 continue;
             }
-            naive.check(repeat, event, step, &request);
+            reference.check(policy, event, step, &request);
         }
         true
     }
     seeded()
         .tests(20_000)
-        .quickcheck(holds as fn(usize, Vec<usize>) -> bool);
+        .quickcheck(check_events as fn(usize, Vec<usize>) -> bool);
 }
 
-/// How often it may be sent, what happens, the last step, and what may be said then.
+/// The retry policy, the events, the last step, and what a refusal may state afterwards.
 struct Case(RetryPolicy, &'static [E], T, Ran);
 
 #[track_caller]
 fn check(case: &Case) {
-    let Case(repeat, events, last, ran) = case;
-    let mut request = Request::new(*repeat);
+    let Case(policy, events, last, ran) = case;
+    let mut request = Request::new(*policy);
     let steps: Vec<T> = events.iter().map(|event| request.on(*event)).collect();
     assert_eq!(
         (steps.last(), request.ran()),
         (Some(last), *ran),
-        "{repeat:?} {events:?}"
+        "{policy:?} {events:?}"
     );
 }
 
-// An endpoint dies while it works, and nobody can tell whether the fan command was carried out. The caller must
-// read "unknown", never "not run"; a completion is simply sent again.
+// An endpoint fails while it handles a call, so that it is unknown whether a fan command was executed. The client must
+// get "unknown", never "not run". A completion is sent again.
 #[test]
-fn what_the_caller_is_told() {
+fn a_call_that_may_have_run_is_not_reported_as_not_run() {
     use RetryPolicy::{Claimed, Idempotent, Once};
     let cases = [
         Case(Claimed, &[E::SendStarts], T::Forbidden, Ran::NotRun),
