--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -41,7 +41,7 @@
 const MIN_LINK_SHARE: f64 = 0.5;
 
 /// The routers of a domain whose links are fast enough for followers. `links` are in Mbit/s, or all 0 if unknown.
-pub fn eligible_leaders(links: &[(VmId, f64)]) -> Vec<VmId> {
+pub fn eligible_upstreams(links: &[(VmId, f64)]) -> Vec<VmId> {
     let fastest = links.iter().map(|(_, link)| *link).fold(0.0, f64::max);
     let eligible = links.iter().filter(|(_, link)| *link >= fastest * MIN_LINK_SHARE);
     eligible.map(|(vm, _)| vm.clone()).collect()
--- a/crates/control/tests/following.rs
+++ b/crates/control/tests/following.rs
@@ -1,7 +1,7 @@
 //! How the routers of one failure domain follow the configuration.
 
 use control::following::{
-    DOMAIN_READ_INTERVAL, Follow, UpdateSource, WATCHERS, eligible_leaders, follow, update_source,
+    DOMAIN_READ_INTERVAL, Follow, UpdateSource, WATCHERS, eligible_upstreams, follow, update_source,
 };
 use ids::{DomainId, VmId};
 use std::collections::BTreeMap;
@@ -109,6 +109,6 @@
             .map(|(at, link)| (vm(at), *link))
             .collect();
         let eligible: Vec<VmId> = case.eligible.iter().map(|at| vm(*at)).collect();
-        assert_eq!(eligible_leaders(&links), eligible, "{:?}", case.links);
+        assert_eq!(eligible_upstreams(&links), eligible, "{:?}", case.links);
     }
 }
--- a/crates/gateway/src/follow/members.rs
+++ b/crates/gateway/src/follow/members.rs
@@ -2,7 +2,7 @@
 
 use crate::shared::Shared;
 use async_std::future::timeout;
-use control::following::{UpdateSource, eligible_leaders, update_source};
+use control::following::{UpdateSource, eligible_upstreams, update_source};
 use control::rendezvous;
 use ids::{DomainId, VmId};
 use rand::seq::IteratorRandom;
@@ -101,7 +101,7 @@
     /// Whom this router follows, the best first; none if it watches the store itself.
     pub fn leaders(&self, own: &VmId, domain: &DomainId) -> Vec<(VmId, SocketAddr)> {
         let links: Vec<(VmId, f64)> = self.near.iter().map(|(vm, member)| (vm.clone(), member.link)).collect();
-        let followed = eligible_leaders(&links);
+        let followed = eligible_upstreams(&links);
         let UpdateSource::Routers(leaders) = update_source(own, domain, &followed) else {
             return Vec::new();
         };
