--- a/crates/control/src/orders/messages.rs
+++ b/crates/control/src/orders/messages.rs
@@ -20,7 +20,7 @@
         requested: Duration,
     },
     /// The platform no longer has the lease.
-    Lapsed(Fence),
+    LeaseExpired(Fence),
     /// The holder key is absent.
     HolderAbsent,
     /// The holder key now contains this lease.
--- a/crates/control/src/orders/mod.rs
+++ b/crates/control/src/orders/mod.rs
@@ -103,8 +103,8 @@
         match event {
             Event::Tick => {}
             Event::Granted { id, ttl, requested } => self.granted(id, ttl, requested, &mut steps),
-            Event::Lapsed(id) if self.has_lease(id) => self.step_down(now + RETRY_DELAY, &mut steps),
-            Event::Lapsed(_) => {}
+            Event::LeaseExpired(id) if self.has_lease(id) => self.step_down(now + RETRY_DELAY, &mut steps),
+            Event::LeaseExpired(_) => {}
             Event::Claimed(id) if self.has_lease(id) && !self.is_holder() => {
                 self.phase = Phase::Waiting {
                     until: now + MAX_ORDER_DURATION,
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -144,14 +144,14 @@
                         requested,
                     })
                 }
-                None => Some(Event::Lapsed(*id)),
+                None => Some(Event::LeaseExpired(*id)),
             },
             Step::Revoke(id) => {
                 self.leases.retain(|(lease, _)| *lease != id.0);
                 self.expire(requested);
                 None
             }
-            Step::Claim(id) if !self.lease_exists(*id) => Some(Event::Lapsed(*id)),
+            Step::Claim(id) if !self.lease_exists(*id) => Some(Event::LeaseExpired(*id)),
             Step::Claim(id) => {
                 let held = *self.holders[domain].get_or_insert(id.0);
                 Some(if held == id.0 {
--- a/crates/router/src/orders/platform_calls.rs
+++ b/crates/router/src/orders/platform_calls.rs
@@ -86,7 +86,7 @@
             ttl: Duration::from_millis(lease.ttl_ms),
             requested: asked,
         },
-        None => Event::Lapsed(id),
+        None => Event::LeaseExpired(id),
     })
 }
 
