--- a/crates/control/src/orders/slots.rs
+++ b/crates/control/src/orders/slots.rs
@@ -17,7 +17,7 @@
     /// Held under this router's lease.
     Own,
     /// The key was removed when its holder's lease lapsed.
-    Lapsed,
+    Expired,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,8 +69,8 @@
             *slot = match (*slot, state) {
                 (Slot::Own | Slot::Freeing { .. }, _) => *slot,
                 (_, SlotState::Own) => Slot::Own,
-                (Slot::Lapsed { until }, SlotState::Lapsed) => Slot::Lapsed { until },
-                (_, SlotState::Lapsed) => Slot::Lapsed {
+                (Slot::Lapsed { until }, SlotState::Expired) => Slot::Lapsed { until },
+                (_, SlotState::Expired) => Slot::Lapsed {
                     until: now + MAX_ORDER_DURATION,
                 },
                 (_, SlotState::Free) => Slot::Free,
--- a/crates/control/tests/holder.rs
+++ b/crates/control/tests/holder.rs
@@ -113,7 +113,7 @@
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
     let mut now = MAX_ORDER_DURATION;
     holder.on(grant(now), now);
-    let lapsed = || Event::Slots([SlotState::Held, SlotState::Lapsed]);
+    let lapsed = || Event::Slots([SlotState::Held, SlotState::Expired]);
     let free_at = now + MAX_ORDER_DURATION;
     while now < free_at {
         let steps = holder.on(lapsed(), now);
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -162,7 +162,7 @@
             }
             Step::ReadSlots(own) => Some(Event::Slots(self.slots.map(|slot| match slot {
                 SlotKey::Free => SlotState::Free,
-                SlotKey::Gone => SlotState::Lapsed,
+                SlotKey::Gone => SlotState::Expired,
                 SlotKey::Held(id) if id == own.0 => SlotState::Own,
                 SlotKey::Held(_) => SlotState::Held,
             }))),
--- a/crates/router/src/orders/platform_calls.rs
+++ b/crates/router/src/orders/platform_calls.rs
@@ -135,7 +135,7 @@
     };
     match entry.value.as_deref() {
         None if entry.version == Version(0) => SlotState::Free,
-        None => SlotState::Lapsed,
+        None => SlotState::Expired,
         Some(FREE) => SlotState::Free,
         Some(value) if value == fence.to_string() => SlotState::Own,
         Some(_) => SlotState::Held,
