--- a/crates/control/src/health/endpoint.rs
+++ b/crates/control/src/health/endpoint.rs
@@ -51,7 +51,7 @@
             return HealthState::Dead;
         }
         let unlisted = self.ever_listed && self.listing.is_none();
-        if self.reports_leaving || unlisted || self.listing == Some(Listing::Leaving) {
+        if self.reports_leaving || unlisted || self.listing == Some(Listing::Draining) {
             return HealthState::Leaving;
         }
         if self.connection_failures > 0 || self.timeouts >= SUSPECT_AFTER {
--- a/crates/control/src/health/mod.rs
+++ b/crates/control/src/health/mod.rs
@@ -51,7 +51,7 @@
     /// In service.
     Live,
     /// Being shut down.
-    Leaving,
+    Draining,
 }
 
 /// Health information from a load report.
--- a/crates/control/tests/health.rs
+++ b/crates/control/tests/health.rs
@@ -73,7 +73,7 @@
         },
         Case {
             name: "listed as leaving",
-            events: vec![list(Some(Listing::Leaving))],
+            events: vec![list(Some(Listing::Draining))],
             state: HealthState::Leaving,
             probed: false,
         },
--- a/crates/control/tests/health_model.rs
+++ b/crates/control/tests/health_model.rs
@@ -37,7 +37,7 @@
         0 => Observation::Listed(match detail % 3 {
             0 => None,
             1 => Some(Listing::Live),
-            _ => Some(Listing::Leaving),
+            _ => Some(Listing::Draining),
         }),
         1 | 2 => Observation::Report {
             incarnation,
@@ -142,7 +142,7 @@
         })
         .collect();
     let listed_leaving = match lists.last() {
-        Some(Some(listing)) => *listing == Listing::Leaving,
+        Some(Some(listing)) => *listing == Listing::Draining,
         Some(None) => lists.iter().any(Option::is_some),
         None => false,
     };
--- a/crates/router/src/control/endpoints.rs
+++ b/crates/router/src/control/endpoints.rs
@@ -21,7 +21,7 @@
     pub(super) fn listed(&mut self, list: &VmList) {
         let listing = |state| match state {
             VmState::Live => Listing::Live,
-            VmState::Leaving => Listing::Leaving,
+            VmState::Leaving => Listing::Draining,
         };
         let entries = list.vms.iter();
         let listed: BTreeMap<EndpointId, Listing> = entries
