--- a/crates/control/src/health/endpoint.rs
+++ b/crates/control/src/health/endpoint.rs
@@ -80,7 +80,7 @@
             return;
         }
         let restarted = self.observe_incarnation(report.incarnation);
-        self.reports_leaving = report.leaving;
+        self.reports_leaving = report.draining;
         if report.own && report.at > self.last_failure {
             self.mark_healthy();
         } else if restarted && self.next_probe.is_some() {
--- a/crates/control/src/health/mod.rs
+++ b/crates/control/src/health/mod.rs
@@ -62,7 +62,7 @@
     /// Its incarnation.
     pub incarnation: Incarnation,
     /// Whether the endpoint accepts no new requests.
-    pub leaving: bool,
+    pub draining: bool,
     /// Whether this router read the report itself.
     pub own: bool,
     /// When the report was requested. Distinguishes reports from before and after a failure.
--- a/crates/control/tests/health.rs
+++ b/crates/control/tests/health.rs
@@ -14,11 +14,11 @@
     Duration::from_millis(millis)
 }
 
-fn report(incarnation: u64, leaving: bool, own: bool, requested: u64) -> Event {
+fn report(incarnation: u64, draining: bool, own: bool, requested: u64) -> Event {
     Event::Report(Report {
         endpoint: id(),
         incarnation: Incarnation(incarnation),
-        leaving,
+        draining,
         own,
         at: at(requested),
     })
@@ -72,7 +72,7 @@
             probed: false,
         },
         Case {
-            name: "listed as leaving",
+            name: "listed as draining",
             events: vec![list(Some(Listing::Draining))],
             state: HealthState::Leaving,
             probed: false,
@@ -84,7 +84,7 @@
             probed: false,
         },
         Case {
-            name: "reports leaving while the list lags",
+            name: "reports draining while the list lags",
             events: vec![report(1, true, true, 50), list(Some(Listing::Live)), replied(1)],
             state: HealthState::Leaving,
             probed: false,
@@ -144,7 +144,7 @@
             probed: true,
         },
         Case {
-            name: "restarted while leaving",
+            name: "restarted while draining",
             events: vec![replied(1), report(1, true, true, 150), replied(2)],
             state: HealthState::Live,
             probed: false,
--- a/crates/control/tests/health_model.rs
+++ b/crates/control/tests/health_model.rs
@@ -19,7 +19,7 @@
     Listed(Option<Listing>),
     Report {
         incarnation: u64,
-        leaving: bool,
+        draining: bool,
         own: bool,
         requested: u64,
     },
@@ -41,7 +41,7 @@
         }),
         1 | 2 => Observation::Report {
             incarnation,
-            leaving: detail & 16 > 0,
+            draining: detail & 16 > 0,
             own: detail & 32 > 0,
             requested: position.saturating_sub(u64::from(detail >> 6)),
         },
@@ -61,13 +61,13 @@
         ),
         Observation::Report {
             incarnation,
-            leaving,
+            draining,
             own,
             requested,
         } => Event::Report(Report {
             endpoint: id(),
             incarnation: Incarnation(incarnation),
-            leaving,
+            draining,
             own,
             at: Duration::from_millis(requested),
         }),
@@ -156,7 +156,7 @@
     }
 }
 
-/// Whether the endpoint last reported that it is leaving, unless a reply came from a later incarnation.
+/// Whether the endpoint last reported that it is draining, unless a reply came from a later incarnation.
 fn reports_leaving(kept: &[(u64, Observation)]) -> bool {
     let current = kept.iter().rev().find_map(|(_, observed)| incarnation(*observed));
     let start = kept
@@ -170,7 +170,7 @@
             .rev()
             .filter(|(position, _)| *position >= start)
             .find_map(|(_, observed)| match observed {
-                Observation::Report { leaving, .. } => Some(*leaving),
+                Observation::Report { draining, .. } => Some(*draining),
                 _ => None,
             });
     reported.unwrap_or(false)
--- a/crates/router/src/control/endpoints.rs
+++ b/crates/router/src/control/endpoints.rs
@@ -77,7 +77,7 @@
         self.health_event(health::Event::Report(health::Report {
             endpoint: id.clone(),
             incarnation,
-            leaving: true,
+            draining: true,
             own: true,
             at: self.now(),
         }));
@@ -96,7 +96,7 @@
         let health = health::Report {
             endpoint: id.clone(),
             incarnation: load.incarnation,
-            leaving: load.leaving,
+            draining: load.leaving,
             own: load.own,
             at: load.asked,
         };
