--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -2,8 +2,8 @@
 //!
 //! Every router needs each change within seconds. If all 380 routers of a deployment kept a watch, each change would
 //! cost the platform 380 answers, 380 new watches and 380 section reads at once, out of a capacity of two thousand
-//! reads a second. Therefore only [`WATCHERS`] routers per failure domain keep a watch and notify the others. The
-//! others also poll the head, in case the watchers are disconnected or stale. The poll interval grows with the size of
+//! reads a second. Therefore only [`WATCHERS`] routers per failure domain keep a watch and notify their peers. The
+//! peers also poll the head, in case the watchers are disconnected or stale. The poll interval grows with the size of
 //! the domain, so that the load on the platform does not depend on it.
 
 use crate::rendezvous::choose;
@@ -35,7 +35,7 @@
     Routers(Vec<&'a VmId>),
 }
 
-/// Minimum link bandwidth of a router with followers, as a share of the fastest link in its domain. A dozen followers
+/// Minimum link bandwidth of an upstream, as a share of the fastest link in its domain. A dozen followers
 /// take about 2 Mbit/s. That saturates the link of a small VM, which delays updates to its followers and answers to its
 /// clients.
 const MIN_LINK_SHARE: f64 = 0.5;
--- a/crates/control/src/health/endpoint.rs
+++ b/crates/control/src/health/endpoint.rs
@@ -12,9 +12,9 @@
     incarnation: Option<Incarnation>,
     former: Vec<Incarnation>,
     /// Whether it reported that it accepts no new requests.
-    reports_leaving: bool,
+    reports_draining: bool,
     listing: Option<Listing>,
-    /// Whether it was ever listed. An endpoint that disappears from the list is leaving; one not yet listed is new.
+    /// Whether it was ever listed. An endpoint that disappears from the list is draining; one not yet listed is new.
     ever_listed: bool,
     connection_failures: u32,
     timeouts: u32,
@@ -33,7 +33,7 @@
         Self {
             incarnation: None,
             former: Vec::new(),
-            reports_leaving: false,
+            reports_draining: false,
             listing: None,
             ever_listed: false,
             connection_failures: 0,
@@ -51,7 +51,7 @@
             return HealthState::Dead;
         }
         let unlisted = self.ever_listed && self.listing.is_none();
-        if self.reports_leaving || unlisted || self.listing == Some(Listing::Draining) {
+        if self.reports_draining || unlisted || self.listing == Some(Listing::Draining) {
             return HealthState::Leaving;
         }
         if self.connection_failures > 0 || self.timeouts >= SUSPECT_AFTER {
@@ -80,7 +80,7 @@
             return;
         }
         let restarted = self.observe_incarnation(report.incarnation);
-        self.reports_leaving = report.draining;
+        self.reports_draining = report.draining;
         if report.own && report.at > self.last_failure {
             self.mark_healthy();
         } else if restarted && self.next_probe.is_some() {
@@ -95,7 +95,7 @@
         if let Some(incarnation) = incarnation
             && self.observe_incarnation(incarnation)
         {
-            self.reports_leaving = false;
+            self.reports_draining = false;
         }
         self.mark_healthy();
     }
--- a/crates/control/src/health/mod.rs
+++ b/crates/control/src/health/mod.rs
@@ -1,6 +1,6 @@
 //! Health of each endpoint, as one router sees it.
 //!
-//! Endpoints crash, restart with empty caches, leave or become slow, and the platform's list reports this late. A
+//! Endpoints crash, restart with empty caches, drain or become slow, and the platform's list reports this late. A
 //! router that relied on the list alone would keep sending requests to a dead endpoint, and each of them would spend
 //! its time for a retry. A router that treated slow endpoints as dead would overload the others. Refused and broken
 //! connections are strong evidence: [`DEAD_AFTER`] of them make an endpoint dead. Timeouts are weak evidence: they only
@@ -30,7 +30,7 @@
     Live,
     /// Answers late or not at all. Gets requests only if no live endpoint accepts them.
     Suspected,
-    /// Accepts no new requests and finishes those in progress.
+    /// Draining: accepts no new requests and finishes those in progress. Logged as `leaving`.
     Leaving,
     /// Gets no requests.
     Dead,
--- a/crates/control/src/membership/links.rs
+++ b/crates/control/src/membership/links.rs
@@ -2,7 +2,7 @@
 //!
 //! Within a failure domain, the router with the lower id of each pair calls periodically; the call and its answer are
 //! heartbeats in both directions. The other router keeps a link only for urgent updates, such as a new revision or a
-//! leaving endpoint. Only a few routers of a domain keep links to another domain.
+//! draining endpoint. Only a few routers of a domain keep links to another domain.
 
 use super::{Member, Membership};
 use crate::rendezvous::choose;
--- a/crates/control/src/orders/choose.rs
+++ b/crates/control/src/orders/choose.rs
@@ -11,7 +11,7 @@
     pub endpoint: EndpointId,
     /// Its model.
     pub model: ModelId,
-    /// The weights it should serve.
+    /// Its target weights.
     pub weights: WeightsVersion,
 }
 
@@ -26,7 +26,7 @@
     pub model: ModelId,
     /// The weights it currently serves. Absent while it loads and after a crash.
     pub weights: Option<WeightsVersion>,
-    /// Whether it is live and not leaving.
+    /// Whether it is live and not draining.
     pub available: bool,
 }
 
--- a/crates/control/src/orders/slots.rs
+++ b/crates/control/src/orders/slots.rs
@@ -1,6 +1,6 @@
 //! Slot keys that limit how many runners load weights at once, over all failure domains.
 //!
-//! A slot is freed by writing it as free. If its key is missing, the lease it was held under has lapsed, and the old
+//! A slot is freed by writing it as free. If its key is missing, the lease it was held under has expired, and the old
 //! holder's last load may still run. Such a slot is taken only after the maximum duration of an order. Otherwise that
 //! load could run at the same time as two new ones, and all three would be slow.
 
@@ -16,7 +16,7 @@
     Held,
     /// Held under this router's lease.
     Own,
-    /// The key was removed when its holder's lease lapsed.
+    /// The key was removed when its holder's lease expired.
     Expired,
 }
 
@@ -25,7 +25,7 @@
     Unknown,
     Free,
     Busy,
-    Lapsed {
+    Expired {
         until: Duration,
     },
     /// A compare-and-swap is in flight.
@@ -69,8 +69,8 @@
             *slot = match (*slot, state) {
                 (Slot::Own | Slot::Freeing { .. }, _) => *slot,
                 (_, SlotState::Own) => Slot::Own,
-                (Slot::Lapsed { until }, SlotState::Expired) => Slot::Lapsed { until },
-                (_, SlotState::Expired) => Slot::Lapsed {
+                (Slot::Expired { until }, SlotState::Expired) => Slot::Expired { until },
+                (_, SlotState::Expired) => Slot::Expired {
                     until: now + MAX_ORDER_DURATION,
                 },
                 (_, SlotState::Free) => Slot::Free,
@@ -135,7 +135,7 @@
         }
         let ready = |slot: &Slot| match slot {
             Slot::Free => true,
-            Slot::Lapsed { until } => now >= *until,
+            Slot::Expired { until } => now >= *until,
             _ => false,
         };
         if let Some(index) = self.slots.iter().position(ready) {
--- a/crates/control/tests/following.rs
+++ b/crates/control/tests/following.rs
@@ -41,7 +41,7 @@
     );
 }
 
-/// Two routers of a domain watch the store. If all others followed the same one, it would carry the whole domain, and
+/// Two routers of a domain watch the store. If all peers followed the same one, it would carry the whole domain, and
 /// its failure would send all of them to the store at once.
 #[test]
 fn followers_are_spread_over_the_watchers() {
@@ -53,14 +53,14 @@
         for own in &live {
             match update_source(own, &domain, &live) {
                 UpdateSource::Store => watching += 1,
-                UpdateSource::Routers(leaders) => {
-                    assert_eq!(leaders.len(), WATCHERS, "a follower has no second leader");
+                UpdateSource::Routers(upstreams) => {
+                    assert_eq!(upstreams.len(), WATCHERS, "a follower has no second upstream");
                     assert!(
-                        leaders
+                        upstreams
                             .iter()
-                            .all(|leader| update_source(leader, &domain, &live) == UpdateSource::Store)
+                            .all(|upstream| update_source(upstream, &domain, &live) == UpdateSource::Store)
                     );
-                    *followers.entry(leaders[0]).or_default() += 1;
+                    *followers.entry(upstreams[0]).or_default() += 1;
                 }
             }
         }
--- a/crates/control/tests/health_model.rs
+++ b/crates/control/tests/health_model.rs
@@ -141,12 +141,12 @@
             }
         })
         .collect();
-    let listed_leaving = match lists.last() {
+    let listed_draining = match lists.last() {
         Some(Some(listing)) => *listing == Listing::Draining,
         Some(None) => lists.iter().any(Option::is_some),
         None => false,
     };
-    if listed_leaving || reports_leaving(&kept) {
+    if listed_draining || reports_draining(&kept) {
         return HealthState::Leaving;
     }
     if since(Failure::Connection) > 0 || since(Failure::Timeout) >= 2 {
@@ -157,7 +157,7 @@
 }
 
 /// Whether the endpoint last reported that it is draining, unless a reply came from a later incarnation.
-fn reports_leaving(kept: &[(u64, Observation)]) -> bool {
+fn reports_draining(kept: &[(u64, Observation)]) -> bool {
     let current = kept.iter().rev().find_map(|(_, observed)| incarnation(*observed));
     let start = kept
         .iter()
--- a/crates/control/tests/holder.rs
+++ b/crates/control/tests/holder.rs
@@ -56,7 +56,7 @@
     (holder, now)
 }
 
-/// A lease lapses while its holder is paused during an order, and the order still reaches an engine that ignores
+/// A lease expires while its holder is paused during an order, and the order still reaches an engine that ignores
 /// fencing tokens. If the new holder started at once, two orders would run concurrently, and the old one could end
 /// last.
 #[test]
@@ -108,15 +108,15 @@
 /// The holder of another domain loses its lease while its runner loads. Its slot key disappears at once, but the load
 /// still runs.
 #[test]
-fn a_lapsed_slot_is_taken_only_after_the_maximum_order_duration() {
+fn an_expired_slot_is_taken_only_after_the_maximum_order_duration() {
     let mut holder = granted();
     holder.on(Event::Claimed(Fence(1)), Duration::ZERO);
     let mut now = MAX_ORDER_DURATION;
     holder.on(grant(now), now);
-    let lapsed = || Event::Slots([SlotState::Held, SlotState::Expired]);
+    let expired = || Event::Slots([SlotState::Held, SlotState::Expired]);
     let free_at = now + MAX_ORDER_DURATION;
     while now < free_at {
-        let steps = holder.on(lapsed(), now);
+        let steps = holder.on(expired(), now);
         assert!(
             !steps.iter().any(|step| matches!(step, Step::TakeSlot { .. })),
             "{steps:?} at {now:?}"
@@ -124,7 +124,7 @@
         holder.on(grant(now), now);
         now += Duration::from_millis(500);
     }
-    let steps = holder.on(lapsed(), now);
+    let steps = holder.on(expired(), now);
     assert!(
         steps.contains(&Step::TakeSlot {
             slot: 1,
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -16,7 +16,7 @@
 const RUNNERS: [usize; 5] = [0, 0, 0, 1, 1];
 /// Longest delay between the last check and the write, milliseconds. The code cannot prevent such a delay.
 const MAX_STALL_MS: u64 = 1_500;
-/// Faults end at this time. Afterwards every runner must reach its assigned weights.
+/// Faults end at this time. Afterwards every runner must reach its target weights.
 const FAULTS_END: Duration = Duration::from_secs(300);
 const END: Duration = Duration::from_secs(420);
 
@@ -228,8 +228,8 @@
         Duration::from_millis(self.random.random_range(0..=max))
     }
 
-    /// The assigned version. It changes every 6 s until the faults end.
-    fn assigned_weights(&self) -> WeightsVersion {
+    /// The target version. It changes every 6 s until the faults end.
+    fn target_weights(&self) -> WeightsVersion {
         WeightsVersion::from(format!("{}", self.now.min(FAULTS_END).as_secs() / 6 + 1))
     }
 
@@ -246,9 +246,9 @@
             let loading = self.engines.iter().filter(|engine| engine.loading(self.now)).count();
             assert!(loading <= LOAD_SLOTS, "{loading} runners load at {:?}", self.now);
         }
-        let assigned_weights = Some(self.assigned_weights());
+        let target_weights = Some(self.target_weights());
         for engine in &self.engines {
-            assert_eq!(engine.weights, assigned_weights, "{} after the last fault", engine.id);
+            assert_eq!(engine.weights, target_weights, "{} after the last fault", engine.id);
         }
     }
 
@@ -303,11 +303,11 @@
         let mut events = vec![Event::Tick];
         let domain = self.routers[index].domain;
         let local = self.engines.iter().filter(|engine| engine.domain == domain);
-        let assigned_weights = self.assigned_weights();
+        let target_weights = self.target_weights();
         let assignment = |engine: &Engine| Assignment {
             endpoint: engine.id.clone(),
             model: model(),
-            weights: assigned_weights.clone(),
+            weights: target_weights.clone(),
         };
         events.push(Event::Assignments(local.clone().map(assignment).collect()));
         events.push(Event::Runners(local.map(|engine| engine.reported[0].clone()).collect()));
