--- a/crates/lifecycle/src/claims/acquire.rs
+++ b/crates/lifecycle/src/claims/acquire.rs
@@ -87,7 +87,7 @@
     /// Wait, then report [`ClaimEvent::Tick`].
     Wait(Duration),
     /// The claim is held. Call [`HeldClaim::may_send`] right before the send.
-    Won(HeldClaim),
+    Acquired(HeldClaim),
     /// Answer with this stored result. If its body was too large, state that the call ran and its result was not
     /// stored.
     Answer(StoredAnswer),
@@ -144,7 +144,7 @@
         }
         match (self.phase, event) {
             (Phase::Ended, _) => ClaimStep::Ended,
-            (Phase::Writing(_), ClaimEvent::Written(version)) => self.won(version),
+            (Phase::Writing(_), ClaimEvent::Written(version)) => self.acquired(version),
             (Phase::Writing(_), ClaimEvent::Conflict(entry)) | (Phase::Reading, ClaimEvent::Read(entry)) => {
                 self.evaluate(entry, now)
             }
@@ -182,7 +182,7 @@
             return self.end(ClaimStep::Unknown);
         };
         if record.nonce == self.request.nonce && record.state == ClaimState::Claimed {
-            return self.won(entry.version);
+            return self.acquired(entry.version);
         }
         let abandoned = self.is_abandoned(record.at, now);
         let reused = record.call != self.request.call;
@@ -242,14 +242,14 @@
         ClaimStep::Wait(self.limits.retry_delay)
     }
 
-    fn won(&mut self, version: Version) -> ClaimStep {
+    fn acquired(&mut self, version: Version) -> ClaimStep {
         let held = HeldClaim {
             record: self.record(),
             version,
             send_deadline: self.started + self.limits.send_window,
             send_permitted: false,
         };
-        self.end(ClaimStep::Won(held))
+        self.end(ClaimStep::Acquired(held))
     }
 
     fn end(&mut self, step: ClaimStep) -> ClaimStep {
--- a/crates/lifecycle/tests/claims.rs
+++ b/crates/lifecycle/tests/claims.rs
@@ -157,7 +157,7 @@
 
     fn step_claim(&mut self, random: &mut ChaCha8Rng, router: &mut Router, mut claim: Claim, step: ClaimStep) -> Task {
         let response = match step {
-            ClaimStep::Won(held) => {
+            ClaimStep::Acquired(held) => {
                 assert!(
                     claim.clear(SEND_WINDOW, SEND_WINDOW).is_none(),
                     "a held claim would be freed"
@@ -403,7 +403,7 @@
     let cases = [
         Case(None, "Write"),
         Case(Some("written by a later release".into()), "Unknown"),
-        Case(entry(1, b"mine", 990_000, ClaimState::Claimed), "Won"),
+        Case(entry(1, b"mine", 990_000, ClaimState::Claimed), "Acquired"),
         Case(entry(2, b"mine", 990_000, ClaimState::Claimed), "InProgress"),
         Case(entry(2, b"mine", 800_000, ClaimState::Claimed), "Unknown"),
         Case(entry(2, b"mine", 990_000, ClaimState::Unknown), "Unknown"),
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -97,7 +97,7 @@
 fn ended(step: ClaimStep, key: &IdempotencyKey) -> Claimed {
     let key = key.clone();
     Claimed::Refused(match step {
-        ClaimStep::Won(held) => return Claimed::Won(held),
+        ClaimStep::Acquired(held) => return Claimed::Won(held),
         ClaimStep::Answer(kept) => return Claimed::Answer(kept),
         ClaimStep::InProgress => Refused::with(Cause::InProgress(key), Ran::Unknown).retry_after(IN_PROGRESS_MS),
         ClaimStep::KeyReused => Refused::not_run(Cause::KeyReused(key)),
