--- a/crates/lifecycle/examples/claim_writes.rs
+++ b/crates/lifecycle/examples/claim_writes.rs
@@ -213,7 +213,7 @@
 
 fn record_bytes() -> f64 {
     let body = Body::from_bytes(&[b'x'; 120]);
-    let kept = StoredAnswer {
+    let stored = StoredAnswer {
         status: 200,
         content: Some("application/json".into()),
         body,
@@ -222,7 +222,7 @@
         nonce: Nonce::from(7),
         call: Digest::of(b"call"),
         at: MICROS,
-        state: ClaimState::Done(kept),
+        state: ClaimState::Done(stored),
     };
     record.to_value().len() as f64
 }
--- a/crates/lifecycle/src/claims/acquire.rs
+++ b/crates/lifecycle/src/claims/acquire.rs
@@ -189,7 +189,7 @@
         self.end(match record.state {
             // Only an outcome is final: a claim may still be released, and then a later attempt of this call may run.
             ClaimState::Done(_) | ClaimState::Unknown if reused => ClaimStep::KeyReused,
-            ClaimState::Done(kept) => ClaimStep::Answer(kept),
+            ClaimState::Done(stored) => ClaimStep::Answer(stored),
             ClaimState::Claimed if !abandoned => ClaimStep::InProgress,
             ClaimState::Claimed | ClaimState::Unknown => ClaimStep::Unknown,
         })
--- a/crates/lifecycle/src/claims/settle.rs
+++ b/crates/lifecycle/src/claims/settle.rs
@@ -63,7 +63,7 @@
     /// unknown.
     pub fn start(held: HeldClaim, outcome: Outcome, pause: Duration, until: Duration) -> (Self, SettleStep) {
         let target = match outcome {
-            Outcome::Done(kept) => Some(ClaimState::Done(kept)),
+            Outcome::Done(stored) => Some(ClaimState::Done(stored)),
             Outcome::NotSent if !held.send_permitted() => None,
             Outcome::Unknown | Outcome::NotSent => Some(ClaimState::Unknown),
         };
--- a/crates/lifecycle/src/stream.rs
+++ b/crates/lifecycle/src/stream.rs
@@ -1,8 +1,8 @@
 //! Completeness checks for answers: numbered pieces of a server-sent event stream, and bodies of declared length.
 //!
-//! Without these checks, a client could receive repeated, missing or foreign text: a stream that is resumed after a
-//! broken connection may repeat or skip pieces, an answer to another request may arrive on a reused connection, and the
-//! HTTP library reports a truncated body as if it were complete.
+//! Without these checks, a client could receive repeated text, gaps or the answer to another request. A stream that is
+//! resumed after a broken connection may repeat or skip pieces. An answer to another request may arrive on a reused
+//! connection. The HTTP library reports a truncated body as if it were complete.
 
 use ids::{RequestId, WeightsVersion};
 
--- a/crates/lifecycle/tests/claims.rs
+++ b/crates/lifecycle/tests/claims.rs
@@ -114,7 +114,7 @@
             assert!(self.now <= router.started + SEND_WINDOW, "a paused holder sent");
             assert_eq!(held.may_send(self.now), MaySend::Never, "one claim allowed two sends");
             router.sends += 1;
-            let kept = StoredAnswer {
+            let stored = StoredAnswer {
                 status: 200,
                 content: None,
                 body: Body::from_bytes(format!("{:?}", self.now).as_bytes()),
@@ -123,12 +123,12 @@
             self.faults += u64::from(fault < 2);
             if fault > 0 {
                 self.executed.push(router.call);
-                self.result = Some(kept.clone());
+                self.result = Some(stored.clone());
             }
             outcome = if fault < 2 {
                 Outcome::Unknown
             } else {
-                Outcome::Done(kept)
+                Outcome::Done(stored)
             };
             response = if fault < 2 { "unknown" } else { "answer" };
             // Settling an interrupted send as not sent must not free the key either.
@@ -174,8 +174,8 @@
                 let step = claim.on(event, now);
                 return Task::Claiming(claim, step);
             }
-            ClaimStep::Answer(kept) => {
-                assert_eq!(Some(&kept), self.result.as_ref(), "not the complete answer");
+            ClaimStep::Answer(stored) => {
+                assert_eq!(Some(&stored), self.result.as_ref(), "not the complete answer");
                 "stored answer"
             }
             ClaimStep::InProgress => "in progress",
