--- a/crates/lifecycle/src/claims/mod.rs
+++ b/crates/lifecycle/src/claims/mod.rs
@@ -10,15 +10,15 @@
 //! costs more (`examples/claim_writes.rs`); see `docs/DECISIONS.md`.
 
 mod acquire;
+mod guard;
 mod held;
 mod lease;
-mod protection;
 mod record;
 mod settle;
 
 pub use acquire::{Attempt, Claim, ClaimEvent, ClaimLimits, ClaimRequest, ClaimStep};
+pub use guard::{Protection, protection};
 pub use held::{HeldClaim, MaySend};
 pub use lease::{CLAIM_LEASE_TTL, ClaimLease, KEY_RETENTION, LEASE_USE_PERIOD, LeaseStep};
-pub use protection::{Protection, protection};
 pub use record::{Body, ClaimState, EntryState, MAX_BODY_BYTES, Nonce, Record, StoredAnswer, call_digest, claim_key};
 pub use settle::{Outcome, Settle, SettleStep};
