--- a/crates/control/src/orders/mod.rs
+++ b/crates/control/src/orders/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! * The holder measures its lease from the time it requested it. Before each order it checks the lease against the
 //!   monotonic clock, with [`LEASE_MARGIN`]. A holder that was paused detects the expiry at its next event.
-//! * Each order states the target state and expires, so that a repeated or late order has no effect.
+//! * Each order states the target state and expires, so that an order that arrives twice or late does no harm.
 //! * A new holder waits for [`MAX_ORDER_DURATION`] before its first order, until the last one of the old holder has
 //!   ended.
 //!
