--- a/crates/lifecycle/tests/claims.rs
+++ b/crates/lifecycle/tests/claims.rs
@@ -190,7 +190,7 @@
                 );
                 "unavailable first"
             }
-            ClaimStep::Ended => panic!("no event was sent after the end"),
+            ClaimStep::Ended => panic!("unexpected step after the end"),
         };
         self.respond(router, response);
         match claim.clear(Duration::from_millis(50), self.now + SEND_WINDOW) {
