--- a/crates/control/tests/health_model.rs
+++ b/crates/control/tests/health_model.rs
@@ -19,7 +19,7 @@
     Listed(Option<Listing>),
     Report {
         incarnation: u64,
-        leaving: bool,
+        draining: bool,
         own: bool,
         requested: u64,
     },
@@ -37,11 +37,11 @@
         0 => Observation::Listed(match detail % 3 {
             0 => None,
             1 => Some(Listing::Live),
-            _ => Some(Listing::Leaving),
+            _ => Some(Listing::Draining),
         }),
         1 | 2 => Observation::Report {
             incarnation,
-            leaving: detail & 16 > 0,
+            draining: detail & 16 > 0,
             own: detail & 32 > 0,
             requested: position.saturating_sub(u64::from(detail >> 6)),
         },
@@ -61,13 +61,13 @@
         ),
         Observation::Report {
             incarnation,
-            leaving,
+            draining,
             own,
             requested,
         } => Event::Report(Report {
             endpoint: id(),
             incarnation: Incarnation(incarnation),
-            leaving,
+            draining,
             own,
             at: Duration::from_millis(requested),
         }),
@@ -141,12 +141,12 @@
             }
         })
         .collect();
-    let listed_leaving = match lists.last() {
-        Some(Some(listing)) => *listing == Listing::Leaving,
+    let listed_draining = match lists.last() {
+        Some(Some(listing)) => *listing == Listing::Draining,
         Some(None) => lists.iter().any(Option::is_some),
         None => false,
     };
-    if listed_leaving || reports_leaving(&kept) {
+    if listed_draining || reports_draining(&kept) {
         return HealthState::Leaving;
     }
     if since(Failure::Connection) > 0 || since(Failure::Timeout) >= 2 {
@@ -156,8 +156,8 @@
     }
 }
 
-/// Whether the endpoint last reported that it is leaving, unless a reply came from a later incarnation.
-fn reports_leaving(kept: &[(u64, Observation)]) -> bool {
+/// Whether the endpoint last reported that it is draining, unless a reply came from a later incarnation.
+fn reports_draining(kept: &[(u64, Observation)]) -> bool {
     let current = kept.iter().rev().find_map(|(_, observed)| incarnation(*observed));
     let start = kept
         .iter()
@@ -170,7 +170,7 @@
             .rev()
             .filter(|(position, _)| *position >= start)
             .find_map(|(_, observed)| match observed {
-                Observation::Report { leaving, .. } => Some(*leaving),
+                Observation::Report { draining, .. } => Some(*draining),
                 _ => None,
             });
     reported.unwrap_or(false)
--- a/crates/lifecycle/src/claims/guard.rs
+++ b/crates/lifecycle/src/claims/guard.rs
@@ -1,35 +1,39 @@
-//! Which protection a call needs, and so what can be served while the platform is out.
+//! Which protection against repeated execution a call needs, and whether it can be served during a platform outage.
 
 use crate::request::RetryPolicy;
 
-/// How a call is kept from running twice.
+/// How a call is protected against running twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Guard {
-    /// Not needed: a second execution does no harm. Served while the platform is out.
+pub enum Protection {
+    /// Not needed, because a second execution does no harm. Served during a platform outage.
     Idempotent,
-    /// The service itself runs a key at most once. Served while the platform is out.
+    /// The service itself runs each key at most once. Served during a platform outage.
     Endpoint,
-    /// No key: this router sends it at most once; a retry by the caller is a new call. Served while the
-    /// platform is out.
+    /// No key: this router sends the call at most once. A retry by the client is a new call. Served during a platform
+    /// outage.
     SingleSend,
-    /// A claim comes first. Refused while the platform is out.
+    /// A claim is acquired first. Refused during a platform outage.
     Claim,
 }
 
-/// The guard of a call, from the operation's configuration and whether the caller gave a key.
-pub fn guard(idempotent: bool, deduplicates: bool, keyed: bool) -> Guard {
+/// The protection of a call, from the operation's configuration and whether the client gave a key.
+pub fn protection(idempotent: bool, deduplicates: bool, keyed: bool) -> Protection {
     if idempotent {
-        return Guard::Idempotent;
+        return Protection::Idempotent;
     }
     if !keyed {
-        return Guard::SingleSend;
+        return Protection::SingleSend;
+    }
+    if deduplicates {
+        Protection::Endpoint
+    } else {
+        Protection::Claim
     }
-    if deduplicates { Guard::Endpoint } else { Guard::Claim }
 }
 
-impl Guard {
-    /// How often the router may send the call.
-    pub fn repeat(self) -> RetryPolicy {
+impl Protection {
+    /// How often a router may send the call.
+    pub fn retry_policy(self) -> RetryPolicy {
         match self {
             Self::Idempotent | Self::Endpoint => RetryPolicy::Idempotent,
             Self::SingleSend => RetryPolicy::Once,
--- a/crates/router/src/control/endpoints.rs
+++ b/crates/router/src/control/endpoints.rs
@@ -21,7 +21,7 @@
     pub(super) fn listed(&mut self, list: &VmList) {
         let listing = |state| match state {
             VmState::Live => Listing::Live,
-            VmState::Leaving => Listing::Leaving,
+            VmState::Leaving => Listing::Draining,
         };
         let entries = list.vms.iter();
         let listed: BTreeMap<EndpointId, Listing> = entries
@@ -77,7 +77,7 @@
         self.health_event(health::Event::Report(health::Report {
             endpoint: id.clone(),
             incarnation,
-            leaving: true,
+            draining: true,
             own: true,
             at: self.now(),
         }));
@@ -96,7 +96,7 @@
         let health = health::Report {
             endpoint: id.clone(),
             incarnation: load.incarnation,
-            leaving: load.leaving,
+            draining: load.leaving,
             own: load.own,
             at: load.asked,
         };
--- a/crates/router/src/orders/platform_calls.rs
+++ b/crates/router/src/orders/platform_calls.rs
@@ -86,7 +86,7 @@
             ttl: Duration::from_millis(lease.ttl_ms),
             requested: asked,
         },
-        None => Event::Lapsed(id),
+        None => Event::LeaseExpired(id),
     })
 }
 
@@ -135,7 +135,7 @@
     };
     match entry.value.as_deref() {
         None if entry.version == Version(0) => SlotState::Free,
-        None => SlotState::Lapsed,
+        None => SlotState::Expired,
         Some(FREE) => SlotState::Free,
         Some(value) if value == fence.to_string() => SlotState::Own,
         Some(_) => SlotState::Held,
