--- a/crates/gateway/src/follow/loads.rs
+++ b/crates/gateway/src/follow/loads.rs
@@ -6,7 +6,7 @@
 
 use crate::shared::Shared;
 use dispatch::fleet::{LoadReport, LoadUpdate};
-use peers::{Leader, LoadExchange, LoadTold, PeerError};
+use peers::{Leader, LoadExchange, LoadMessage, PeerError};
 use std::time::Duration;
 
 /// Longest wait for a response.
@@ -26,7 +26,7 @@
 }
 
 /// Applies a follower's reports and returns the reports of others.
-pub fn answer(shared: &Shared, request: &LoadExchange) -> Vec<LoadTold> {
+pub fn answer(shared: &Shared, request: &LoadExchange) -> Vec<LoadMessage> {
     let now = shared.clock.now();
     let since = now.saturating_sub(Duration::from_millis(request.last_ms));
     let reports = shared.fleet().loads_since(since, false);
@@ -34,9 +34,9 @@
     reports.iter().map(|report| load_message(report, now)).collect()
 }
 
-fn apply(shared: &Shared, loads: &[LoadTold]) {
+fn apply(shared: &Shared, loads: &[LoadMessage]) {
     let now = shared.clock.now();
-    let report = |LoadTold(endpoint, running, waiting, age): &LoadTold| LoadUpdate {
+    let report = |LoadMessage(endpoint, running, waiting, age): &LoadMessage| LoadUpdate {
         endpoint: *endpoint,
         report: LoadReport {
             running: *running,
@@ -48,7 +48,7 @@
     shared.fleet().merge_loads(&reports, now);
 }
 
-fn load_message(load: &LoadUpdate, now: Duration) -> LoadTold {
+fn load_message(load: &LoadUpdate, now: Duration) -> LoadMessage {
     let age = now.saturating_sub(load.reported_at).as_millis() as u64;
-    LoadTold(load.endpoint, load.report.running, load.report.waiting, age)
+    LoadMessage(load.endpoint, load.report.running, load.report.waiting, age)
 }
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -126,7 +126,7 @@
 
 /// An endpoint's load report on its way between routers: key, requests that run, requests that wait, age in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadTold(pub ShortKey, pub u32, pub u32, pub u64);
+pub struct LoadMessage(pub ShortKey, pub u32, pub u32, pub u64);
 
 /// A router's load reports for the one it follows, which answers with those of others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -134,7 +134,7 @@
     /// How long ago the last exchange was; what was heard since is told.
     pub last_ms: u64,
     /// Reports of answers that the router got itself.
-    pub own: Vec<LoadTold>,
+    pub own: Vec<LoadMessage>,
 }
 
 /// Prompt tokens that a router's requests wait to have read: all that there are at the time, by endpoint.
@@ -172,7 +172,8 @@
 #[allow(missing_docs)]
 mod calls {
     use super::{
-        BacklogTold, Follow, Followed, LoadExchange, LoadTold, NameTold, PrefixFollow, PrefixPage, Revision, SpanTold,
+        BacklogTold, Follow, Followed, LoadExchange, LoadMessage, NameTold, PrefixFollow, PrefixPage, Revision,
+        SpanTold,
     };
 
     /// What a router answers to its followers.
@@ -183,7 +184,7 @@
         /// Events of stores of cached prefixes, of each after a number.
         async fn prefixes(follow: Vec<PrefixFollow>) -> Vec<PrefixPage>;
         /// Load reports of endpoints, both ways.
-        async fn loads(exchange: LoadExchange) -> Vec<LoadTold>;
+        async fn loads(exchange: LoadExchange) -> Vec<LoadMessage>;
         /// What another router's requests wait for.
         async fn backlog(told: BacklogTold);
         /// How long ago weights were named lately.
@@ -208,7 +209,7 @@
     /// Events of stores of cached prefixes, of each after a number.
     pub prefixes: Answers<Vec<PrefixFollow>, Vec<PrefixPage>>,
     /// Load reports of endpoints, both ways.
-    pub loads: Answers<LoadExchange, Vec<LoadTold>>,
+    pub loads: Answers<LoadExchange, Vec<LoadMessage>>,
     /// What another router's requests wait for.
     pub backlog: Answers<BacklogTold, ()>,
     /// How long ago weights were named lately.
@@ -231,7 +232,7 @@
         (self.0.prefixes)(follow).await
     }
 
-    async fn loads(self, _: Context, exchange: LoadExchange) -> Vec<LoadTold> {
+    async fn loads(self, _: Context, exchange: LoadExchange) -> Vec<LoadMessage> {
         (self.0.loads)(exchange).await
     }
 
@@ -335,7 +336,7 @@
     ///
     /// # Errors
     /// The call failed, or no answer began to arrive in time.
-    pub async fn loads(&self, exchange: LoadExchange, within: Duration) -> Result<Vec<LoadTold>, PeerError> {
+    pub async fn loads(&self, exchange: LoadExchange, within: Duration) -> Result<Vec<LoadMessage>, PeerError> {
         self.answer(within, self.client.loads(latest(within), exchange)).await
     }
 
