--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -6,7 +6,7 @@
 use async_std::future::timeout;
 use async_std::task;
 use dispatch::fleet::{Backlog, RateUpdate};
-use peers::{BacklogTold, Leader, PeerError, RateTold};
+use peers::{BacklogTold, Leader, PeerError, RateMessage};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -47,8 +47,8 @@
             continue;
         }
         idle = is_empty;
-        let rate = |rate: &RateUpdate| RateTold(rate.endpoint, rate.rate, age(rate.reported_at, now));
-        let rates: Vec<RateTold> = rates.iter().map(rate).collect();
+        let rate = |rate: &RateUpdate| RateMessage(rate.endpoint, rate.rate, age(rate.reported_at, now));
+        let rates: Vec<RateMessage> = rates.iter().map(rate).collect();
         let router = shared.settings.load().vm.clone();
         for sender in senders.values() {
             let update = BacklogTold {
@@ -109,7 +109,7 @@
     };
     // The report is assumed to be as old as possible. Otherwise a report that returns to its sender would seem newer
     // than the original.
-    let rate = |RateTold(endpoint, rate, age): &RateTold| RateUpdate {
+    let rate = |RateMessage(endpoint, rate, age): &RateMessage| RateUpdate {
         endpoint: *endpoint,
         rate: *rate,
         reported_at: now.saturating_sub(Duration::from_millis(*age) + CALL_TIMEOUT),
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -148,12 +148,12 @@
     pub reads: Vec<(ServiceId, LaneTokens)>,
     /// Rates that endpoints named lately.
     #[serde(default)]
-    pub rates: Vec<RateTold>,
+    pub rates: Vec<RateMessage>,
 }
 
 /// What an endpoint said of the requests a second that it takes, on its way between routers: key, rate or none any more, age in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct RateTold(pub ShortKey, pub Option<f64>, pub u64);
+pub struct RateMessage(pub ShortKey, pub Option<f64>, pub u64);
 
 /// How long ago weights were named, as far as a router can tell.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
