--- a/crates/gateway/src/follow/weight_ages.rs
+++ b/crates/gateway/src/follow/weight_ages.rs
@@ -10,7 +10,7 @@
 use async_std::task;
 use dispatch::fleet::TargetAge;
 use ids::ModelId;
-use peers::{Leader, NameTold};
+use peers::{Leader, TargetAgeMessage};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -35,9 +35,9 @@
 }
 
 /// This router's response to another router.
-pub fn answer(shared: &Shared) -> Vec<NameTold> {
+pub fn answer(shared: &Shared) -> Vec<TargetAgeMessage> {
     let ages = shared.fleet().target_ages(shared.clock.now());
-    let message = |(model, weights, age): (ModelId, u64, TargetAge)| NameTold {
+    let message = |(model, weights, age): (ModelId, u64, TargetAge)| TargetAgeMessage {
         model,
         weights,
         least_ms: age.lower.as_millis() as u64,
@@ -56,7 +56,7 @@
 }
 
 /// Applies a response. The response may be as old as the request, so that time is added to the upper limit.
-fn apply(shared: &Shared, ages: &[NameTold], sent: Duration) {
+fn apply(shared: &Shared, ages: &[TargetAgeMessage], sent: Duration) {
     let now = shared.clock.now();
     let transit = now.saturating_sub(sent);
     let mut fleet = shared.fleet();
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -24,8 +24,8 @@
 pub use news::{Event, LoadReport, Offered, Published};
 pub use pack::{PACKED_FROM, pack, unpack};
 pub use relay::{
-    Answer, BacklogTold, Follow, Followed, Leader, LoadExchange, LoadMessage, NameTold, PrefixFollow, PrefixPage,
-    RateMessage, RelayItem, SpanTold, serve_followers,
+    Answer, BacklogTold, Follow, Followed, Leader, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, RateMessage,
+    RelayItem, SpanTold, TargetAgeMessage, serve_followers,
 };
 pub use service::PeerError;
 pub use socket::MAX_FRAME;
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -157,7 +157,7 @@
 
 /// How long ago weights were named, as far as a router can tell.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NameTold {
+pub struct TargetAgeMessage {
     /// The model.
     pub model: ModelId,
     /// Number of the weights.
@@ -172,8 +172,8 @@
 #[allow(missing_docs)]
 mod calls {
     use super::{
-        BacklogTold, Follow, Followed, LoadExchange, LoadMessage, NameTold, PrefixFollow, PrefixPage, Revision,
-        SpanTold,
+        BacklogTold, Follow, Followed, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, Revision, SpanTold,
+        TargetAgeMessage,
     };
 
     /// What a router answers to its followers.
@@ -188,7 +188,7 @@
         /// What another router's requests wait for.
         async fn backlog(told: BacklogTold);
         /// How long ago weights were named lately.
-        async fn names() -> Vec<NameTold>;
+        async fn names() -> Vec<TargetAgeMessage>;
         /// Since when the store answers the router.
         async fn uptime() -> Option<SpanTold>;
         /// The document that the router has in force.
@@ -213,7 +213,7 @@
     /// What another router's requests wait for.
     pub backlog: Answers<BacklogTold, ()>,
     /// How long ago weights were named lately.
-    pub names: Answers<(), Vec<NameTold>>,
+    pub names: Answers<(), Vec<TargetAgeMessage>>,
     /// Since when the store answers the router.
     pub uptime: Answers<(), Option<SpanTold>>,
     /// The document that the router has in force.
@@ -240,7 +240,7 @@
         (self.0.backlog)(told).await;
     }
 
-    async fn names(self, _: Context) -> Vec<NameTold> {
+    async fn names(self, _: Context) -> Vec<TargetAgeMessage> {
         (self.0.names)(()).await
     }
 
@@ -352,7 +352,7 @@
     ///
     /// # Errors
     /// The call failed, or no answer began to arrive in time.
-    pub async fn names(&self, within: Duration) -> Result<Vec<NameTold>, PeerError> {
+    pub async fn names(&self, within: Duration) -> Result<Vec<TargetAgeMessage>, PeerError> {
         self.answer(within, self.client.names(latest(within))).await
     }
 
