--- a/crates/gateway/src/follow/uptime.rs
+++ b/crates/gateway/src/follow/uptime.rs
@@ -9,7 +9,7 @@
 use crate::shared::Shared;
 use async_std::task;
 use dispatch::uptime::Span;
-use peers::{Leader, SpanTold};
+use peers::{Leader, UptimeMessage};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -33,18 +33,18 @@
 }
 
 /// This router's response to another router.
-pub fn answer(shared: &Shared) -> Option<SpanTold> {
+pub fn answer(shared: &Shared) -> Option<UptimeMessage> {
     let span = shared.uptime().span()?;
     let now = shared.clock.now();
     let age = |at| now.saturating_sub(at).as_millis() as u64;
-    Some(SpanTold {
+    Some(UptimeMessage {
         from_ms: age(span.from),
         until_ms: age(span.until),
     })
 }
 
 /// Converts a response that was made between two times into the shortest period that it guarantees.
-pub fn span(told: SpanTold, answered_at: Duration, now: Duration) -> Option<Span> {
+pub fn span(told: UptimeMessage, answered_at: Duration, now: Duration) -> Option<Span> {
     let from = now.saturating_sub(Duration::from_millis(told.from_ms));
     let until = answered_at.checked_sub(Duration::from_millis(told.until_ms))?;
     (from <= until).then_some(Span { from, until })
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -25,7 +25,7 @@
 pub use pack::{PACKED_FROM, pack, unpack};
 pub use relay::{
     Answer, BacklogTold, Follow, Followed, Leader, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, RateMessage,
-    RelayItem, SpanTold, TargetAgeMessage, serve_followers,
+    RelayItem, TargetAgeMessage, UptimeMessage, serve_followers,
 };
 pub use service::PeerError;
 pub use socket::MAX_FRAME;
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -68,7 +68,7 @@
 
 /// A time in which the store answered a router without a break, in ages when it is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SpanTold {
+pub struct UptimeMessage {
     /// Age of the first answer, milliseconds.
     pub from_ms: u64,
     /// Age of the last answer, milliseconds.
@@ -92,7 +92,7 @@
     /// How long before this answer the store was known to hold nothing newer, milliseconds.
     pub age_ms: Option<u64>,
     /// Since when the store answers the router; absent if it never did.
-    pub answers: Option<SpanTold>,
+    pub answers: Option<UptimeMessage>,
     /// How long the answer waited for a change, milliseconds. The ages count from its end.
     pub waited_ms: u64,
 }
@@ -172,8 +172,8 @@
 #[allow(missing_docs)]
 mod calls {
     use super::{
-        BacklogTold, Follow, Followed, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, Revision, SpanTold,
-        TargetAgeMessage,
+        BacklogTold, Follow, Followed, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, Revision, TargetAgeMessage,
+        UptimeMessage,
     };
 
     /// What a router answers to its followers.
@@ -190,7 +190,7 @@
         /// How long ago weights were named lately.
         async fn names() -> Vec<TargetAgeMessage>;
         /// Since when the store answers the router.
-        async fn uptime() -> Option<SpanTold>;
+        async fn uptime() -> Option<UptimeMessage>;
         /// The document that the router has in force.
         async fn document() -> Option<Revision>;
     }
@@ -215,7 +215,7 @@
     /// How long ago weights were named lately.
     pub names: Answers<(), Vec<TargetAgeMessage>>,
     /// Since when the store answers the router.
-    pub uptime: Answers<(), Option<SpanTold>>,
+    pub uptime: Answers<(), Option<UptimeMessage>>,
     /// The document that the router has in force.
     pub document: Answers<(), Option<Revision>>,
 }
@@ -244,7 +244,7 @@
         (self.0.names)(()).await
     }
 
-    async fn uptime(self, _: Context) -> Option<SpanTold> {
+    async fn uptime(self, _: Context) -> Option<UptimeMessage> {
         (self.0.uptime)(()).await
     }
 
@@ -360,7 +360,7 @@
     ///
     /// # Errors
     /// The call failed, or no answer began to arrive in time.
-    pub async fn uptime(&self, within: Duration) -> Result<Option<SpanTold>, PeerError> {
+    pub async fn uptime(&self, within: Duration) -> Result<Option<UptimeMessage>, PeerError> {
         self.answer(within, self.client.uptime(latest(within))).await
     }
 
