--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -6,7 +6,7 @@
 use async_std::future::timeout;
 use async_std::task;
 use dispatch::fleet::{Backlog, RateUpdate};
-use peers::{BacklogTold, Leader, PeerError, RateMessage};
+use peers::{BacklogMessage, Leader, PeerError, RateMessage};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 
 /// Sends this router's backlog to the other routers until the process exits.
 pub async fn publish_backlogs(shared: Arc<Shared>) {
-    let mut senders: HashMap<SocketAddr, Sender<BacklogTold>> = HashMap::new();
+    let mut senders: HashMap<SocketAddr, Sender<BacklogMessage>> = HashMap::new();
     let mut members_read = None;
     let mut idle = true;
     loop {
@@ -51,7 +51,7 @@
         let rates: Vec<RateMessage> = rates.iter().map(rate).collect();
         let router = shared.settings.load().vm.clone();
         for sender in senders.values() {
-            let update = BacklogTold {
+            let update = BacklogMessage {
                 router: router.clone(),
                 backlogs: backlog.tokens.clone(),
                 reads: backlog.lane_tokens.clone(),
@@ -64,7 +64,7 @@
     }
 }
 
-fn update_peers(shared: &Shared, senders: &mut HashMap<SocketAddr, Sender<BacklogTold>>) {
+fn update_peers(shared: &Shared, senders: &mut HashMap<SocketAddr, Sender<BacklogMessage>>) {
     let own = shared.settings.load().vm.clone();
     let others = Members::read(shared).others(&own, MAX_PEERS);
     senders.retain(|address, sender| others.contains(address) && !sender.is_closed());
@@ -78,7 +78,7 @@
 }
 
 /// Sends all updates to one router.
-async fn send_updates(address: SocketAddr, updates: Receiver<BacklogTold>) {
+async fn send_updates(address: SocketAddr, updates: Receiver<BacklogMessage>) {
     let mut connected = None;
     while let Ok(update) = updates.recv().await {
         match send_once(connected.take(), address, update).await {
@@ -91,7 +91,11 @@
     }
 }
 
-async fn send_once(connected: Option<Leader>, address: SocketAddr, update: BacklogTold) -> Result<Leader, PeerError> {
+async fn send_once(
+    connected: Option<Leader>,
+    address: SocketAddr,
+    update: BacklogMessage,
+) -> Result<Leader, PeerError> {
     let leader = match connected {
         Some(leader) => leader,
         None => Leader::connect(address, CALL_TIMEOUT).await?,
@@ -101,7 +105,7 @@
 }
 
 /// Applies an update from another router.
-pub fn apply(shared: &Shared, update: &BacklogTold) {
+pub fn apply(shared: &Shared, update: &BacklogMessage) {
     let now = shared.clock.now();
     let backlog = Backlog {
         tokens: update.backlogs.clone(),
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -24,7 +24,7 @@
 pub use news::{Event, LoadReport, Offered, Published};
 pub use pack::{PACKED_FROM, pack, unpack};
 pub use relay::{
-    Answer, BacklogTold, Follow, Followed, Leader, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, RateMessage,
+    Answer, BacklogMessage, Follow, Followed, Leader, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, RateMessage,
     RelayItem, TargetAgeMessage, UptimeMessage, serve_followers,
 };
 pub use service::PeerError;
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -139,7 +139,7 @@
 
 /// Prompt tokens that a router's requests wait to have read: all that there are at the time, by endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct BacklogTold {
+pub struct BacklogMessage {
     /// Whose requests.
     pub router: VmId,
     /// Endpoints with a backlog, and its prompt tokens.
@@ -172,8 +172,8 @@
 #[allow(missing_docs)]
 mod calls {
     use super::{
-        BacklogTold, Follow, Followed, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, Revision, TargetAgeMessage,
-        UptimeMessage,
+        BacklogMessage, Follow, Followed, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, Revision,
+        TargetAgeMessage, UptimeMessage,
     };
 
     /// What a router answers to its followers.
@@ -186,7 +186,7 @@
         /// Load reports of endpoints, both ways.
         async fn loads(exchange: LoadExchange) -> Vec<LoadMessage>;
         /// What another router's requests wait for.
-        async fn backlog(told: BacklogTold);
+        async fn backlog(told: BacklogMessage);
         /// How long ago weights were named lately.
         async fn names() -> Vec<TargetAgeMessage>;
         /// Since when the store answers the router.
@@ -211,7 +211,7 @@
     /// Load reports of endpoints, both ways.
     pub loads: Answers<LoadExchange, Vec<LoadMessage>>,
     /// What another router's requests wait for.
-    pub backlog: Answers<BacklogTold, ()>,
+    pub backlog: Answers<BacklogMessage, ()>,
     /// How long ago weights were named lately.
     pub names: Answers<(), Vec<TargetAgeMessage>>,
     /// Since when the store answers the router.
@@ -236,7 +236,7 @@
         (self.0.loads)(exchange).await
     }
 
-    async fn backlog(self, _: Context, told: BacklogTold) {
+    async fn backlog(self, _: Context, told: BacklogMessage) {
         (self.0.backlog)(told).await;
     }
 
@@ -344,7 +344,7 @@
     ///
     /// # Errors
     /// The call failed, or no answer began to arrive in time.
-    pub async fn backlog(&self, told: BacklogTold, within: Duration) -> Result<(), PeerError> {
+    pub async fn backlog(&self, told: BacklogMessage, within: Duration) -> Result<(), PeerError> {
         self.answer(within, self.client.backlog(latest(within), told)).await
     }
 
