--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -6,7 +6,7 @@
 use async_std::future::timeout;
 use async_std::task;
 use dispatch::fleet::{Backlog, RateUpdate};
-use peers::{BacklogMessage, Leader, PeerError, RateMessage};
+use peers::{BacklogMessage, PeerError, RateMessage, Upstream};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -92,13 +92,13 @@
 }
 
 async fn send_once(
-    connected: Option<Leader>,
+    connected: Option<Upstream>,
     address: SocketAddr,
     update: BacklogMessage,
-) -> Result<Leader, PeerError> {
+) -> Result<Upstream, PeerError> {
     let leader = match connected {
         Some(leader) => leader,
-        None => Leader::connect(address, CALL_TIMEOUT).await?,
+        None => Upstream::connect(address, CALL_TIMEOUT).await?,
     };
     leader.backlog(update, CALL_TIMEOUT).await?;
     Ok(leader)
--- a/crates/gateway/src/follow/documents.rs
+++ b/crates/gateway/src/follow/documents.rs
@@ -7,7 +7,7 @@
 use super::others::{CALL_TIMEOUT, ask_others};
 use crate::shared::Shared;
 use ids::Revision;
-use peers::Leader;
+use peers::Upstream;
 
 /// This router's response to another router.
 pub fn answer(shared: &Shared) -> Option<Revision> {
@@ -16,7 +16,7 @@
 
 /// The newest revision that some other routers have in force; none if no router responds.
 pub async fn newest(shared: &Shared) -> Option<Revision> {
-    let request = |other: Leader| async move { other.document(CALL_TIMEOUT).await };
+    let request = |other: Upstream| async move { other.document(CALL_TIMEOUT).await };
     let unanswered = "configuration: cannot get the revision of a router";
     let told = ask_others(shared, unanswered, request).await;
     told.into_iter().flatten().max()
--- a/crates/gateway/src/follow/loads.rs
+++ b/crates/gateway/src/follow/loads.rs
@@ -6,14 +6,14 @@
 
 use crate::shared::Shared;
 use dispatch::fleet::{LoadReport, LoadUpdate};
-use peers::{Leader, LoadExchange, LoadMessage, PeerError};
+use peers::{LoadExchange, LoadMessage, PeerError, Upstream};
 use std::time::Duration;
 
 /// Longest wait for a response.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Exchanges reports with the followed router. `last` is the time of the previous exchange.
-pub async fn exchange(shared: &Shared, leader: &Leader, last: Duration) -> Result<(), PeerError> {
+pub async fn exchange(shared: &Shared, leader: &Upstream, last: Duration) -> Result<(), PeerError> {
     let now = shared.clock.now();
     let own = shared.fleet().loads_since(last, true);
     let request = LoadExchange {
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -26,7 +26,7 @@
 use async_std::task;
 use dispatch::uptime::Span;
 use ids::VmId;
-use peers::{Follow, Followed, Leader, PeerError};
+use peers::{Follow, Followed, PeerError, Upstream};
 use rand::RngExt;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -94,7 +94,7 @@
     shared: Arc<Shared>,
     address: SocketAddr,
     client: Client,
-    leader: Option<(VmId, Leader)>,
+    leader: Option<(VmId, Upstream)>,
     /// Abandoned routers, and when each may be tried again.
     backoff: HashMap<VmId, Duration>,
     /// Pause that the next watch must make up for.
@@ -169,7 +169,7 @@
     }
 
     /// The router to follow now; none if this router watches the store directly.
-    async fn next_leader(&mut self) -> Option<(VmId, Leader)> {
+    async fn next_leader(&mut self) -> Option<(VmId, Upstream)> {
         let settings = self.shared.settings.load_full();
         let members = Members::read(&self.shared);
         {
@@ -186,7 +186,7 @@
             if let Some(kept) = self.leader.take_if(|(known, _)| *known == vm) {
                 return Some(kept);
             }
-            match Leader::connect(address, FOLLOW_CONNECT_TIMEOUT).await {
+            match Upstream::connect(address, FOLLOW_CONNECT_TIMEOUT).await {
                 Ok(leader) => {
                     log::info!(router = vm.as_str(); "store: following another router");
                     return Some((vm, leader));
@@ -202,7 +202,7 @@
         self.backoff.insert(vm, self.shared.clock.now() + LEADER_BACKOFF);
     }
 
-    async fn follow_leader(&mut self, vm: VmId, leader: Leader, known: Position) {
+    async fn follow_leader(&mut self, vm: VmId, leader: Upstream, known: Position) {
         let sent = self.shared.clock.now();
         let remaining = self.remaining_freshness();
         let wait = remaining
--- a/crates/gateway/src/follow/others.rs
+++ b/crates/gateway/src/follow/others.rs
@@ -3,7 +3,7 @@
 use super::Members;
 use crate::shared::Shared;
 use futures::future::join_all;
-use peers::{Leader, PeerError};
+use peers::{PeerError, Upstream};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 /// Responses of some other routers, each asked over a new connection. `unanswered` is logged for a router that does not
 /// respond.
-pub async fn ask_others<T, F>(shared: &Shared, unanswered: &str, ask: impl Fn(Leader) -> F) -> Vec<T>
+pub async fn ask_others<T, F>(shared: &Shared, unanswered: &str, ask: impl Fn(Upstream) -> F) -> Vec<T>
 where
     F: Future<Output = Result<T, PeerError>>,
 {
@@ -26,11 +26,11 @@
     join_all(answers).await.into_iter().flatten().collect()
 }
 
-async fn ask_one<T, F>(address: SocketAddr, unanswered: &str, ask: impl Fn(Leader) -> F) -> Option<T>
+async fn ask_one<T, F>(address: SocketAddr, unanswered: &str, ask: impl Fn(Upstream) -> F) -> Option<T>
 where
     F: Future<Output = Result<T, PeerError>>,
 {
-    let answered = async { ask(Leader::connect(address, CALL_TIMEOUT).await?).await };
+    let answered = async { ask(Upstream::connect(address, CALL_TIMEOUT).await?).await };
     match answered.await {
         Ok(answer) => Some(answer),
         Err(err) => {
--- a/crates/gateway/src/follow/prefixes.rs
+++ b/crates/gateway/src/follow/prefixes.rs
@@ -7,7 +7,7 @@
 use async_std::task;
 use dispatch::prefixes::PrefixEvents;
 use ids::VmId;
-use peers::{Leader, PeerError, PrefixFollow, PrefixPage};
+use peers::{PeerError, PrefixFollow, PrefixPage, Upstream};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -43,7 +43,7 @@
 /// A connection to the followed router.
 struct LeaderConnection {
     vm: VmId,
-    leader: Leader,
+    leader: Upstream,
     /// When the last call was made.
     last: Duration,
 }
@@ -164,13 +164,13 @@
 
 async fn ask_leader(
     shared: &Shared,
-    connected: Option<Leader>,
+    connected: Option<Upstream>,
     address: SocketAddr,
     last: Duration,
-) -> Result<(Leader, Vec<PrefixPage>, Duration), PeerError> {
+) -> Result<(Upstream, Vec<PrefixPage>, Duration), PeerError> {
     let leader = match connected {
         Some(leader) => leader,
-        None => Leader::connect(address, FOLLOW_TIMEOUT).await?,
+        None => Upstream::connect(address, FOLLOW_TIMEOUT).await?,
     };
     let asked = shared.clock.now();
     loads::exchange(shared, &leader, last).await?;
--- a/crates/gateway/src/follow/uptime.rs
+++ b/crates/gateway/src/follow/uptime.rs
@@ -9,7 +9,7 @@
 use crate::shared::Shared;
 use async_std::task;
 use dispatch::uptime::Span;
-use peers::{Leader, UptimeMessage};
+use peers::{Upstream, UptimeMessage};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -52,7 +52,7 @@
 
 async fn ask(shared: &Shared) {
     let sent = shared.clock.now();
-    let request = |other: Leader| async move {
+    let request = |other: Upstream| async move {
         let told = other.uptime(CALL_TIMEOUT).await?;
         if let Some(span) = told.and_then(|told| span(told, sent, shared.clock.now())) {
             send(shared, Event::PeerUptime(span)).await;
--- a/crates/gateway/src/follow/weight_ages.rs
+++ b/crates/gateway/src/follow/weight_ages.rs
@@ -10,7 +10,7 @@
 use async_std::task;
 use dispatch::fleet::TargetAge;
 use ids::ModelId;
-use peers::{Leader, TargetAgeMessage};
+use peers::{TargetAgeMessage, Upstream};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
 
 async fn ask(shared: &Shared) {
     let sent = shared.clock.now();
-    let request = |other: Leader| async move {
+    let request = |other: Upstream| async move {
         apply(shared, &other.names(CALL_TIMEOUT).await?, sent);
         Ok(())
     };
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -24,8 +24,8 @@
 pub use news::{Event, LoadReport, Offered, Published};
 pub use pack::{PACKED_FROM, pack, unpack};
 pub use relay::{
-    Answer, BacklogMessage, Follow, Followed, Leader, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, RateMessage,
-    RelayItem, TargetAgeMessage, UptimeMessage, serve_followers,
+    Answer, BacklogMessage, Follow, Followed, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, RateMessage,
+    RelayItem, TargetAgeMessage, Upstream, UptimeMessage, serve_followers,
 };
 pub use service::PeerError;
 pub use socket::MAX_FRAME;
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -287,12 +287,12 @@
 }
 
 /// A connection to a router that is followed.
-pub struct Leader {
+pub struct Upstream {
     client: RelayClient,
     traffic: Arc<Traffic>,
 }
 
-impl Leader {
+impl Upstream {
     /// Connects.
     ///
     /// # Errors
