--- a/crates/peers/src/handle.rs
+++ b/crates/peers/src/handle.rs
@@ -24,12 +24,12 @@
     pub(crate) events: Sender<Event>,
     pub(crate) traffic: Arc<Traffic>,
     state: ArcSwap<Published>,
-    seen: Mutex<BTreeMap<VmId, (SeenPeer, Instant)>>,
+    seen: Mutex<BTreeMap<VmId, (RecentPeer, Instant)>>,
 }
 
 /// A peer as it was last heard, for the fleet's status.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SeenPeer {
+pub struct RecentPeer {
     /// Who.
     pub member: Member,
     /// The revision that it had in force.
@@ -48,7 +48,7 @@
     }
 
     fn note(&self, from: &Member, revision: Option<Revision>) {
-        let peer = SeenPeer {
+        let peer = RecentPeer {
             member: from.clone(),
             revision,
             age: Duration::ZERO,
@@ -191,10 +191,10 @@
     }
 
     /// Peers that were heard within the last ten minutes.
-    pub fn seen(&self) -> Vec<SeenPeer> {
+    pub fn seen(&self) -> Vec<RecentPeer> {
         let seen = self.inner.seen.lock().unwrap_or_else(PoisonError::into_inner);
         seen.values()
-            .map(|(peer, at)| SeenPeer {
+            .map(|(peer, at)| RecentPeer {
                 age: at.elapsed(),
                 ..peer.clone()
             })
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -18,7 +18,7 @@
 mod socket;
 
 pub use delta::{Extent, Malformed, News, Received, Sent};
-pub use handle::{Fetcher, Peers, SeenPeer};
+pub use handle::{Fetcher, Peers, RecentPeer};
 pub use link::{CALL_TIMEOUT, LONGEST_BACKOFF};
 pub use message::{About, Beat, Summary};
 pub use news::{Event, LoadReport, Offered, Published};
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -10,7 +10,7 @@
 use ::control::following::Follow;
 use ::control::membership::DomainCount;
 use ::control::startup::NotReady;
-use ::peers::SeenPeer;
+use ::peers::RecentPeer;
 use arc_swap::{ArcSwap, ArcSwapOption};
 use async_channel::Sender;
 use clock::Clock;
@@ -53,7 +53,7 @@
     /// What this router asks of the platform to follow the configuration.
     pub follow: ArcSwap<Follow>,
     /// Peers as last heard.
-    pub seen: ArcSwap<Vec<SeenPeer>>,
+    pub seen: ArcSwap<Vec<RecentPeer>>,
     /// Other failure domains as last heard of.
     pub domains: ArcSwap<Vec<DomainCount>>,
     /// Why no configuration is in force yet.
