--- a/crates/peers/examples/traffic.rs
+++ b/crates/peers/examples/traffic.rs
@@ -8,7 +8,7 @@
 use control::membership::{Event as Seen, Listed, Member, Membership};
 use control::rendezvous::forwards_load;
 use ids::{Digest, DomainId, EndpointId, Incarnation, Revision, VmId, WeightsVersion};
-use peers::{Event, LoadReport, Offered, Peers, Published};
+use peers::{Event, LoadReport, OfferedConfig, Peers, Published};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -77,7 +77,7 @@
     Ok(routers)
 }
 
-fn published(membership: &Membership, round: u32, share: u32, config: Option<Arc<Offered>>) -> Published {
+fn published(membership: &Membership, round: u32, share: u32, config: Option<Arc<OfferedConfig>>) -> Published {
     let own = &membership.own().id;
     let mut loads = Vec::new();
     for number in 0..ENDPOINTS as u32 {
@@ -145,7 +145,7 @@
 async fn spread(routers: &mut [Router]) {
     let mut times = Vec::new();
     for revision in 1..=20 {
-        let offered = Offered {
+        let offered = OfferedConfig {
             revision: Revision(revision),
             digest: Digest::of(&revision.to_le_bytes()),
             head: String::new(),
--- a/crates/peers/src/news.rs
+++ b/crates/peers/src/news.rs
@@ -26,7 +26,7 @@
 
 /// The configuration in force, for peers that are cut from the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Offered {
+pub struct OfferedConfig {
     /// Its revision.
     pub revision: Revision,
     /// Digest of the head.
@@ -49,7 +49,7 @@
     /// Its membership, told to peers whose digest differs.
     pub roster: Roster,
     /// The configuration in force.
-    pub config: Option<Arc<Offered>>,
+    pub config: Option<Arc<OfferedConfig>>,
     /// The loads of the endpoints whose reports it passes on.
     pub loads: Vec<LoadReport>,
     /// How crowded each endpoint has been, in thousandths, by its key in hashes; asked for once by a router that starts.
--- a/crates/peers/tests/loopback.rs
+++ b/crates/peers/tests/loopback.rs
@@ -5,7 +5,7 @@
 use async_std::{future::timeout, task};
 use control::membership::{Link, Member};
 use ids::{Digest, DomainId, Revision, VmId};
-use peers::{Event, Offered, PeerError, Peers, Published};
+use peers::{Event, OfferedConfig, PeerError, Peers, Published};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -47,7 +47,7 @@
     let sections = BTreeMap::from([(Digest::of(text.as_bytes()), text)]);
     let head = format!("head {revision}");
     let digest = Digest::of(head.as_bytes());
-    let config = Offered {
+    let config = OfferedConfig {
         revision: Revision(revision),
         digest,
         head,
--- a/crates/router/src/control/peering.rs
+++ b/crates/router/src/control/peering.rs
@@ -7,7 +7,7 @@
 use control::membership::{self, Change, Link, Listed, Member, Membership};
 use control::{following, orders, rendezvous};
 use ids::{EndpointId, Revision, VmId};
-use peers::{LoadReport, Offered, Peers};
+use peers::{LoadReport, OfferedConfig, Peers};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     pub(super) membership: Membership,
     pub(super) peers: Peers,
     links: Vec<Link>,
-    pub(super) offered: Option<Arc<Offered>>,
+    pub(super) offered: Option<Arc<OfferedConfig>>,
     pub(super) leaving: bool,
     /// Whether a peer was asked for pressures.
     hinted: bool,
--- a/crates/router/src/control/telling.rs
+++ b/crates/router/src/control/telling.rs
@@ -3,7 +3,7 @@
 use super::state::Control;
 use control::rendezvous;
 use ids::Digest;
-use peers::{LoadReport, Offered, Published};
+use peers::{LoadReport, OfferedConfig, Published};
 use std::sync::Arc;
 
 /// Thousands of prompt tokens, the unit of a load report between routers.
@@ -44,7 +44,7 @@
         }
         let texts = configured.texts.values();
         let sections = texts.map(|text| (Digest::of(text.as_bytes()), text.clone()));
-        self.peering.offered = Some(Arc::new(Offered {
+        self.peering.offered = Some(Arc::new(OfferedConfig {
             revision: configured.head.revision,
             digest,
             head: configured.head.text(),
