--- a/crates/peers/examples/traffic.rs
+++ b/crates/peers/examples/traffic.rs
@@ -8,7 +8,7 @@
 use control::membership::{Event as Seen, Listed, Member, Membership};
 use control::rendezvous::forwards_load;
 use ids::{Digest, DomainId, EndpointId, Incarnation, Revision, VmId, WeightsVersion};
-use peers::{Event, LoadReport, OfferedConfig, Peers, Published};
+use peers::{Event, LoadReport, OfferedConfig, Peers, PublishedState};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -77,7 +77,7 @@
     Ok(routers)
 }
 
-fn published(membership: &Membership, round: u32, share: u32, config: Option<Arc<OfferedConfig>>) -> Published {
+fn published(membership: &Membership, round: u32, share: u32, config: Option<Arc<OfferedConfig>>) -> PublishedState {
     let own = &membership.own().id;
     let mut loads = Vec::new();
     for number in 0..ENDPOINTS as u32 {
@@ -96,7 +96,7 @@
             prefill: changes % 97,
         });
     }
-    Published {
+    PublishedState {
         leaving: false,
         routers: membership.live().len() as u32,
         membership: membership.digest(),
--- a/crates/peers/src/delta.rs
+++ b/crates/peers/src/delta.rs
@@ -2,7 +2,7 @@
 //!
 //! Both ends live as long as their connection. Any failed call ends it, so that what was sent was also received.
 
-use crate::{About, Beat, LoadReport, Published, Summary};
+use crate::{About, Beat, LoadReport, PublishedState, Summary};
 use ids::EndpointId;
 use quick_error::quick_error;
 use std::collections::{HashMap, HashSet};
@@ -29,7 +29,7 @@
 
 impl Sent {
     /// The heartbeat that brings the other end up to date.
-    pub fn beat(&mut self, state: &Published, extent: Extent) -> Beat {
+    pub fn beat(&mut self, state: &PublishedState, extent: Extent) -> Beat {
         let mut beat = Beat {
             summary: self.summary(state),
             ..Beat::default()
@@ -44,7 +44,7 @@
         beat
     }
 
-    fn summary(&mut self, state: &Published) -> Option<Summary> {
+    fn summary(&mut self, state: &PublishedState) -> Option<Summary> {
         let summary = Summary {
             leaving: state.leaving,
             routers: state.routers,
@@ -75,7 +75,7 @@
         self.reports.insert(report.endpoint.clone(), (number, report.clone()));
     }
 
-    fn gone(&mut self, state: &Published) -> Vec<u32> {
+    fn gone(&mut self, state: &PublishedState) -> Vec<u32> {
         let kept: HashSet<&EndpointId> = state.loads.iter().map(|report| &report.endpoint).collect();
         let mut gone = Vec::new();
         self.reports.retain(|endpoint, (number, _)| {
--- a/crates/peers/src/handle.rs
+++ b/crates/peers/src/handle.rs
@@ -3,7 +3,7 @@
 use crate::delta::News;
 use crate::service::PeerError;
 use crate::socket::Traffic;
-use crate::{Event, Published, link, server, socket};
+use crate::{Event, PublishedState, link, server, socket};
 use arc_swap::ArcSwap;
 use async_channel::Sender;
 use async_std::net::TcpListener;
@@ -23,7 +23,7 @@
     pub(crate) own: Member,
     pub(crate) events: Sender<Event>,
     pub(crate) traffic: Arc<Traffic>,
-    state: ArcSwap<Published>,
+    state: ArcSwap<PublishedState>,
     seen: Mutex<BTreeMap<VmId, (RecentPeer, Instant)>>,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl Inner {
-    pub(crate) fn published(&self) -> Arc<Published> {
+    pub(crate) fn published(&self) -> Arc<PublishedState> {
         self.state.load_full()
     }
 
@@ -139,13 +139,13 @@
     }
 
     /// Replaces what peers are told, from the next heartbeat on.
-    pub fn publish(&self, state: Published) {
+    pub fn publish(&self, state: PublishedState) {
         self.inner.state.store(Arc::new(state));
     }
 
     /// Like [`publish`](Self::publish), and tells peers at once: for a new revision, a leaving endpoint or one in a
     /// new life, and a router that is going.
-    pub fn publish_now(&self, state: Published) {
+    pub fn publish_now(&self, state: PublishedState) {
         self.publish(state);
         for kept in self.links.values() {
             // One message is enough to wake a link, however many are due.
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -21,7 +21,7 @@
 pub use handle::{Fetcher, Peers, RecentPeer};
 pub use link::{CALL_TIMEOUT, LONGEST_BACKOFF};
 pub use message::{About, Beat, Summary};
-pub use news::{Event, LoadReport, OfferedConfig, Published};
+pub use news::{Event, LoadReport, OfferedConfig, PublishedState};
 pub use pack::{PACKED_FROM, pack, unpack};
 pub use relay::{
     Answer, BacklogMessage, Follow, Followed, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, RateMessage,
--- a/crates/peers/src/news.rs
+++ b/crates/peers/src/news.rs
@@ -39,7 +39,7 @@
 
 /// All that a router tells its peers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Published {
+pub struct PublishedState {
     /// Whether it is going.
     pub leaving: bool,
     /// Live routers of its failure domain.
--- a/crates/peers/tests/delta.rs
+++ b/crates/peers/tests/delta.rs
@@ -1,7 +1,7 @@
 //! What one end has sent, the other end has.
 
 use ids::{EndpointId, Incarnation, WeightsVersion};
-use peers::{About, Beat, Extent, LoadReport, Malformed, Published, Received, Sent};
+use peers::{About, Beat, Extent, LoadReport, Malformed, PublishedState, Received, Sent};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 /// One state of the sender: for each of a few endpoints its life, weights, leaving and load, or nothing.
 type State = Vec<Option<(u8, u8, bool, u8)>>;
 
-fn published(state: &State) -> Published {
+fn published(state: &State) -> PublishedState {
     let reports = state.iter().enumerate().filter_map(|(place, report)| {
         let (life, weights, leaving, load) = (*report)?;
         Some(LoadReport {
@@ -28,10 +28,10 @@
             prefill: u32::from(load),
         })
     });
-    Published {
+    PublishedState {
         routers: state.len() as u32,
         loads: reports.collect(),
-        ..Published::default()
+        ..PublishedState::default()
     }
 }
 
--- a/crates/peers/tests/loopback.rs
+++ b/crates/peers/tests/loopback.rs
@@ -5,7 +5,7 @@
 use async_std::{future::timeout, task};
 use control::membership::{Link, Member};
 use ids::{Digest, DomainId, Revision, VmId};
-use peers::{Event, OfferedConfig, PeerError, Peers, Published};
+use peers::{Event, OfferedConfig, PeerError, Peers, PublishedState};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
     }
 }
 
-fn state(revision: u64) -> Published {
+fn state(revision: u64) -> PublishedState {
     let text = format!("section of {revision}");
     let sections = BTreeMap::from([(Digest::of(text.as_bytes()), text)]);
     let head = format!("head {revision}");
@@ -53,10 +53,10 @@
         head,
         sections,
     };
-    Published {
+    PublishedState {
         routers: 2,
         config: Some(Arc::new(config)),
-        ..Published::default()
+        ..PublishedState::default()
     }
 }
 
--- a/crates/router/src/control/telling.rs
+++ b/crates/router/src/control/telling.rs
@@ -3,7 +3,7 @@
 use super::state::Control;
 use control::rendezvous;
 use ids::Digest;
-use peers::{LoadReport, OfferedConfig, Published};
+use peers::{LoadReport, OfferedConfig, PublishedState};
 use std::sync::Arc;
 
 /// Thousands of prompt tokens, the unit of a load report between routers.
@@ -16,11 +16,11 @@
         self.peering.peers.publish_now(state);
     }
 
-    pub(super) fn state_for_peers(&mut self) -> Published {
+    pub(super) fn state_for_peers(&mut self) -> PublishedState {
         self.renew_offer();
         let peering = &self.peering;
         let membership = &peering.membership;
-        Published {
+        PublishedState {
             leaving: peering.leaving,
             routers: u32::try_from(membership.live().len()).unwrap_or(u32::MAX),
             membership: membership.digest(),
