--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -26,7 +26,7 @@
 use async_std::task;
 use dispatch::uptime::Span;
 use ids::VmId;
-use peers::{Follow, Followed, PeerError, Upstream};
+use peers::{Follow, FollowResponse, PeerError, Upstream};
 use rand::RngExt;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -251,7 +251,7 @@
 
     async fn send_followed(
         &self,
-        followed: Followed,
+        followed: FollowResponse,
         position: Position,
         confirmed: Option<Duration>,
         answers: Span,
--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -6,7 +6,9 @@
 use dispatch::prefixes::{PartKey, PrefixEvent, PrefixEvents};
 use futures::FutureExt;
 use futures::channel::oneshot;
-use peers::{Answer, Follow, Followed, PACKED_FROM, PeerError, PrefixFollow, PrefixPage, RelayItem, pack, unpack};
+use peers::{
+    Answer, Follow, FollowResponse, PACKED_FROM, PeerError, PrefixFollow, PrefixPage, RelayItem, pack, unpack,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -168,7 +170,7 @@
     }
 }
 
-async fn follow_items(shared: Arc<Shared>, follow: Follow) -> Followed {
+async fn follow_items(shared: Arc<Shared>, follow: Follow) -> FollowResponse {
     let asked = shared.clock.now();
     // A follower abandons a router that cannot reach the store. A later response would delay the next change by the
     // same time.
@@ -207,7 +209,7 @@
         }
     }
     drop(state);
-    Followed {
+    FollowResponse {
         revision: since.position.map(|position| position.revision),
         era: since.position.map(|position| position.era),
         whole: since.whole,
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -77,7 +77,7 @@
 
 /// What came after the revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Followed {
+pub struct FollowResponse {
     /// Store revision up to which this is complete; absent if the router knows nothing yet.
     pub revision: Option<u64>,
     /// The store's era of that revision; absent from routers that know no eras.
@@ -172,7 +172,7 @@
 #[allow(missing_docs)]
 mod calls {
     use super::{
-        BacklogMessage, Follow, Followed, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, Revision,
+        BacklogMessage, Follow, FollowResponse, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, Revision,
         TargetAgeMessage, UptimeMessage,
     };
 
@@ -180,7 +180,7 @@
     #[tarpc::service]
     pub trait Relay {
         /// What comes after a revision.
-        async fn follow(follow: Follow) -> Followed;
+        async fn follow(follow: Follow) -> FollowResponse;
         /// Events of stores of cached prefixes, of each after a number.
         async fn prefixes(follow: Vec<PrefixFollow>) -> Vec<PrefixPage>;
         /// Load reports of endpoints, both ways.
@@ -205,7 +205,7 @@
 #[derive(Clone)]
 pub struct Answer {
     /// What comes after a revision.
-    pub follow: Answers<Follow, Followed>,
+    pub follow: Answers<Follow, FollowResponse>,
     /// Events of stores of cached prefixes, of each after a number.
     pub prefixes: Answers<Vec<PrefixFollow>, Vec<PrefixPage>>,
     /// Load reports of endpoints, both ways.
@@ -224,7 +224,7 @@
 struct Server(Answer);
 
 impl Relay for Server {
-    async fn follow(self, _: Context, follow: Follow) -> Followed {
+    async fn follow(self, _: Context, follow: Follow) -> FollowResponse {
         (self.0.follow)(follow).await
     }
 
@@ -319,7 +319,7 @@
     ///
     /// # Errors
     /// The call failed, or no answer began to arrive within its wait and `grace`.
-    pub async fn follow(&self, follow: Follow, grace: Duration) -> Result<Followed, PeerError> {
+    pub async fn follow(&self, follow: Follow, grace: Duration) -> Result<FollowResponse, PeerError> {
         let within = Duration::from_millis(follow.wait_ms) + grace;
         self.answer(within, self.client.follow(latest(within), follow)).await
     }
