--- a/crates/gateway/src/follow/prefixes.rs
+++ b/crates/gateway/src/follow/prefixes.rs
@@ -7,7 +7,7 @@
 use async_std::task;
 use dispatch::prefixes::PrefixEvents;
 use ids::VmId;
-use peers::{PeerError, PrefixFollow, PrefixPage, Upstream};
+use peers::{PeerError, PrefixPage, PrefixQuery, Upstream};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -75,9 +75,9 @@
     }
 }
 
-fn positions(shared: &Shared) -> Vec<PrefixFollow> {
+fn positions(shared: &Shared) -> Vec<PrefixQuery> {
     let prefixes = shared.prefixes();
-    let follow = |(store, life, next)| PrefixFollow { store, life, next };
+    let follow = |(store, life, next)| PrefixQuery { store, life, next };
     prefixes.positions().map(follow).collect()
 }
 
@@ -118,7 +118,7 @@
 async fn ask_store(
     shared: &Shared,
     connection: &mut CallConnection,
-    position: &PrefixFollow,
+    position: &PrefixQuery,
 ) -> Result<Option<PrefixEvents>, String> {
     let (call, headers) = (shared.dialect.events_call)(position.next, EVENT_WAIT);
     match connection.call(&call, &headers, EVENT_WAIT + RESPONSE_GRACE).await {
--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -6,9 +6,7 @@
 use dispatch::prefixes::{PartKey, PrefixEvent, PrefixEvents};
 use futures::FutureExt;
 use futures::channel::oneshot;
-use peers::{
-    Answer, Follow, FollowResponse, PACKED_FROM, PeerError, PrefixFollow, PrefixPage, RelayItem, pack, unpack,
-};
+use peers::{Answer, Follow, FollowResponse, PACKED_FROM, PeerError, PrefixPage, PrefixQuery, RelayItem, pack, unpack};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -119,7 +117,7 @@
         }
     }
 
-    fn prefixes_since(&self, follow: &PrefixFollow) -> Option<PrefixPage> {
+    fn prefixes_since(&self, follow: &PrefixQuery) -> Option<PrefixPage> {
         let kept = self.prefixes.get(&follow.store)?;
         let first = kept.events.first().map_or(kept.next, |event| event.number);
         let gap = follow.life != kept.incarnation || follow.next < first;
@@ -150,8 +148,8 @@
         prefixes: Arc::new(move |follow| {
             let now = prefixes.clock.now();
             // The last events of an unresponsive store are out of date. Engines would wait for its parts in vain.
-            let alive = |follow: &&PrefixFollow| prefixes.prefixes().alive(follow.store, now);
-            let asked: Vec<&PrefixFollow> = follow.iter().filter(alive).collect();
+            let alive = |follow: &&PrefixQuery| prefixes.prefixes().alive(follow.store, now);
+            let asked: Vec<&PrefixQuery> = follow.iter().filter(alive).collect();
             let state = prefixes.relay.lock();
             let pages = asked
                 .into_iter()
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -24,7 +24,7 @@
 pub use news::{Event, LoadReport, OfferedConfig, PublishedState};
 pub use pack::{PACKED_FROM, pack, unpack};
 pub use relay::{
-    Answer, BacklogMessage, Follow, FollowResponse, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, RateMessage,
+    Answer, BacklogMessage, Follow, FollowResponse, LoadExchange, LoadMessage, PrefixPage, PrefixQuery, RateMessage,
     RelayItem, TargetAgeMessage, Upstream, UptimeMessage, serve_followers,
 };
 pub use service::PeerError;
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -99,7 +99,7 @@
 
 /// Asks for events of a store of cached prefixes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PrefixFollow {
+pub struct PrefixQuery {
     /// Where the store is.
     pub store: SocketAddr,
     /// The store's life that the number belongs to.
@@ -172,7 +172,7 @@
 #[allow(missing_docs)]
 mod calls {
     use super::{
-        BacklogMessage, Follow, FollowResponse, LoadExchange, LoadMessage, PrefixFollow, PrefixPage, Revision,
+        BacklogMessage, Follow, FollowResponse, LoadExchange, LoadMessage, PrefixPage, PrefixQuery, Revision,
         TargetAgeMessage, UptimeMessage,
     };
 
@@ -182,7 +182,7 @@
         /// What comes after a revision.
         async fn follow(follow: Follow) -> FollowResponse;
         /// Events of stores of cached prefixes, of each after a number.
-        async fn prefixes(follow: Vec<PrefixFollow>) -> Vec<PrefixPage>;
+        async fn prefixes(follow: Vec<PrefixQuery>) -> Vec<PrefixPage>;
         /// Load reports of endpoints, both ways.
         async fn loads(exchange: LoadExchange) -> Vec<LoadMessage>;
         /// What another router's requests wait for.
@@ -207,7 +207,7 @@
     /// What comes after a revision.
     pub follow: Answers<Follow, FollowResponse>,
     /// Events of stores of cached prefixes, of each after a number.
-    pub prefixes: Answers<Vec<PrefixFollow>, Vec<PrefixPage>>,
+    pub prefixes: Answers<Vec<PrefixQuery>, Vec<PrefixPage>>,
     /// Load reports of endpoints, both ways.
     pub loads: Answers<LoadExchange, Vec<LoadMessage>>,
     /// What another router's requests wait for.
@@ -228,7 +228,7 @@
         (self.0.follow)(follow).await
     }
 
-    async fn prefixes(self, _: Context, follow: Vec<PrefixFollow>) -> Vec<PrefixPage> {
+    async fn prefixes(self, _: Context, follow: Vec<PrefixQuery>) -> Vec<PrefixPage> {
         (self.0.prefixes)(follow).await
     }
 
@@ -328,7 +328,7 @@
     ///
     /// # Errors
     /// The call failed, or no answer began to arrive in time.
-    pub async fn prefixes(&self, follow: Vec<PrefixFollow>, within: Duration) -> Result<Vec<PrefixPage>, PeerError> {
+    pub async fn prefixes(&self, follow: Vec<PrefixQuery>, within: Duration) -> Result<Vec<PrefixPage>, PeerError> {
         self.answer(within, self.client.prefixes(latest(within), follow)).await
     }
 
