--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -6,7 +6,9 @@
 use dispatch::prefixes::{PartKey, PrefixEvent, PrefixEvents};
 use futures::FutureExt;
 use futures::channel::oneshot;
-use peers::{Answer, Follow, FollowResponse, PACKED_FROM, PeerError, PrefixPage, PrefixQuery, RelayItem, pack, unpack};
+use peers::{
+    Answer, Follow, FollowResponse, PACK_MIN_BYTES, PeerError, PrefixPage, PrefixQuery, RelayItem, pack, unpack,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -83,7 +85,7 @@
     /// The compressed value of an item, computed once for all followers; none if the value is small or compressing it
     /// fails.
     fn packed(&mut self, item: &Item) -> Option<String> {
-        if item.value.len() < PACKED_FROM {
+        if item.value.len() < PACK_MIN_BYTES {
             return None;
         }
         if let Some((revision, packed)) = self.packed.get(&item.key)
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -22,7 +22,7 @@
 pub use link::{CALL_TIMEOUT, LONGEST_BACKOFF};
 pub use message::{About, Beat, Summary};
 pub use news::{Event, LoadReport, OfferedConfig, PublishedState};
-pub use pack::{PACKED_FROM, pack, unpack};
+pub use pack::{PACK_MIN_BYTES, pack, unpack};
 pub use relay::{
     Answer, BacklogMessage, Follow, FollowResponse, LoadExchange, LoadMessage, PrefixPage, PrefixQuery, RateMessage,
     RelayItem, TargetAgeMessage, Upstream, UptimeMessage, serve_followers,
--- a/crates/peers/src/pack.rs
+++ b/crates/peers/src/pack.rs
@@ -8,7 +8,7 @@
 use base64::engine::general_purpose::STANDARD;
 
 /// Values from this length on are packed, bytes.
-pub const PACKED_FROM: usize = 4 * 1024;
+pub const PACK_MIN_BYTES: usize = 4 * 1024;
 /// Longest value, bytes; without a bound a small message could take any amount of memory.
 const UNPACKED_BYTES: usize = 16 << 20;
 /// The fastest level: others take several times as long and save little on lists of routes.
