--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -19,7 +19,7 @@
 
 pub use delta::{Extent, Malformed, News, Received, Sent};
 pub use handle::{Fetcher, Peers, RecentPeer};
-pub use link::{CALL_TIMEOUT, LONGEST_BACKOFF};
+pub use link::{CALL_TIMEOUT, MAX_BACKOFF};
 pub use message::{About, Beat, Summary};
 pub use news::{Event, LoadReport, OfferedConfig, PublishedState};
 pub use pack::{PACK_MIN_BYTES, pack, unpack};
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -18,7 +18,7 @@
 /// A call without an answer for this long has failed.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest pause between two attempts to connect.
-pub const LONGEST_BACKOFF: Duration = Duration::from_secs(3);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(3);
 const FIRST_BACKOFF: Duration = Duration::from_millis(200);
 /// Memberships that differ are compared at most this often: in a partition they differ all the time.
 const ROSTER_EVERY: Duration = Duration::from_secs(10);
@@ -39,11 +39,11 @@
         if inner.events.send(Event::Silent(link.member.id.clone())).await.is_err() {
             return;
         }
-        if began.elapsed() > LONGEST_BACKOFF {
+        if began.elapsed() > MAX_BACKOFF {
             backoff = FIRST_BACKOFF;
         }
         async_std::task::sleep(spread(&inner.own, &link.member, backoff)).await;
-        backoff = (backoff * 2).min(LONGEST_BACKOFF);
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
