--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -7,7 +7,7 @@
 use futures::FutureExt;
 use futures::channel::oneshot;
 use peers::{
-    Answer, Follow, FollowResponse, PACK_MIN_BYTES, PeerError, PrefixPage, PrefixQuery, RelayItem, pack, unpack,
+    Follow, FollowResponse, PACK_MIN_BYTES, PeerError, PrefixPage, PrefixQuery, RelayHandlers, RelayItem, pack, unpack,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -141,11 +141,11 @@
 }
 
 /// Handlers for followers' calls.
-pub fn answer(shared: &Arc<Shared>) -> Answer {
+pub fn answer(shared: &Arc<Shared>) -> RelayHandlers {
     let (items, prefixes) = (shared.clone(), shared.clone());
     let (fleet, ages, store) = (shared.clone(), shared.clone(), shared.clone());
     let (waits, site) = (shared.clone(), shared.clone());
-    Answer {
+    RelayHandlers {
         follow: Arc::new(move |follow| follow_items(items.clone(), follow).boxed()),
         prefixes: Arc::new(move |follow| {
             let now = prefixes.clock.now();
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -24,8 +24,8 @@
 pub use news::{Event, LoadReport, OfferedConfig, PublishedState};
 pub use pack::{PACK_MIN_BYTES, pack, unpack};
 pub use relay::{
-    Answer, BacklogMessage, Follow, FollowResponse, LoadExchange, LoadMessage, PrefixPage, PrefixQuery, RateMessage,
-    RelayItem, TargetAgeMessage, Upstream, UptimeMessage, serve_followers,
+    BacklogMessage, Follow, FollowResponse, LoadExchange, LoadMessage, PrefixPage, PrefixQuery, RateMessage,
+    RelayHandlers, RelayItem, TargetAgeMessage, Upstream, UptimeMessage, serve_followers,
 };
 pub use service::PeerError;
 pub use socket::MAX_FRAME;
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -203,7 +203,7 @@
 
 /// Answers a follower.
 #[derive(Clone)]
-pub struct Answer {
+pub struct RelayHandlers {
     /// What comes after a revision.
     pub follow: Answers<Follow, FollowResponse>,
     /// Events of stores of cached prefixes, of each after a number.
@@ -221,7 +221,7 @@
 }
 
 #[derive(Clone)]
-struct Server(Answer);
+struct Server(RelayHandlers);
 
 impl Relay for Server {
     async fn follow(self, _: Context, follow: Follow) -> FollowResponse {
@@ -254,7 +254,7 @@
 }
 
 /// Answers followers until the process ends.
-pub async fn serve_followers(listener: TcpListener, answer: Answer) {
+pub async fn serve_followers(listener: TcpListener, answer: RelayHandlers) {
     let open = Arc::new(AtomicUsize::new(0));
     let traffic = Arc::default();
     loop {
@@ -278,7 +278,7 @@
     }
 }
 
-async fn serve(stream: TcpStream, traffic: &Arc<Traffic>, answer: Answer) {
+async fn serve(stream: TcpStream, traffic: &Arc<Traffic>, answer: RelayHandlers) {
     let transport = tarpc::serde_transport::new(socket::framed(stream, traffic), Json::default());
     let mut calls = Box::pin(BaseChannel::with_defaults(transport).execute(Server(answer).serve()));
     while let Ok(Some(call)) = async_std::future::timeout(IDLE, calls.next()).await {
