--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -220,7 +220,7 @@
         let followed = match followed {
             Ok(followed) => followed,
             Err(err) => {
-                if let PeerError::Late(received) = err {
+                if let PeerError::ResponseTimeout(received) = err {
                     self.count_abandoned("router", received);
                 }
                 return self.drop_leader(vm, &err.to_string());
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -380,7 +380,7 @@
     ) -> Result<T, PeerError> {
         let before = self.received();
         let answered = progressing(within, || self.received(), call).await;
-        Ok(answered.map_err(|_| PeerError::Late(self.received() - before))??)
+        Ok(answered.map_err(|_| PeerError::ResponseTimeout(self.received() - before))??)
     }
 }
 
--- a/crates/peers/src/service.rs
+++ b/crates/peers/src/service.rs
@@ -52,7 +52,7 @@
             from(async_std::future::TimeoutError)
         }
         /// No whole answer in time.
-        Late(received: u64) {
+        ResponseTimeout(received: u64) {
             display("no answer in time, {received} bytes of it had arrived")
         }
         /// Someone else answers at the peer's address.
