--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -80,7 +80,7 @@
         let client = socket::connect(self.link.member.address, &self.inner.traffic).await?;
         let answered = client.hello(deadline(), self.inner.own.clone()).await?;
         if answered.id != self.link.member.id {
-            return Err(PeerError::Stranger);
+            return Err(PeerError::WrongPeer);
         }
         let mut extent = Extent::Whole;
         loop {
--- a/crates/peers/src/service.rs
+++ b/crates/peers/src/service.rs
@@ -56,7 +56,7 @@
             display("no answer in time, {received} bytes of it had arrived")
         }
         /// Someone else answers at the peer's address.
-        Stranger {
+        WrongPeer {
             display("another router answers at this address")
         }
         /// One end did not understand the other's heartbeat.
