--- a/crates/peers/src/handle.rs
+++ b/crates/peers/src/handle.rs
@@ -62,7 +62,7 @@
     pub(crate) async fn tell(&self, from: &Member, news: News) -> Result<(), PeerError> {
         let summary = news.summary;
         self.note(from, summary.config.map(|(revision, _)| revision));
-        let heard = Event::Heard {
+        let heard = Event::Heartbeat {
             from: from.clone(),
             leaving: summary.leaving,
             routers: summary.routers,
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -36,7 +36,12 @@
             return;
         }
         log::debug!("link to {}: {error}", link.member);
-        if inner.events.send(Event::Silent(link.member.id.clone())).await.is_err() {
+        if inner
+            .events
+            .send(Event::LinkFailed(link.member.id.clone()))
+            .await
+            .is_err()
+        {
             return;
         }
         if began.elapsed() > MAX_BACKOFF {
--- a/crates/peers/src/news.rs
+++ b/crates/peers/src/news.rs
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A heartbeat or the answer to one.
-    Heard {
+    Heartbeat {
         /// From whom.
         from: Member,
         /// Whether it is going.
@@ -95,5 +95,5 @@
         endpoints: Vec<EndpointId>,
     },
     /// A peer did not answer; its connection is begun anew.
-    Silent(VmId),
+    LinkFailed(VmId),
 }
--- a/crates/peers/tests/loopback.rs
+++ b/crates/peers/tests/loopback.rs
@@ -83,7 +83,7 @@
     a.peers.publish(state(1));
     b.peers.publish(state(1));
     a.peers.set_links(&[link(&b, true)]);
-    wait_for(&a, |event| matches!(event, Event::Heard { .. })).await;
+    wait_for(&a, |event| matches!(event, Event::Heartbeat { .. })).await;
     b.peers.publish(state(2));
     let Event::Offer { from, digest, .. } = wait_for(&a, offers(2)).await else {
         unreachable!()
@@ -104,7 +104,7 @@
 async fn urgent_news_goes_out_on_a_quiet_link() {
     let (mut a, b) = (router("a", None).await, router("b", None).await);
     a.peers.set_links(&[link(&b, false)]);
-    wait_for(&b, |event| matches!(event, Event::Heard { .. })).await;
+    wait_for(&b, |event| matches!(event, Event::Heartbeat { .. })).await;
     a.peers.publish_now(state(5));
     wait_for(&b, offers(5)).await;
     let seen = b.peers.seen();
@@ -143,7 +143,7 @@
     wrong.member.id = VmId::from("c");
     a.peers.set_links(&[wrong]);
     let event = wait_for(&a, |_| true).await;
-    assert_eq!(event, Event::Silent(VmId::from("c")));
+    assert_eq!(event, Event::LinkFailed(VmId::from("c")));
 }
 
 /// A peer accepts connections and never answers.
@@ -163,5 +163,5 @@
         periodic: true,
     }]);
     let event = wait_for(&a, |_| true).await;
-    assert_eq!(event, Event::Silent(VmId::from("b")));
+    assert_eq!(event, Event::LinkFailed(VmId::from("b")));
 }
--- a/crates/router/src/control/peering.rs
+++ b/crates/router/src/control/peering.rs
@@ -105,7 +105,7 @@
     /// What a peer said.
     pub(super) fn peer_event(&mut self, event: peers::Event) {
         match event {
-            peers::Event::Heard { from, leaving, routers } => {
+            peers::Event::Heartbeat { from, leaving, routers } => {
                 self.ask_pressures(from.clone());
                 self.member_event(membership::Event::Heartbeat { from, leaving, routers });
             }
@@ -117,7 +117,7 @@
                 }
             }
             peers::Event::Unwatched { .. } => {}
-            peers::Event::Silent(peer) => {
+            peers::Event::LinkFailed(peer) => {
                 self.start_event(control::startup::Event::PeerFailed(peer));
             }
         }
