--- a/crates/peers/src/handle.rs
+++ b/crates/peers/src/handle.rs
@@ -191,7 +191,7 @@
     }
 
     /// Peers that were heard within the last ten minutes.
-    pub fn seen(&self) -> Vec<RecentPeer> {
+    pub fn recent_peers(&self) -> Vec<RecentPeer> {
         let seen = self.inner.seen.lock().unwrap_or_else(PoisonError::into_inner);
         seen.values()
             .map(|(peer, at)| RecentPeer {
--- a/crates/peers/tests/loopback.rs
+++ b/crates/peers/tests/loopback.rs
@@ -107,7 +107,7 @@
     wait_for(&b, |event| matches!(event, Event::Heartbeat { .. })).await;
     a.peers.publish_now(state(5));
     wait_for(&b, offers(5)).await;
-    let seen = b.peers.seen();
+    let seen = b.peers.recent_peers();
     let known: Vec<_> = seen.iter().map(|peer| (&peer.member, peer.revision)).collect();
     assert_eq!(known, [(&a.member, Some(Revision(5)))], "for the status");
 }
--- a/crates/router/src/control/peering.rs
+++ b/crates/router/src/control/peering.rs
@@ -68,7 +68,7 @@
             self.relink();
             let state = self.state_for_peers();
             self.peering.peers.publish(state);
-            self.shared.seen.store(Arc::new(self.peering.peers.seen()));
+            self.shared.seen.store(Arc::new(self.peering.peers.recent_peers()));
             let domains = self.peering.membership.roster(now).counts;
             self.shared.domains.store(Arc::new(domains));
         }
