--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -164,7 +164,7 @@
             backlogs::apply(&waits, &told);
             futures::future::ready(()).boxed()
         }),
-        names: Arc::new(move |()| futures::future::ready(weight_ages::answer(&ages)).boxed()),
+        target_ages: Arc::new(move |()| futures::future::ready(weight_ages::answer(&ages)).boxed()),
         uptime: Arc::new(move |()| futures::future::ready(uptime::answer(&store)).boxed()),
         document: Arc::new(move |()| futures::future::ready(documents::answer(&site)).boxed()),
     }
--- a/crates/gateway/src/follow/weight_ages.rs
+++ b/crates/gateway/src/follow/weight_ages.rs
@@ -49,7 +49,7 @@
 async fn ask(shared: &Shared) {
     let sent = shared.clock.now();
     let request = |other: Upstream| async move {
-        apply(shared, &other.names(CALL_TIMEOUT).await?, sent);
+        apply(shared, &other.target_ages(CALL_TIMEOUT).await?, sent);
         Ok(())
     };
     ask_others(shared, "weights: cannot get their age from a router", request).await;
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -213,7 +213,7 @@
     /// What another router's requests wait for.
     pub backlog: Answers<BacklogMessage, ()>,
     /// How long ago weights were named lately.
-    pub names: Answers<(), Vec<TargetAgeMessage>>,
+    pub target_ages: Answers<(), Vec<TargetAgeMessage>>,
     /// Since when the store answers the router.
     pub uptime: Answers<(), Option<UptimeMessage>>,
     /// The document that the router has in force.
@@ -241,7 +241,7 @@
     }
 
     async fn names(self, _: Context) -> Vec<TargetAgeMessage> {
-        (self.0.names)(()).await
+        (self.0.target_ages)(()).await
     }
 
     async fn uptime(self, _: Context) -> Option<UptimeMessage> {
@@ -352,7 +352,7 @@
     ///
     /// # Errors
     /// The call failed, or no answer began to arrive in time.
-    pub async fn names(&self, within: Duration) -> Result<Vec<TargetAgeMessage>, PeerError> {
+    pub async fn target_ages(&self, within: Duration) -> Result<Vec<TargetAgeMessage>, PeerError> {
         self.answer(within, self.client.names(latest(within))).await
     }
 
