--- a/crates/gateway/src/follow/weight_ages.rs
+++ b/crates/gateway/src/follow/weight_ages.rs
@@ -40,8 +40,8 @@
     let message = |(model, weights, age): (ModelId, u64, TargetAge)| TargetAgeMessage {
         model,
         weights,
-        least_ms: age.lower.as_millis() as u64,
-        most_ms: age.upper.map(|most| most.as_millis() as u64),
+        lower_ms: age.lower.as_millis() as u64,
+        upper_ms: age.upper.map(|most| most.as_millis() as u64),
     };
     ages.into_iter().map(message).collect()
 }
@@ -62,14 +62,14 @@
     let mut fleet = shared.fleet();
     for told in ages {
         let age = TargetAge {
-            lower: Duration::from_millis(told.least_ms),
-            upper: told.most_ms.map(|most| Duration::from_millis(most) + transit),
+            lower: Duration::from_millis(told.lower_ms),
+            upper: told.upper_ms.map(|most| Duration::from_millis(most) + transit),
         };
         if fleet.merge_target_age(&told.model, told.weights, age, now) {
             log::info!(
                 model = told.model.as_str(),
                 weights = told.weights,
-                least_ms = told.least_ms,
+                least_ms = told.lower_ms,
                 most_ms = age.upper.unwrap_or_default().as_millis() as u64;
                 "weights: age received from another router"
             );
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -163,9 +163,11 @@
     /// Number of the weights.
     pub weights: u64,
     /// At least so long before this answer, milliseconds.
-    pub least_ms: u64,
+    #[serde(rename = "least_ms")]
+    pub lower_ms: u64,
     /// At most so long, milliseconds; absent if the router can't tell.
-    pub most_ms: Option<u64>,
+    #[serde(rename = "most_ms")]
+    pub upper_ms: Option<u64>,
 }
 
 // The macro writes items that can't carry comments.
