--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -54,7 +54,7 @@
             let update = BacklogMessage {
                 router: router.clone(),
                 backlogs: backlog.tokens.clone(),
-                reads: backlog.lane_tokens.clone(),
+                lane_tokens: backlog.lane_tokens.clone(),
                 rates: rates.clone(),
             };
             // Only the newest update matters. A closed channel is replaced the next time that the list of routers is
@@ -109,7 +109,7 @@
     let now = shared.clock.now();
     let backlog = Backlog {
         tokens: update.backlogs.clone(),
-        lane_tokens: update.reads.clone(),
+        lane_tokens: update.lane_tokens.clone(),
     };
     // The report is assumed to be as old as possible. Otherwise a report that returns to its sender would seem newer
     // than the original.
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -145,7 +145,8 @@
     /// Endpoints with a backlog, and its prompt tokens.
     pub backlogs: Vec<(ShortKey, u64)>,
     /// What the router's requests have had read lately, of each service.
-    pub reads: Vec<(ServiceId, LaneTokens)>,
+    #[serde(rename = "reads")]
+    pub lane_tokens: Vec<(ServiceId, LaneTokens)>,
     /// Rates that endpoints named lately.
     #[serde(default)]
     pub rates: Vec<RateMessage>,
