--- a/crates/gateway/src/follow/prefixes.rs
+++ b/crates/gateway/src/follow/prefixes.rs
@@ -77,7 +77,11 @@
 
 fn positions(shared: &Shared) -> Vec<PrefixQuery> {
     let prefixes = shared.prefixes();
-    let follow = |(store, life, next)| PrefixQuery { store, life, next };
+    let follow = |(store, incarnation, next)| PrefixQuery {
+        store,
+        incarnation,
+        next,
+    };
     prefixes.positions().map(follow).collect()
 }
 
--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -122,7 +122,7 @@
     fn prefixes_since(&self, follow: &PrefixQuery) -> Option<PrefixPage> {
         let kept = self.prefixes.get(&follow.store)?;
         let first = kept.events.first().map_or(kept.next, |event| event.number);
-        let gap = follow.life != kept.incarnation || follow.next < first;
+        let gap = follow.incarnation != kept.incarnation || follow.next < first;
         let newer = kept.events.iter().filter(|event| gap || event.number >= follow.next);
         // Only the last event of each part matters.
         let states: BTreeMap<PartKey, bool> = newer.map(|event| (event.part, event.held)).collect();
@@ -132,7 +132,7 @@
         };
         Some(PrefixPage {
             store: follow.store,
-            life: kept.incarnation,
+            incarnation: kept.incarnation,
             next: kept.next,
             held: parts(true),
             gone: parts(false),
@@ -278,7 +278,7 @@
     };
     let gone = page.gone.iter().map(event(false));
     PrefixEvents {
-        incarnation: page.life,
+        incarnation: page.incarnation,
         next: page.next,
         gap: false,
         events: gone.chain(page.held.iter().map(event(true))).collect(),
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -103,7 +103,8 @@
     /// Where the store is.
     pub store: SocketAddr,
     /// The store's life that the number belongs to.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Number of the first event that is not known.
     pub next: u64,
 }
@@ -115,7 +116,8 @@
     /// Where the store is.
     pub store: SocketAddr,
     /// The store's life.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Number to ask on from.
     pub next: u64,
     /// Parts that it holds by now.
