--- a/crates/peers/examples/traffic.rs
+++ b/crates/peers/examples/traffic.rs
@@ -90,7 +90,7 @@
             endpoint,
             incarnation: Incarnation(1_764_000_000_000),
             weights: Some(WeightsVersion::from("2026-11")),
-            leaving: false,
+            draining: false,
             running: changes % 31,
             waiting: changes % 7,
             prefill: changes % 97,
--- a/crates/peers/src/delta.rs
+++ b/crates/peers/src/delta.rs
@@ -94,7 +94,7 @@
         (
             self.incarnation.0,
             self.weights.as_ref().map(ids::WeightsVersion::as_str),
-            self.leaving,
+            self.draining,
         )
     }
 
@@ -108,7 +108,7 @@
             endpoint: self.endpoint.clone(),
             incarnation: self.incarnation,
             weights: self.weights.clone(),
-            leaving: self.leaving,
+            draining: self.draining,
         }
     }
 }
@@ -186,7 +186,7 @@
             endpoint: about.endpoint,
             incarnation: about.incarnation,
             weights: about.weights,
-            leaving: about.leaving,
+            draining: about.draining,
             running: 0,
             waiting: 0,
             prefill: 0,
--- a/crates/peers/src/message.rs
+++ b/crates/peers/src/message.rs
@@ -55,5 +55,5 @@
     pub weights: Option<WeightsVersion>,
     /// Whether it takes no new work.
     #[serde(rename = "v", default, skip_serializing_if = "std::ops::Not::not")]
-    pub leaving: bool,
+    pub draining: bool,
 }
--- a/crates/peers/src/news.rs
+++ b/crates/peers/src/news.rs
@@ -15,7 +15,7 @@
     /// The weights it serves.
     pub weights: Option<WeightsVersion>,
     /// Whether it takes no new work.
-    pub leaving: bool,
+    pub draining: bool,
     /// Requests running.
     pub running: u32,
     /// Requests waiting inside.
--- a/crates/peers/tests/delta.rs
+++ b/crates/peers/tests/delta.rs
@@ -17,12 +17,12 @@
 
 fn published(state: &State) -> PublishedState {
     let reports = state.iter().enumerate().filter_map(|(place, report)| {
-        let (life, weights, leaving, load) = (*report)?;
+        let (life, weights, draining, load) = (*report)?;
         Some(LoadReport {
             endpoint: EndpointId::from(format!("engine-{place:04}")),
             incarnation: Incarnation(u64::from(life % 3)),
             weights: (weights % 3 > 0).then(|| WeightsVersion::from(format!("{}", weights % 3))),
-            leaving,
+            draining,
             running: u32::from(load % 5),
             waiting: u32::from(load % 3),
             prefill: u32::from(load),
@@ -74,7 +74,7 @@
             let told = |report: &LoadReport| {
                 known
                     .get(&report.endpoint)
-                    .is_some_and(|known| (known.incarnation, known.leaving) == (report.incarnation, report.leaving))
+                    .is_some_and(|known| (known.incarnation, known.draining) == (report.incarnation, report.draining))
             };
             state.loads.iter().all(told) && (*urgent || known.values().eq(state.loads.iter()))
         })
@@ -91,7 +91,7 @@
         endpoint: EndpointId::from(format!("{number}")),
         incarnation: Incarnation(1),
         weights: None,
-        leaving: false,
+        draining: false,
     };
     let cases = [
         (
--- a/crates/router/src/control/peering.rs
+++ b/crates/router/src/control/peering.rs
@@ -212,7 +212,7 @@
             incarnation: report.incarnation,
             model: None,
             weights: report.weights,
-            leaving: report.leaving,
+            leaving: report.draining,
             running: report.running,
             waiting: report.waiting,
             prefill: u64::from(report.prefill) * PREFILL_UNIT,
--- a/crates/router/src/control/telling.rs
+++ b/crates/router/src/control/telling.rs
@@ -62,7 +62,7 @@
             endpoint: id.clone(),
             incarnation: load.incarnation,
             weights: load.weights.clone(),
-            leaving: load.leaving,
+            draining: load.leaving,
             running: load.running,
             waiting: load.waiting,
             prefill: u32::try_from(load.prefill.div_ceil(PREFILL_UNIT)).unwrap_or(u32::MAX),
