--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -11,7 +11,7 @@
 use ids::{EndpointId, Fence, ModelId};
 use std::sync::Arc;
 use std::time::Duration;
-use store::items::{Client, Committed, ItemsError, Transaction, Write};
+use store::items::{Client, CommitOutcome, ItemsError, Transaction, Write};
 
 /// Time in which changes of the load list are collected into one write. Each write is sent to every router that watches
 /// the store, and is billed.
@@ -229,7 +229,7 @@
             if let Err(err) = &told {
                 log::warn!(why:% = err; "orders: cannot write the load list");
             }
-            let done = matches!(told, Ok(Committed::Done(_)));
+            let done = matches!(told, Ok(CommitOutcome::Done(_)));
             send(&shared, Event::LoadListWritten { fence, done }).await;
         });
     }
@@ -286,7 +286,7 @@
     count(shared, "claim", committed.is_ok());
     // The watch reports a successful claim together with its fencing token. This includes a write whose response was
     // lost.
-    if matches!(committed, Ok(Committed::Done(_)) | Err(ItemsError::Lost(_))) {
+    if matches!(committed, Ok(CommitOutcome::Done(_)) | Err(ItemsError::Lost(_))) {
         return;
     }
     send(shared, Event::Holder(holder::Event::Failed)).await;
--- a/crates/gateway/src/follow/members.rs
+++ b/crates/gateway/src/follow/members.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use store::items::{Client, Committed, ItemsError, Transaction, Write};
+use store::items::{Client, CommitOutcome, ItemsError, Transaction, Write};
 
 /// Key prefix of routers' entries, followed by the VM's id.
 pub const MEMBER_PREFIX: &str = "apricotfork/routers/";
@@ -176,5 +176,5 @@
         }],
     };
     let committed = client.commit(&transaction, CALL_TIMEOUT).await?;
-    Ok(matches!(committed, Committed::Done(_)).then_some(granted.lease))
+    Ok(matches!(committed, CommitOutcome::Done(_)).then_some(granted.lease))
 }
--- a/crates/store/src/items/client.rs
+++ b/crates/store/src/items/client.rs
@@ -1,6 +1,6 @@
 //! Calls over kept connections.
 
-use super::{Call, Changes, Codec, Committed, Granted, Item, ItemsError, Page, Position, Transaction, Watched};
+use super::{Call, Changes, Codec, CommitOutcome, Granted, Item, ItemsError, Page, Position, Transaction, Watched};
 use async_std::sync::Mutex;
 use http::progressing;
 use http::raw::{Headers, Source, connect};
@@ -102,12 +102,12 @@
     ///
     /// # Errors
     /// The outcome is known only for [`ItemsError::NotSent`] and [`ItemsError::Refused`]: nothing was done.
-    pub async fn commit(&self, transaction: &Transaction, within: Duration) -> Result<Committed, ItemsError> {
+    pub async fn commit(&self, transaction: &Transaction, within: Duration) -> Result<CommitOutcome, ItemsError> {
         let answer = self.call(&(self.codec.transaction)(transaction), within).await?;
         match answer.status {
-            200 => Ok(Committed::Done((self.codec.committed)(&answer.body)?)),
-            404 => Ok(Committed::NoLease),
-            412 => Ok(Committed::Conflict),
+            200 => Ok(CommitOutcome::Done((self.codec.committed)(&answer.body)?)),
+            404 => Ok(CommitOutcome::NoLease),
+            412 => Ok(CommitOutcome::Conflict),
             status => Err(ItemsError::Refused(status)),
         }
     }
--- a/crates/store/src/items/types.rs
+++ b/crates/store/src/items/types.rs
@@ -98,7 +98,7 @@
 
 /// Outcome of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Committed {
+pub enum CommitOutcome {
     /// Done, at this store revision.
     Done(u64),
     /// An expected revision differs.
