--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -33,7 +33,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use store::items::{Change, Client, Item, ItemsError, Position, Watched};
+use store::items::{Change, Client, Item, ItemsError, Position, WatchOutcome};
 
 /// How long a watch of the store waits. Data for followers is up to this old, and it must reach them within the bound
 /// on configurations, which is 2 s at the sites.
@@ -321,7 +321,7 @@
         let watched = self.client.watch(ROOT, known, wait, grace).await;
         self.count("watch", watched.is_ok());
         match watched? {
-            Watched::Changes(changes) => {
+            WatchOutcome::Changes(changes) => {
                 let position = Position {
                     revision: changes.revision.max(known.revision),
                     ..known
@@ -336,11 +336,11 @@
                 task::sleep(BATCH_DELAY).await;
                 self.pause = BATCH_DELAY;
             }
-            Watched::Forgotten => {
+            WatchOutcome::Forgotten => {
                 log::warn!(revision = known.revision; "store: history compacted, reading everything again");
                 self.needs_read = true;
             }
-            Watched::Restored(era) => {
+            WatchOutcome::Restored(era) => {
                 log::warn!(
                     era = known.era,
                     revision = known.revision,
--- a/crates/store/src/items/client.rs
+++ b/crates/store/src/items/client.rs
@@ -1,6 +1,8 @@
 //! Calls over kept connections.
 
-use super::{Call, Changes, Codec, CommitOutcome, Granted, Item, ItemsError, Page, Position, Transaction, Watched};
+use super::{
+    Call, Changes, Codec, CommitOutcome, Granted, Item, ItemsError, Page, Position, Transaction, WatchOutcome,
+};
 use async_std::sync::Mutex;
 use http::progressing;
 use http::raw::{Headers, Source, connect};
@@ -82,20 +84,20 @@
         after: Position,
         wait: Duration,
         grace: Duration,
-    ) -> Result<Watched, ItemsError> {
+    ) -> Result<WatchOutcome, ItemsError> {
         let call = (self.codec.watch)(prefix, after.revision, wait);
         let answer = self.call(&call, wait + grace).await?;
         if answer.status != 410 {
             expect_ok(answer.status)?;
         }
         if answer.era != after.era {
-            return Ok(Watched::Restored(answer.era));
+            return Ok(WatchOutcome::Restored(answer.era));
         }
         if answer.status == 410 {
-            return Ok(Watched::Forgotten);
+            return Ok(WatchOutcome::Forgotten);
         }
         let changes: Changes = (self.codec.changes)(&answer.body)?;
-        Ok(Watched::Changes(changes))
+        Ok(WatchOutcome::Changes(changes))
     }
 
     /// Carries out a transaction, sent once.
--- a/crates/store/src/items/mod.rs
+++ b/crates/store/src/items/mod.rs
@@ -11,6 +11,6 @@
 pub use http::raw::Call;
 pub use log::{ItemLog, Since};
 pub use types::{
-    Change, Changes, Codec, CommitOutcome, Granted, Item, ItemsError, Page, Position, Transaction, Unreadable, Watched,
-    Write,
+    Change, Changes, Codec, CommitOutcome, Granted, Item, ItemsError, Page, Position, Transaction, Unreadable,
+    WatchOutcome, Write,
 };
--- a/crates/store/src/items/types.rs
+++ b/crates/store/src/items/types.rs
@@ -67,7 +67,7 @@
 
 /// What a watch brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchOutcome {
     /// Changes after the revision that was asked for.
     Changes(Changes),
     /// The service has dropped that part of its history: all must be read again.
