--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -336,7 +336,7 @@
                 task::sleep(BATCH_DELAY).await;
                 self.pause = BATCH_DELAY;
             }
-            WatchOutcome::Forgotten => {
+            WatchOutcome::Compacted => {
                 log::warn!(revision = known.revision; "store: history compacted, reading everything again");
                 self.needs_read = true;
             }
--- a/crates/store/src/items/client.rs
+++ b/crates/store/src/items/client.rs
@@ -94,7 +94,7 @@
             return Ok(WatchOutcome::Restored(answer.era));
         }
         if answer.status == 410 {
-            return Ok(WatchOutcome::Forgotten);
+            return Ok(WatchOutcome::Compacted);
         }
         let changes: Changes = (self.codec.changes)(&answer.body)?;
         Ok(WatchOutcome::Changes(changes))
--- a/crates/store/src/items/types.rs
+++ b/crates/store/src/items/types.rs
@@ -71,7 +71,7 @@
     /// Changes after the revision that was asked for.
     Changes(Changes),
     /// The service has dropped that part of its history: all must be read again.
-    Forgotten,
+    Compacted,
     /// The service has come back from a copy, in this era: all must be read again.
     Restored(u64),
 }
