--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -179,7 +179,7 @@
     let (after, changed) = {
         let mut state = shared.relay.lock();
         let after = after(&follow, state.log.position());
-        let changed = if state.log.has_news(after) {
+        let changed = if state.log.has_changes(after) {
             None
         } else {
             let (sender, receiver) = oneshot::channel();
--- a/crates/store/src/items/log.rs
+++ b/crates/store/src/items/log.rs
@@ -73,7 +73,7 @@
     }
 
     /// Whether anything came after a position.
-    pub fn has_news(&self, after: Option<Position>) -> bool {
+    pub fn has_changes(&self, after: Option<Position>) -> bool {
         self.position > after
     }
 
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -94,7 +94,7 @@
             "{:?}",
             case.after
         );
-        assert_eq!(log.has_news(case.after.map(at)), case.after != Some(8));
+        assert_eq!(log.has_changes(case.after.map(at)), case.after != Some(8));
     }
 }
 
@@ -137,10 +137,10 @@
     log.replace(&[item("a", 3)], Position { era: 4, revision: 4 });
     for revision in [1, 4, 8] {
         let after = Some(at(revision));
-        assert!(log.has_news(after), "{revision}");
+        assert!(log.has_changes(after), "{revision}");
         let since = log.since(after);
         assert!(since.whole, "{revision}");
         assert_eq!(since.items, [item("a", 3)], "{revision}");
     }
-    assert!(!log.has_news(Some(Position { era: 5, revision: 1 })));
+    assert!(!log.has_changes(Some(Position { era: 5, revision: 1 })));
 }
