--- a/crates/gateway/src/follow/members.rs
+++ b/crates/gateway/src/follow/members.rs
@@ -50,7 +50,7 @@
         let own = shared.settings.load();
         let relay = shared.relay.lock();
         let mut members = Self::default();
-        for item in relay.log.under(MEMBER_PREFIX) {
+        for item in relay.log.with_prefix(MEMBER_PREFIX) {
             let Ok(member) = serde_json::from_slice::<Member>(&item.value) else {
                 log::warn!(key = item.key.as_str(); "router: cannot parse its entry");
                 continue;
--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -109,7 +109,8 @@
     /// Removes compressed values of items that no longer exist.
     fn drop_packed(&mut self) {
         let log = &self.log;
-        self.packed.retain(|key, _| log.under(key).any(|item| item.key == *key));
+        self.packed
+            .retain(|key, _| log.with_prefix(key).any(|item| item.key == *key));
     }
 
     fn wake_followers(&mut self) {
--- a/crates/store/src/items/log.rs
+++ b/crates/store/src/items/log.rs
@@ -37,7 +37,7 @@
     }
 
     /// Items under a prefix.
-    pub fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Item> {
+    pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Item> {
         let from = self.items.range(prefix.to_owned()..);
         from.map(|(_, item)| item)
             .take_while(move |item| item.key.starts_with(prefix))
