--- a/crates/store/src/items/log.rs
+++ b/crates/store/src/items/log.rs
@@ -19,7 +19,7 @@
 
 /// What came after a position.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Since {
+pub struct ItemDelta {
     /// Position up to which this is complete.
     pub position: Option<Position>,
     /// Whether `items` is all there is.
@@ -78,11 +78,11 @@
     }
 
     /// What came after a position.
-    pub fn since(&self, after: Option<Position>) -> Since {
+    pub fn since(&self, after: Option<Position>) -> ItemDelta {
         let era = self.position.map(|position| position.era);
         let after = after.filter(|after| Some(after.era) == era && after.revision >= self.floor);
         let Some(Position { revision: after, .. }) = after else {
-            return Since {
+            return ItemDelta {
                 position: self.position,
                 whole: true,
                 items: self.items.values().cloned().collect(),
@@ -92,7 +92,7 @@
         let newer = self.items.values().filter(|item| item.revision > after);
         let gone = self.removed.range(after + 1..).flat_map(|(_, keys)| keys);
         let gone = gone.filter(|key| !self.items.contains_key(*key));
-        Since {
+        ItemDelta {
             position: self.position,
             whole: false,
             items: newer.cloned().collect(),
--- a/crates/store/src/items/mod.rs
+++ b/crates/store/src/items/mod.rs
@@ -9,7 +9,7 @@
 
 pub use client::Client;
 pub use http::raw::Call;
-pub use log::{ItemLog, Since};
+pub use log::{ItemDelta, ItemLog};
 pub use types::{
     Change, Changes, Codec, CommitOutcome, Granted, Item, ItemsError, Page, Position, Transaction, Unreadable,
     WatchOutcome, Write,
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -1,7 +1,7 @@
 //! What a router tells those that follow it.
 
 use std::collections::BTreeMap;
-use store::items::{Change, Item, ItemLog, Position, Since};
+use store::items::{Change, Item, ItemDelta, ItemLog, Position};
 
 fn item(key: &str, revision: u64) -> Item {
     Item {
@@ -125,7 +125,7 @@
     assert_eq!(follower, expected);
 }
 
-fn follow(follower: &mut BTreeMap<String, u64>, since: Since) {
+fn follow(follower: &mut BTreeMap<String, u64>, since: ItemDelta) {
     follower.retain(|key, _| !since.removed.contains(key));
     follower.extend(since.items.into_iter().map(|item| (item.key, item.revision)));
 }
