--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -18,7 +18,7 @@
 use std::pin::pin;
 use std::sync::Arc;
 use std::time::Duration;
-use wire::caller::Ran;
+use wire::client::Ran;
 
 /// Longest response without streaming, bytes.
 const MAX_RESPONSE_BYTES: u64 = 8 << 20;
--- a/crates/lifecycle/src/claims/acquire.rs
+++ b/crates/lifecycle/src/claims/acquire.rs
@@ -5,7 +5,7 @@
 use super::settle::{Settle, SettleStep};
 use ids::{Digest, Version};
 use std::time::Duration;
-use wire::caller::Ran;
+use wire::client::Ran;
 
 /// What the caller states of this attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -6,7 +6,7 @@
 //! refused that very send.
 
 use derive_more::Display;
-use wire::caller::Ran;
+use wire::client::Ran;
 
 /// Where a request is in its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display)]
--- a/crates/lifecycle/tests/claims.rs
+++ b/crates/lifecycle/tests/claims.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
-use wire::caller::Ran;
+use wire::client::Ran;
 
 /// Each run tries the same cases, so that its verdict is the same.
 const SEED: u64 = 7;
--- a/crates/lifecycle/tests/request.rs
+++ b/crates/lifecycle/tests/request.rs
@@ -2,7 +2,7 @@
 
 use lifecycle::request::{Repeat, Request, RequestEvent as E, RequestState as S, RequestStep as T};
 use quickcheck::{Gen, QuickCheck};
-use wire::caller::Ran;
+use wire::client::Ran;
 
 /// Each run tries the same cases, so that its verdict is the same.
 const SEED: u64 = 9;
--- a/crates/loadtool/src/measure/overhead.rs
+++ b/crates/loadtool/src/measure/overhead.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use wire::caller::RefusalBody;
+use wire::client::RefusalBody;
 
 const LONGEST_US: u64 = 60_000_000;
 const WARM_UP: usize = 500;
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use store::{PlatformError, Written};
-use wire::caller::Ran;
+use wire::client::Ran;
 use wire::platform::{Entry, Put};
 
 /// How long an answer waits for its result to be written down, so that a retry elsewhere finds it.
--- a/crates/router/src/caller/completion.rs
+++ b/crates/router/src/caller/completion.rs
@@ -16,7 +16,7 @@
 use serde::Deserialize;
 use std::cmp::Reverse;
 use std::sync::Arc;
-use wire::caller::Completion;
+use wire::client::Completion;
 use wire::headers;
 
 /// Bytes of a prompt that make one cache block: 1,024 tokens of about four bytes.
--- a/crates/router/src/caller/refusal.rs
+++ b/crates/router/src/caller/refusal.rs
@@ -4,7 +4,7 @@
 use http::{Response, StatusCode};
 use ids::{IdempotencyKey, ModelId, RequestId, ServiceId};
 use std::time::Duration;
-use wire::caller::{Code, Ran, Refusal, RefusalBody};
+use wire::client::{Code, Ran, Refusal, RefusalBody};
 use wire::headers;
 
 /// Why a request gets no answer of an endpoint.
--- a/crates/router/src/caller/service.rs
+++ b/crates/router/src/caller/service.rs
@@ -15,7 +15,7 @@
 use lifecycle::request::{RequestEvent, RequestState};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use wire::caller::Ran;
+use wire::client::Ran;
 use wire::headers;
 
 /// Answers one call of a plain service.
--- a/crates/router/src/caller/transmit.rs
+++ b/crates/router/src/caller/transmit.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use wire::caller::Ran;
+use wire::client::Ran;
 use wire::headers;
 
 /// Longest wait for an engine to take notice of a cancelled request.
--- a/crates/standins/src/engine/generate.rs
+++ b/crates/standins/src/engine/generate.rs
@@ -11,7 +11,7 @@
 use http_types::{Body, Response, StatusCode};
 use ids::Incarnation;
 use std::sync::Arc;
-use wire::caller::Completion;
+use wire::client::Completion;
 use wire::engine::RefusedReason;
 use wire::headers;
 
--- a/crates/wire/tests/completion.rs
+++ b/crates/wire/tests/completion.rs
@@ -1,7 +1,7 @@
 //! What a router reads of a completion's body.
 
 use std::borrow::Cow;
-use wire::caller::Completion;
+use wire::client::Completion;
 
 struct Case {
     name: &'static str,
