--- a/crates/peers/examples/traffic.rs
+++ b/crates/peers/examples/traffic.rs
@@ -1,11 +1,11 @@
-//! Measures what routers of one failure domain send each other, and how fast they hear of a new configuration.
+//! Measures the traffic between routers of one failure domain and how fast a new configuration revision spreads.
 //!
-//! All routers run in this one process, over loopback. Every load changes before every heartbeat, which is the worst
-//! that can happen; then one in five does.
+//! All routers run in this process, over loopback. First every load changes before every heartbeat, which is the worst
+//! case, then one load in five, then none.
 
 use async_std::net::TcpListener;
 use async_std::task;
-use control::membership::{Event as Seen, Listed, Member, Membership};
+use control::membership::{Event as MemberEvent, Listed, Member, Membership};
 use control::rendezvous::forwards_load;
 use ids::{Digest, DomainId, EndpointId, Incarnation, Revision, VmId, WeightsVersion};
 use peers::{Event, LoadReport, OfferedConfig, Peers, PublishedState};
@@ -16,7 +16,7 @@
 const ROUTERS: usize = 22;
 const ENDPOINTS: usize = 400;
 const WARM_UP: Duration = Duration::from_secs(5);
-const MEASURE: Duration = Duration::from_secs(20);
+const DURATION: Duration = Duration::from_secs(20);
 const LOAD_PERIOD: Duration = Duration::from_secs(1);
 
 struct Router {
@@ -36,7 +36,7 @@
     ] {
         measure(name, share, &mut routers).await;
     }
-    spread(&mut routers).await;
+    measure_spread(&mut routers).await;
     Ok(())
 }
 
@@ -63,7 +63,7 @@
     for (member, listener) in listeners {
         let (sender, events) = async_channel::unbounded();
         let mut membership = Membership::new(member.clone(), Duration::ZERO);
-        membership.on(Seen::Listed(listed.clone()), Duration::ZERO);
+        membership.on(MemberEvent::Listed(listed.clone()), Duration::ZERO);
         let mut peers = Peers::new(member, sender);
         peers.listen(listener);
         peers.publish(published(&membership, 0, 1, None));
@@ -109,9 +109,9 @@
 
 async fn measure(name: &str, share: u32, routers: &mut [Router]) {
     let before: Vec<(u64, u64)> = routers.iter().map(|router| router.peers.traffic()).collect();
-    let began = Instant::now();
+    let started = Instant::now();
     let mut round = 0;
-    while began.elapsed() < MEASURE {
+    while started.elapsed() < DURATION {
         for router in routers.iter() {
             router.peers.publish(published(&router.membership, round, share, None));
             while router.events.try_recv().is_ok() {}
@@ -119,7 +119,7 @@
         round += 1;
         task::sleep(LOAD_PERIOD).await;
     }
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = started.elapsed().as_secs_f64();
     let rates: Vec<(f64, f64)> = routers
         .iter()
         .zip(before)
@@ -128,21 +128,21 @@
             ((now.0 - sent) as f64 / seconds, (now.1 - received) as f64 / seconds)
         })
         .collect();
-    let most = |side: fn(&(f64, f64)) -> f64| rates.iter().map(side).fold(0.0, f64::max);
+    let peak = |side: fn(&(f64, f64)) -> f64| rates.iter().map(side).fold(0.0, f64::max);
     let mean = |side: fn(&(f64, f64)) -> f64| rates.iter().map(side).sum::<f64>() / rates.len() as f64;
     println!(
-        "{name}: bytes/s a router, mean (most): sent {:.0} ({:.0}), received {:.0} ({:.0}), both {:.0} ({:.0})",
+        "{name}: bytes/s per router, mean (peak): sent {:.0} ({:.0}), received {:.0} ({:.0}), both {:.0} ({:.0})",
         mean(|rate| rate.0),
-        most(|rate| rate.0),
+        peak(|rate| rate.0),
         mean(|rate| rate.1),
-        most(|rate| rate.1),
+        peak(|rate| rate.1),
         mean(|rate| rate.0 + rate.1),
-        most(|rate| rate.0 + rate.1),
+        peak(|rate| rate.0 + rate.1),
     );
 }
 
-/// One router gets a new revision, of which the others hear from it alone.
-async fn spread(routers: &mut [Router]) {
+/// One router publishes a new revision. Measures when the others learn of it.
+async fn measure_spread(routers: &mut [Router]) {
     let mut times = Vec::new();
     for revision in 1..=20 {
         let offered = OfferedConfig {
@@ -154,13 +154,13 @@
         let offered = Arc::new(offered);
         let first = (revision as usize * 7) % routers.len();
         let state = published(&routers[first].membership, 0, 0, Some(offered.clone()));
-        let began = Instant::now();
+        let started = Instant::now();
         routers[first].peers.publish_now(state);
         for (place, router) in routers.iter().enumerate().filter(|(place, _)| *place != first) {
-            let heard = async_std::future::timeout(Duration::from_secs(10), hear(router, revision)).await;
-            match heard {
-                Ok(at) => times.push(at - began),
-                Err(_) => println!("router {place} did not hear of revision {revision}"),
+            let offer = async_std::future::timeout(Duration::from_secs(10), wait_for_offer(router, revision)).await;
+            match offer {
+                Ok(at) => times.push(at - started),
+                Err(_) => println!("router {place} did not learn of revision {revision}"),
             }
             router
                 .peers
@@ -171,7 +171,7 @@
     times.sort_unstable();
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
     println!(
-        "a revision is heard of by {} routers: median {:?}, 99 % {:?}, last {:?}",
+        "a revision reached {} routers: median {:?}, 99 % {:?}, last {:?}",
         times.len(),
         at(0.5),
         at(0.99),
@@ -179,10 +179,10 @@
     );
 }
 
-async fn hear(router: &Router, wanted: u64) -> Instant {
+async fn wait_for_offer(router: &Router, expected: u64) -> Instant {
     loop {
         match router.events.recv().await {
-            Ok(Event::Offer { revision, .. }) if revision.0 == wanted => return Instant::now(),
+            Ok(Event::Offer { revision, .. }) if revision.0 == expected => return Instant::now(),
             Ok(_) => {}
             Err(_) => futures::future::pending().await,
         }
--- a/crates/peers/src/delta.rs
+++ b/crates/peers/src/delta.rs
@@ -1,35 +1,36 @@
-//! Which part of a state a connection still has to carry.
+//! Delta encoding of a router's state on one connection.
 //!
-//! Both ends live as long as their connection. Any failed call ends it, so that what was sent was also received.
+//! The encoder and the decoder exist as long as their connection. Any failed call closes the connection, so everything
+//! that was sent before the current call was also received.
 
-use crate::{About, Beat, LoadReport, PublishedState, Summary};
+use crate::{Beat, EndpointInfo, LoadReport, PublishedState, Summary};
 use ids::EndpointId;
 use quick_error::quick_error;
 use std::collections::{HashMap, HashSet};
 
-/// Most endpoints on one connection; a peer that names more is broken.
+/// Maximum number of endpoints on one connection. A peer that sends more is faulty.
 const MAX_ENDPOINTS: usize = 10_000;
 
-/// How much a heartbeat carries.
+/// Which changes a heartbeat carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Extent {
     /// All changes.
-    Whole,
-    /// Changes that can't wait: of the summary, of lives, of leaving endpoints.
+    Full,
+    /// Only changes that cannot wait: the summary, incarnations, weights and draining endpoints.
     Urgent,
 }
 
-/// What was sent on a connection.
+/// Encodes states as heartbeats that carry only what was not sent before on the connection.
 #[derive(Debug, Default)]
-pub struct Sent {
+pub struct DeltaEncoder {
     summary: Option<Summary>,
     reports: HashMap<EndpointId, (u32, LoadReport)>,
-    next: u32,
+    next_number: u32,
 }
 
-impl Sent {
-    /// The heartbeat that brings the other end up to date.
-    pub fn beat(&mut self, state: &PublishedState, extent: Extent) -> Beat {
+impl DeltaEncoder {
+    /// Returns the heartbeat that brings the other end up to date.
+    pub fn encode(&mut self, state: &PublishedState, extent: Extent) -> Beat {
         let mut beat = Beat {
             summary: self.summary(state),
             ..Beat::default()
@@ -38,8 +39,8 @@
             self.add(report, extent, &mut beat);
         }
         beat.loads.sort_unstable();
-        if extent == Extent::Whole {
-            beat.gone = self.gone(state);
+        if extent == Extent::Full {
+            beat.removed = self.removed(state);
         }
         beat
     }
@@ -59,38 +60,38 @@
     }
 
     fn add(&mut self, report: &LoadReport, extent: Extent, beat: &mut Beat) {
-        let known = self.reports.get(&report.endpoint);
-        let same = known.is_some_and(|(_, sent)| sent.rare() == report.rare());
-        let load = known.is_some_and(|(_, sent)| sent.load() == report.load());
-        if same && (load || extent == Extent::Urgent) {
+        let previous = self.reports.get(&report.endpoint);
+        let same_info = previous.is_some_and(|(_, sent)| sent.info_fields() == report.info_fields());
+        let same_load = previous.is_some_and(|(_, sent)| sent.load() == report.load());
+        if same_info && (same_load || extent == Extent::Urgent) {
             return;
         }
-        let number = known.map_or(self.next, |(number, _)| *number);
-        self.next = self.next.max(number + 1);
-        if !same {
-            beat.about.push(report.about(number));
+        let number = previous.map_or(self.next_number, |(number, _)| *number);
+        self.next_number = self.next_number.max(number + 1);
+        if !same_info {
+            beat.endpoints.push(report.info(number));
         }
         let (running, waiting, prefill) = report.load();
         beat.loads.push((number, running, waiting, prefill));
         self.reports.insert(report.endpoint.clone(), (number, report.clone()));
     }
 
-    fn gone(&mut self, state: &PublishedState) -> Vec<u32> {
-        let kept: HashSet<&EndpointId> = state.loads.iter().map(|report| &report.endpoint).collect();
-        let mut gone = Vec::new();
+    fn removed(&mut self, state: &PublishedState) -> Vec<u32> {
+        let current: HashSet<&EndpointId> = state.loads.iter().map(|report| &report.endpoint).collect();
+        let mut removed = Vec::new();
         self.reports.retain(|endpoint, (number, _)| {
-            let keep = kept.contains(endpoint);
+            let keep = current.contains(endpoint);
             if !keep {
-                gone.push(*number);
+                removed.push(*number);
             }
             keep
         });
-        gone
+        removed
     }
 }
 
 impl LoadReport {
-    fn rare(&self) -> (u64, Option<&str>, bool) {
+    fn info_fields(&self) -> (u64, Option<&str>, bool) {
         (
             self.incarnation.0,
             self.weights.as_ref().map(ids::WeightsVersion::as_str),
@@ -102,8 +103,8 @@
         (self.running, self.waiting, self.prefill)
     }
 
-    fn about(&self, number: u32) -> About {
-        About {
+    fn info(&self, number: u32) -> EndpointInfo {
+        EndpointInfo {
             number,
             endpoint: self.endpoint.clone(),
             incarnation: self.incarnation,
@@ -114,16 +115,16 @@
 }
 
 quick_error! {
-    /// A heartbeat that can't be understood; its connection is ended.
+    /// Why a heartbeat cannot be decoded. Its connection is closed.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum Malformed {
+    pub enum DecodeError {
         /// The first heartbeat has no summary.
         NoSummary {
             display("the first heartbeat has no summary")
         }
-        /// A number that was never introduced.
-        Number(number: u32) {
-            display("endpoint number {number} was never introduced")
+        /// An endpoint number without an earlier [`EndpointInfo`].
+        UnknownNumber(number: u32) {
+            display("unknown endpoint number {number}")
         }
         /// More endpoints than any router watches.
         TooMany {
@@ -132,66 +133,69 @@
     }
 }
 
-/// What was received on a connection.
+/// Decodes the heartbeats of one connection.
 #[derive(Debug, Default)]
-pub struct Received {
+pub struct DeltaDecoder {
     summary: Option<Summary>,
     reports: HashMap<u32, LoadReport>,
 }
 
-/// What a heartbeat says, put together with those before it.
+/// The changes of one heartbeat, combined with the state from earlier ones.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct News {
+pub struct Update {
     /// The sender's state.
     pub summary: Summary,
-    /// Reports that have changed.
+    /// Changed reports.
     pub reports: Vec<LoadReport>,
     /// Endpoints that are no longer reported.
-    pub gone: Vec<EndpointId>,
+    pub removed: Vec<EndpointId>,
 }
 
-impl Received {
-    /// Takes a heartbeat.
+impl DeltaDecoder {
+    /// Decodes the next heartbeat.
     ///
     /// # Errors
-    /// It doesn't follow from those before it.
-    pub fn take(&mut self, beat: Beat) -> Result<News, Malformed> {
+    /// The heartbeat is inconsistent with the earlier ones.
+    pub fn decode(&mut self, beat: Beat) -> Result<Update, DecodeError> {
         self.summary = beat.summary.or(self.summary.take());
-        let summary = self.summary.clone().ok_or(Malformed::NoSummary)?;
-        for about in beat.about {
-            self.introduce(about)?;
+        let summary = self.summary.clone().ok_or(DecodeError::NoSummary)?;
+        for info in beat.endpoints {
+            self.insert(info)?;
         }
         let mut reports = Vec::new();
         for (number, running, waiting, prefill) in beat.loads {
-            let report = self.reports.get_mut(&number).ok_or(Malformed::Number(number))?;
+            let report = self
+                .reports
+                .get_mut(&number)
+                .ok_or(DecodeError::UnknownNumber(number))?;
             (report.running, report.waiting, report.prefill) = (running, waiting, prefill);
             reports.push(report.clone());
         }
-        let gone = beat
-            .gone
+        let removed = beat
+            .removed
             .iter()
             .filter_map(|number| Some(self.reports.remove(number)?.endpoint));
-        Ok(News {
+        Ok(Update {
             summary,
             reports,
-            gone: gone.collect(),
+            removed: removed.collect(),
         })
     }
 
-    fn introduce(&mut self, about: About) -> Result<(), Malformed> {
+    fn insert(&mut self, info: EndpointInfo) -> Result<(), DecodeError> {
         if self.reports.len() >= MAX_ENDPOINTS {
-            return Err(Malformed::TooMany);
+            return Err(DecodeError::TooMany);
         }
         let report = LoadReport {
-            endpoint: about.endpoint,
-            incarnation: about.incarnation,
-            weights: about.weights,
-            draining: about.draining,
+            endpoint: info.endpoint,
+            incarnation: info.incarnation,
+            weights: info.weights,
+            draining: info.draining,
             running: 0,
             waiting: 0,
             prefill: 0,
         };
-        self.reports.insert(about.number, report);
+        self.reports.insert(info.number, report);
         Ok(())
     }
 }
--- a/crates/peers/src/news.rs
+++ b/crates/peers/src/events.rs
@@ -1,35 +1,35 @@
-//! What a router tells its peers, and what it hears from them.
+//! The state that a router publishes to its peers, and the events that it receives from them.
 
 use control::membership::{Member, Roster};
 use ids::{Digest, EndpointId, Incarnation, Revision, VmId, WeightsVersion};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The load of one endpoint, as its watcher last read it.
+/// The load of one endpoint, as the router that watches it last read it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Who.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// The weights it serves.
     pub weights: Option<WeightsVersion>,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     pub draining: bool,
     /// Requests running.
     pub running: u32,
-    /// Requests waiting inside.
+    /// Requests waiting in its queue.
     pub waiting: u32,
-    /// Prompt tokens still to be prefilled, in thousands, rounded up: finer differences decide nothing.
+    /// Prompt tokens still to be prefilled, in thousands, rounded up. Finer differences affect no decision.
     pub prefill: u32,
 }
 
-/// The configuration in force, for peers that are cut from the platform.
+/// The active configuration, for peers that cannot reach the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OfferedConfig {
     /// Its revision.
     pub revision: Revision,
-    /// Digest of the head.
+    /// Digest of the configuration head.
     pub digest: Digest,
     /// The head's text.
     pub head: String,
@@ -37,63 +37,63 @@
     pub sections: BTreeMap<Digest, String>,
 }
 
-/// All that a router tells its peers.
+/// Everything that a router publishes to its peers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PublishedState {
-    /// Whether it is going.
+    /// Whether the router is shutting down.
     pub leaving: bool,
-    /// Live routers of its failure domain.
+    /// Number of live routers in its failure domain.
     pub routers: u32,
-    /// Digest of its membership.
+    /// Digest of its membership list.
     pub membership: u64,
-    /// Its membership, told to peers whose digest differs.
+    /// Its membership list, sent to peers whose digest differs.
     pub roster: Roster,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: Option<Arc<OfferedConfig>>,
-    /// The loads of the endpoints whose reports it passes on.
+    /// The loads of the endpoints whose reports it forwards.
     pub loads: Vec<LoadReport>,
-    /// How crowded each endpoint has been, in thousandths, by its key in hashes; asked for once by a router that starts.
+    /// Recent pressure on each endpoint, in thousandths, by the endpoint's hash key. A starting router reads it once.
     pub pressures: Vec<(u64, u32)>,
 }
 
-/// What a router hears from its peers.
+/// What a router receives from its peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A heartbeat or the answer to one.
+    /// A heartbeat or the response to one.
     Heartbeat {
-        /// From whom.
+        /// The sender.
         from: Member,
-        /// Whether it is going.
+        /// Whether it is shutting down.
         leaving: bool,
-        /// Live routers of its failure domain.
+        /// Number of live routers in its failure domain.
         routers: u32,
     },
-    /// A peer's membership.
+    /// A peer's membership list.
     Roster(Roster),
-    /// A peer has another configuration than this router, not an older one; told at each heartbeat until this router
-    /// has it as well.
+    /// A peer has a different configuration that is not older than this router's. Repeated at each heartbeat until
+    /// this router has it too.
     Offer {
-        /// Who.
+        /// The peer.
         from: Member,
         /// Its revision.
         revision: Revision,
-        /// Digest of its head.
+        /// Digest of its configuration head.
         digest: Digest,
     },
     /// Loads that have changed.
     Loads {
-        /// Who watches them.
+        /// The router that watches the endpoints.
         from: VmId,
-        /// As last read.
+        /// The reports, as last read.
         reports: Vec<LoadReport>,
     },
     /// Endpoints that this peer no longer watches.
     Unwatched {
-        /// Who.
+        /// The peer.
         from: VmId,
-        /// Which.
+        /// The endpoints.
         endpoints: Vec<EndpointId>,
     },
-    /// A peer did not answer; its connection is begun anew.
+    /// A peer did not respond, or the connection to it failed. A new connection is opened.
     LinkFailed(VmId),
 }
--- a/crates/peers/src/handle.rs
+++ b/crates/peers/src/handle.rs
@@ -1,6 +1,6 @@
-//! The router's end of it all.
+//! The router's interface to its peers: links, incoming connections and fetches.
 
-use crate::delta::News;
+use crate::delta::Update;
 use crate::service::PeerError;
 use crate::socket::Traffic;
 use crate::{Event, PublishedState, link, server, socket};
@@ -15,26 +15,26 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long a silent peer stays in the status.
-const SEEN_FOR: Duration = Duration::from_secs(600);
+/// How long a peer that sends nothing stays in the status.
+const PEER_RETENTION: Duration = Duration::from_secs(600);
 
-/// What all tasks share.
+/// State shared by all tasks.
 pub(crate) struct Inner {
     pub(crate) own: Member,
     pub(crate) events: Sender<Event>,
     pub(crate) traffic: Arc<Traffic>,
     state: ArcSwap<PublishedState>,
-    seen: Mutex<BTreeMap<VmId, (RecentPeer, Instant)>>,
+    recent: Mutex<BTreeMap<VmId, (RecentPeer, Instant)>>,
 }
 
-/// A peer as it was last heard, for the fleet's status.
+/// A peer as of its last heartbeat, for the fleet status.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecentPeer {
-    /// Who.
+    /// The peer.
     pub member: Member,
-    /// The revision that it had in force.
+    /// Revision of its active configuration.
     pub revision: Option<Revision>,
-    /// Time since then.
+    /// Time since the heartbeat.
     pub age: Duration,
 }
 
@@ -47,27 +47,27 @@
         self.events.send(event).await.map_err(|_| PeerError::Stopped)
     }
 
-    fn note(&self, from: &Member, revision: Option<Revision>) {
+    fn record_peer(&self, from: &Member, revision: Option<Revision>) {
         let peer = RecentPeer {
             member: from.clone(),
             revision,
             age: Duration::ZERO,
         };
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        seen.retain(|_, (_, at)| at.elapsed() < SEEN_FOR);
-        seen.insert(from.id.clone(), (peer, Instant::now()));
+        let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
+        recent.retain(|_, (_, at)| at.elapsed() < PEER_RETENTION);
+        recent.insert(from.id.clone(), (peer, Instant::now()));
     }
 
-    /// Tells the control thread what a heartbeat says.
-    pub(crate) async fn tell(&self, from: &Member, news: News) -> Result<(), PeerError> {
-        let summary = news.summary;
-        self.note(from, summary.config.map(|(revision, _)| revision));
-        let heard = Event::Heartbeat {
+    /// Sends the content of a heartbeat to the control thread as events.
+    pub(crate) async fn send_update(&self, from: &Member, update: Update) -> Result<(), PeerError> {
+        let summary = update.summary;
+        self.record_peer(from, summary.config.map(|(revision, _)| revision));
+        let heartbeat = Event::Heartbeat {
             from: from.clone(),
             leaving: summary.leaving,
             routers: summary.routers,
         };
-        self.send(heard).await?;
+        self.send(heartbeat).await?;
         let own = self
             .published()
             .config
@@ -75,7 +75,7 @@
             .map(|config| (config.revision, config.digest));
         if let Some((revision, digest)) = summary.config
             && own != Some((revision, digest))
-            && own.is_none_or(|(kept, _)| kept <= revision)
+            && own.is_none_or(|(active, _)| active <= revision)
         {
             self.send(Event::Offer {
                 from: from.clone(),
@@ -84,17 +84,17 @@
             })
             .await?;
         }
-        if !news.reports.is_empty() {
+        if !update.reports.is_empty() {
             self.send(Event::Loads {
                 from: from.id.clone(),
-                reports: news.reports,
+                reports: update.reports,
             })
             .await?;
         }
-        if !news.gone.is_empty() {
+        if !update.removed.is_empty() {
             self.send(Event::Unwatched {
                 from: from.id.clone(),
-                endpoints: news.gone,
+                endpoints: update.removed,
             })
             .await?;
         }
@@ -102,29 +102,29 @@
     }
 }
 
-/// Connections to peers and answers to them.
+/// Links to peers and the server for their calls.
 pub struct Peers {
     inner: Arc<Inner>,
-    links: BTreeMap<VmId, Kept>,
+    links: BTreeMap<VmId, LinkTask>,
     accept: Option<JoinHandle<()>>,
 }
 
-struct Kept {
+struct LinkTask {
     link: Link,
     urgent: Sender<()>,
     task: JoinHandle<()>,
 }
 
 impl Peers {
-    /// A router that is about to listen. Events go to `events`, whose reader must not fall behind for long: peers'
-    /// heartbeats wait for it.
+    /// Creates a router without links that does not listen yet. Events go to `events`. Its reader must not fall behind
+    /// for long, because heartbeats wait while the channel is full.
     pub fn new(own: Member, events: Sender<Event>) -> Self {
         let inner = Inner {
             own,
             events,
             traffic: Arc::default(),
             state: ArcSwap::default(),
-            seen: Mutex::default(),
+            recent: Mutex::default(),
         };
         Self {
             inner: Arc::new(inner),
@@ -133,67 +133,68 @@
         }
     }
 
-    /// Answers peers that connect to `listener`.
+    /// Serves peers that connect to `listener`.
     pub fn listen(&mut self, listener: TcpListener) {
         self.accept = Some(async_std::task::spawn(server::accept(listener, self.inner.clone())));
     }
 
-    /// Replaces what peers are told, from the next heartbeat on.
+    /// Replaces the state that peers receive, from the next heartbeat on.
     pub fn publish(&self, state: PublishedState) {
         self.inner.state.store(Arc::new(state));
     }
 
-    /// Like [`publish`](Self::publish), and tells peers at once: for a new revision, a leaving endpoint or one in a
-    /// new life, and a router that is going.
+    /// Like [`publish`](Self::publish), but sends urgent changes to peers at once: a new revision, a draining endpoint,
+    /// a new incarnation of an endpoint, or the shutdown of this router.
     pub fn publish_now(&self, state: PublishedState) {
         self.publish(state);
-        for kept in self.links.values() {
-            // One message is enough to wake a link, however many are due.
-            let _ = kept.urgent.try_send(());
+        for entry in self.links.values() {
+            // One queued message wakes the link, so a full channel is no error.
+            let _ = entry.urgent.try_send(());
         }
     }
 
-    /// Keeps exactly these links.
+    /// Closes all other links and opens the missing ones.
     pub fn set_links(&mut self, links: &[Link]) {
-        let gone: Vec<VmId> = self
+        let stale: Vec<VmId> = self
             .links
             .iter()
-            .filter(|(_, kept)| !links.contains(&kept.link))
+            .filter(|(_, entry)| !links.contains(&entry.link))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in gone {
-            if let Some(kept) = self.links.remove(&id) {
-                end(kept.task);
+        for id in stale {
+            if let Some(entry) = self.links.remove(&id) {
+                cancel(entry.task);
             }
         }
         for link in links {
             if !self.links.contains_key(&link.member.id) {
-                self.links.insert(link.member.id.clone(), self.keep(link));
+                self.links.insert(link.member.id.clone(), self.open_link(link));
             }
         }
     }
 
-    fn keep(&self, link: &Link) -> Kept {
-        let (urgent, woken) = async_channel::bounded(1);
-        let task = async_std::task::spawn(link::keep(link.clone(), self.inner.clone(), woken));
-        Kept {
+    fn open_link(&self, link: &Link) -> LinkTask {
+        let (urgent, wakeups) = async_channel::bounded(1);
+        let task = async_std::task::spawn(link::maintain(link.clone(), self.inner.clone(), wakeups));
+        LinkTask {
             link: link.clone(),
             urgent,
             task,
         }
     }
 
-    /// A fetcher of peers' configurations, for tasks of their own.
+    /// Returns a fetcher of peers' configurations, for use in separate tasks.
     pub fn fetcher(&self) -> Fetcher {
         Fetcher {
             traffic: self.inner.traffic.clone(),
         }
     }
 
-    /// Peers that were heard within the last ten minutes.
+    /// Peers that sent a heartbeat within the last ten minutes.
     pub fn recent_peers(&self) -> Vec<RecentPeer> {
-        let seen = self.inner.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        seen.values()
+        let recent = self.inner.recent.lock().unwrap_or_else(PoisonError::into_inner);
+        recent
+            .values()
             .map(|(peer, at)| RecentPeer {
                 age: at.elapsed(),
                 ..peer.clone()
@@ -210,48 +211,49 @@
         )
     }
 
-    /// Ends all links and takes no further connection.
+    /// Closes all links and accepts no further connections.
     pub fn stop(&mut self) {
         self.set_links(&[]);
         if let Some(task) = self.accept.take() {
-            end(task);
+            cancel(task);
         }
     }
 }
 
-fn end(task: JoinHandle<()>) {
+fn cancel(task: JoinHandle<()>) {
     async_std::task::spawn(task.cancel());
 }
 
-/// Reads what a peer is asked for only now and then.
+/// Fetches data from peers that heartbeats do not carry.
 #[derive(Debug, Clone)]
 pub struct Fetcher {
     traffic: Arc<Traffic>,
 }
 
 impl Fetcher {
-    /// How crowded each endpoint has been, in thousandths, by its key in hashes.
+    /// Recent pressure on each endpoint, in thousandths, by the endpoint's hash key.
     ///
     /// # Errors
-    /// The peer can't be reached.
+    /// The call failed.
     pub async fn pressures(&self, peer: &Member) -> Result<Vec<(u64, u32)>, PeerError> {
         let client = socket::connect(peer.address, &self.traffic).await?;
         Ok(client.pressures(link::deadline()).await?)
     }
 
-    /// The text of the peer's head, if it has one.
+    /// The text of the peer's configuration head, if it has one.
     ///
     /// # Errors
-    /// The peer can't be reached.
+    /// The call failed.
     pub async fn head(&self, peer: &Member) -> Result<Option<String>, PeerError> {
         let client = socket::connect(peer.address, &self.traffic).await?;
         Ok(client.head(link::deadline()).await?)
     }
 
-    /// The text of a section, if the peer still has it in force; check it against the digest.
+    /// The text of a section, if it is still part of the peer's active configuration. The caller checks it against the
+    /// digest.
     ///
     /// # Errors
-    /// The peer can't be reached.
+    /// The call failed.
     pub async fn section(&self, peer: &Member, digest: Digest) -> Result<Option<String>, PeerError> {
         let client = socket::connect(peer.address, &self.traffic).await?;
         Ok(client.section(link::deadline(), digest).await?)
--- a/crates/peers/src/message.rs
+++ b/crates/peers/src/message.rs
@@ -1,59 +1,59 @@
-//! Messages as they are sent. Field names are short, since heartbeats are the bulk of the traffic between routers.
+//! Wire format of heartbeats. Field names are short because heartbeats are most of the traffic between routers.
 
 use ids::{Digest, EndpointId, Incarnation, Revision, WeightsVersion};
 use serde::{Deserialize, Serialize};
 
-/// A heartbeat or its answer: what has changed since the last on this connection.
+/// A heartbeat or its response: what has changed since the previous one on this connection.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Beat {
     /// The sender's state, if it has changed.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub summary: Option<Summary>,
-    /// Endpoints that are new on this connection, or of which more than the load has changed.
+    /// Endpoints that are new on this connection, or for which more than the load has changed.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
-    pub about: Vec<About>,
-    /// Loads that have changed, by ascending number: number of the endpoint, running, waiting, prefill.
+    pub endpoints: Vec<EndpointInfo>,
+    /// Changed loads by ascending endpoint number: number, running requests, waiting requests, prefill.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty", with = "crate::packed")]
     pub loads: Vec<(u32, u32, u32, u32)>,
     /// Numbers of endpoints that the sender no longer reports.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
-    pub gone: Vec<u32>,
+    pub removed: Vec<u32>,
 }
 
 /// The sender's state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Whether it is going.
+    /// Whether the sender is shutting down.
     #[serde(rename = "v")]
     pub leaving: bool,
-    /// Live routers of its failure domain.
+    /// Number of live routers in its failure domain.
     #[serde(rename = "n")]
     pub routers: u32,
-    /// Digest of its membership.
+    /// Digest of its membership list.
     #[serde(rename = "m")]
     pub membership: u64,
-    /// Its configuration.
+    /// Revision and digest of its active configuration.
     #[serde(rename = "c")]
     pub config: Option<(Revision, Digest)>,
 }
 
-/// What changes seldom of an endpoint.
+/// The rarely changing part of an endpoint's report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct About {
-    /// Its number on this connection.
+pub struct EndpointInfo {
+    /// The endpoint's number on this connection.
     #[serde(rename = "n")]
     pub number: u32,
-    /// Who.
+    /// The endpoint.
     #[serde(rename = "e")]
     pub endpoint: EndpointId,
-    /// Its life.
+    /// Its incarnation.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
     /// The weights it serves.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub weights: Option<WeightsVersion>,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     #[serde(rename = "v", default, skip_serializing_if = "std::ops::Not::not")]
     pub draining: bool,
 }
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -1,8 +1,8 @@
-//! What routers that follow the store tell those that don't.
+//! Relays store contents and other state from routers that watch the store to their followers.
 //!
-//! Load pattern: hundreds of routers, each of which would keep a watch on the store. Every change would cost as many
-//! answers, and every call is priced. So few routers of each failure domain watch, and the others follow one of them
-//! in the same way: they name the store's revision that they have and wait for what comes after it.
+//! With hundreds of routers that each watch the store, every change would cost hundreds of responses, and every store
+//! call is billed. So only a few routers of each failure domain watch the store. The others follow one of them, their
+//! upstream, in the same way: they send the store revision that they have and wait for later changes.
 
 use crate::link::deadline_in;
 use crate::service::PeerError;
@@ -24,156 +24,157 @@
 use tarpc::server::{BaseChannel, Channel};
 use tokio_serde::formats::Json;
 
-/// Most followers of one router: a domain's routers, twice over.
+/// Maximum number of followers of one router: twice the routers of a failure domain.
 const MAX_FOLLOWERS: usize = 256;
-/// A connection without a call for this long is ended.
-const IDLE: Duration = Duration::from_secs(30);
-/// Longest time in which an answer arrives once it has begun to.
-const LONGEST_ANSWER: Duration = Duration::from_secs(10);
+/// A connection without a call for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum time for the rest of a response after its first byte.
+const MAX_RESPONSE_TIME: Duration = Duration::from_secs(10);
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Asks for what comes after a revision.
+/// Requests the changes after a revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Follow {
-    /// Store revision up to which all is known; absent if nothing is.
+    /// Store revision up to which the follower is complete; absent if it has nothing.
     pub after: Option<u64>,
-    /// The store's era of that revision; absent from routers that know no eras.
+    /// The store's era of that revision; absent from older routers without eras.
     #[serde(default)]
     pub era: Option<u64>,
-    /// How long the answer may wait for the first change.
+    /// How long the response may wait for the first change, milliseconds.
     pub wait_ms: u64,
-    /// Whether packed values are understood.
+    /// Whether the follower can unpack [packed](crate::pack) values.
     #[serde(default)]
     pub unpacks: bool,
 }
 
-/// A key's item.
+/// A store item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayItem {
     /// The key.
     pub key: String,
-    /// Its value; in text, since all values that routers read are.
+    /// Its value. Text suffices because all values that routers read are text.
     pub value: String,
-    /// Whether the text is the value [packed](crate::pack).
+    /// Whether `value` is [packed](crate::pack).
     #[serde(default)]
     pub packed: bool,
     /// Store revision of its last change.
     pub revision: u64,
     /// Store revision of its creation.
     pub created: u64,
-    /// The lease it goes with.
+    /// The lease that the item expires with; 0 for none.
     pub lease: u64,
 }
 
-/// A time in which the store answered a router without a break, in ages when it is told.
+/// An uninterrupted period in which the store responded to a router, as ages at the time of sending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UptimeMessage {
-    /// Age of the first answer, milliseconds.
+    /// Age of the first response, milliseconds.
     pub from_ms: u64,
-    /// Age of the last answer, milliseconds.
+    /// Age of the last response, milliseconds.
     pub until_ms: u64,
 }
 
-/// What came after the revision.
+/// The changes after a revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowResponse {
-    /// Store revision up to which this is complete; absent if the router knows nothing yet.
+    /// Store revision up to which this is complete; absent if the upstream has not read the store yet.
     pub revision: Option<u64>,
-    /// The store's era of that revision; absent from routers that know no eras.
+    /// The store's era of that revision; absent from older routers without eras.
     #[serde(default)]
     pub era: Option<u64>,
-    /// Whether `items` is all there is; otherwise it is what has changed.
+    /// Whether `items` holds all items; otherwise it holds only the changed ones.
     pub whole: bool,
-    /// Items.
+    /// All or the changed items, see `whole`.
     pub items: Vec<RelayItem>,
-    /// Keys that have gone.
+    /// Removed keys.
     pub removed: Vec<String>,
-    /// How long before this answer the store was known to hold nothing newer, milliseconds.
+    /// How long before this response the upstream last knew that the store held nothing newer, milliseconds.
     pub age_ms: Option<u64>,
-    /// Since when the store answers the router; absent if it never did.
+    /// When the store responded to the upstream; absent if it never did.
     pub answers: Option<UptimeMessage>,
-    /// How long the answer waited for a change, milliseconds. The ages count from its end.
+    /// How long the response waited for a change, milliseconds. The ages are measured at the end of this wait.
     pub waited_ms: u64,
 }
 
-/// Asks for events of a store of cached prefixes.
+/// Requests the events of a prefix cache store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixQuery {
-    /// Where the store is.
+    /// The store's address.
     pub store: SocketAddr,
-    /// The store's life that the number belongs to.
+    /// The store's incarnation that `next` belongs to.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Number of the first event that is not known.
+    /// Number of the first event that is requested.
     pub next: u64,
 }
 
-/// What has changed in one store of cached prefixes. Keys only: as whole events, with scopes and identifiers in text, they
-/// filled a link of 10 Mbit/s, and followers heard nothing in time.
+/// Changes in one prefix cache store, as keys only. Full events, with scopes and identifiers as text, filled a link of
+/// 10 Mbit/s and reached followers too late.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixPage {
-    /// Where the store is.
+    /// The store's address.
     pub store: SocketAddr,
-    /// The store's life.
+    /// The store's incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Number to ask on from.
+    /// Event number to continue from.
     pub next: u64,
-    /// Parts that it holds by now.
+    /// Changed prompt parts that the store now holds.
     pub held: Vec<PartKey>,
-    /// Parts that it has dropped.
+    /// Changed prompt parts that the store no longer holds.
     pub gone: Vec<PartKey>,
 }
 
-/// An endpoint's load report on its way between routers: key, requests that run, requests that wait, age in milliseconds.
+/// An endpoint's load report as sent between routers: key, running requests, waiting requests, age in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadMessage(pub ShortKey, pub u32, pub u32, pub u64);
 
-/// A router's load reports for the one it follows, which answers with those of others.
+/// A follower's load reports. The upstream responds with those of other routers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadExchange {
-    /// How long ago the last exchange was; what was heard since is told.
+    /// Time since the last exchange, milliseconds. The response holds the reports received since then.
     pub last_ms: u64,
-    /// Reports of answers that the router got itself.
+    /// Reports from responses that the follower received itself.
     pub own: Vec<LoadMessage>,
 }
 
-/// Prompt tokens that a router's requests wait to have read: all that there are at the time, by endpoint.
+/// Prompt tokens of a router's requests that wait for prefill, by endpoint. Each message is complete.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BacklogMessage {
-    /// Whose requests.
+    /// The router.
     pub router: VmId,
-    /// Endpoints with a backlog, and its prompt tokens.
+    /// Endpoints with a backlog, and its size in prompt tokens.
     pub backlogs: Vec<(ShortKey, u64)>,
-    /// What the router's requests have had read lately, of each service.
+    /// Prompt tokens of the router's requests that were recently prefilled, by service.
     #[serde(rename = "reads")]
     pub lane_tokens: Vec<(ServiceId, LaneTokens)>,
-    /// Rates that endpoints named lately.
+    /// Rate limits that endpoints recently stated.
     #[serde(default)]
     pub rates: Vec<RateMessage>,
 }
 
-/// What an endpoint said of the requests a second that it takes, on its way between routers: key, rate or none any more, age in milliseconds.
+/// An endpoint's rate limit as sent between routers: key, requests per second or `None` if it has withdrawn its limit,
+/// age in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RateMessage(pub ShortKey, pub Option<f64>, pub u64);
 
-/// How long ago weights were named, as far as a router can tell.
+/// Bounds on a target age: how long ago a model's target weights were set.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetAgeMessage {
     /// The model.
     pub model: ModelId,
-    /// Number of the weights.
+    /// Number of the target weights.
     pub weights: u64,
-    /// At least so long before this answer, milliseconds.
+    /// Lower bound of the age at the time of the response, milliseconds.
     #[serde(rename = "least_ms")]
     pub lower_ms: u64,
-    /// At most so long, milliseconds; absent if the router can't tell.
+    /// Upper bound, milliseconds; absent if the router has none.
     #[serde(rename = "most_ms")]
     pub upper_ms: Option<u64>,
 }
 
-// The macro writes items that can't carry comments.
+// The macro generates items that cannot have doc comments.
 #[allow(missing_docs)]
 mod calls {
     use super::{
@@ -181,48 +182,48 @@
         TargetAgeMessage, UptimeMessage,
     };
 
-    /// What a router answers to its followers.
+    /// Calls that a router serves to its followers.
     #[tarpc::service]
     pub trait Relay {
-        /// What comes after a revision.
+        /// The changes after a revision.
         async fn follow(follow: Follow) -> FollowResponse;
-        /// Events of stores of cached prefixes, of each after a number.
+        /// Events of prefix cache stores, for each store from an event number on.
         async fn prefixes(follow: Vec<PrefixQuery>) -> Vec<PrefixPage>;
-        /// Load reports of endpoints, both ways.
+        /// Exchanges load reports of endpoints.
         async fn loads(exchange: LoadExchange) -> Vec<LoadMessage>;
-        /// What another router's requests wait for.
+        /// Receives the prefill backlogs of another router's requests.
         async fn backlog(told: BacklogMessage);
-        /// How long ago weights were named lately.
+        /// Ages of recently set target weights.
         async fn names() -> Vec<TargetAgeMessage>;
-        /// Since when the store answers the router.
+        /// When the store responded to the router.
         async fn uptime() -> Option<UptimeMessage>;
-        /// The document that the router has in force.
+        /// Revision of the router's active document.
         async fn document() -> Option<Revision>;
     }
 }
 
 use calls::{Relay, RelayClient};
 
-/// One kind of answer.
-type Answers<Q, A> = Arc<dyn Fn(Q) -> BoxFuture<'static, A> + Send + Sync>;
+/// Handles one kind of call.
+type Handler<Q, R> = Arc<dyn Fn(Q) -> BoxFuture<'static, R> + Send + Sync>;
 
-/// Answers a follower.
+/// Handlers for the calls of followers.
 #[derive(Clone)]
 pub struct RelayHandlers {
-    /// What comes after a revision.
-    pub follow: Answers<Follow, FollowResponse>,
-    /// Events of stores of cached prefixes, of each after a number.
-    pub prefixes: Answers<Vec<PrefixQuery>, Vec<PrefixPage>>,
-    /// Load reports of endpoints, both ways.
-    pub loads: Answers<LoadExchange, Vec<LoadMessage>>,
-    /// What another router's requests wait for.
-    pub backlog: Answers<BacklogMessage, ()>,
-    /// How long ago weights were named lately.
-    pub target_ages: Answers<(), Vec<TargetAgeMessage>>,
-    /// Since when the store answers the router.
-    pub uptime: Answers<(), Option<UptimeMessage>>,
-    /// The document that the router has in force.
-    pub document: Answers<(), Option<Revision>>,
+    /// The changes after a revision.
+    pub follow: Handler<Follow, FollowResponse>,
+    /// Events of prefix cache stores, for each store from an event number on.
+    pub prefixes: Handler<Vec<PrefixQuery>, Vec<PrefixPage>>,
+    /// Exchanges load reports of endpoints.
+    pub loads: Handler<LoadExchange, Vec<LoadMessage>>,
+    /// Receives the prefill backlogs of another router's requests.
+    pub backlog: Handler<BacklogMessage, ()>,
+    /// Ages of recently set target weights.
+    pub target_ages: Handler<(), Vec<TargetAgeMessage>>,
+    /// When the store responded to the router.
+    pub uptime: Handler<(), Option<UptimeMessage>>,
+    /// Revision of the router's active document.
+    pub document: Handler<(), Option<Revision>>,
 }
 
 #[derive(Clone)]
@@ -241,8 +242,8 @@
         (self.0.loads)(exchange).await
     }
 
-    async fn backlog(self, _: Context, told: BacklogMessage) {
-        (self.0.backlog)(told).await;
+    async fn backlog(self, _: Context, message: BacklogMessage) {
+        (self.0.backlog)(message).await;
     }
 
     async fn names(self, _: Context) -> Vec<TargetAgeMessage> {
@@ -258,15 +259,15 @@
     }
 }
 
-/// Answers followers until the process ends.
-pub async fn serve_followers(listener: TcpListener, answer: RelayHandlers) {
+/// Serves followers until the process ends.
+pub async fn serve_followers(listener: TcpListener, handlers: RelayHandlers) {
     let open = Arc::new(AtomicUsize::new(0));
     let traffic = Arc::default();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(err) => {
-                log::warn!("a follower could not be accepted: {err}");
+                log::warn!("accepting a follower connection failed: {err}");
                 async_std::task::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -275,121 +276,126 @@
             continue;
         }
         open.fetch_add(1, Ordering::Relaxed);
-        let (open, traffic, answer) = (open.clone(), Arc::clone(&traffic), answer.clone());
+        let (open, traffic, handlers) = (open.clone(), Arc::clone(&traffic), handlers.clone());
         async_std::task::spawn(async move {
-            serve(stream, &traffic, answer).await;
+            serve(stream, &traffic, handlers).await;
             open.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-async fn serve(stream: TcpStream, traffic: &Arc<Traffic>, answer: RelayHandlers) {
+async fn serve(stream: TcpStream, traffic: &Arc<Traffic>, handlers: RelayHandlers) {
     let transport = tarpc::serde_transport::new(socket::framed(stream, traffic), Json::default());
-    let mut calls = Box::pin(BaseChannel::with_defaults(transport).execute(Server(answer).serve()));
-    while let Ok(Some(call)) = async_std::future::timeout(IDLE, calls.next()).await {
+    let mut calls = Box::pin(BaseChannel::with_defaults(transport).execute(Server(handlers).serve()));
+    while let Ok(Some(call)) = async_std::future::timeout(IDLE_TIMEOUT, calls.next()).await {
         call.await;
     }
 }
 
-/// A connection to a router that is followed.
+/// A connection to the router that this one follows.
 pub struct Upstream {
     client: RelayClient,
     traffic: Arc<Traffic>,
 }
 
 impl Upstream {
-    /// Connects.
+    /// Connects to a router.
     ///
     /// # Errors
-    /// No connection in time.
+    /// The connection failed or took too long.
     pub async fn connect(address: SocketAddr, within: Duration) -> Result<Self, PeerError> {
         let stream = async_std::future::timeout(within, TcpStream::connect(address)).await??;
         let traffic = Arc::default();
         let transport = tarpc::serde_transport::new(socket::framed(stream, &traffic), Json::default());
-        let new = RelayClient::new(tarpc::client::Config::default(), transport);
+        let created = RelayClient::new(tarpc::client::Config::default(), transport);
         async_std::task::spawn(async move {
-            // How a connection ends is seen by its calls.
-            let _ = new.dispatch.await;
+            // Pending calls report a connection error.
+            let _ = created.dispatch.await;
         });
-        let client = new.client;
+        let client = created.client;
         Ok(Self { client, traffic })
     }
 
-    /// Bytes that have arrived.
+    /// Bytes received so far.
     fn received(&self) -> u64 {
         self.traffic.received.load(Ordering::Relaxed)
     }
 
-    /// What comes after a revision.
+    /// The changes after a revision.
     ///
     /// # Errors
-    /// The call failed, or no answer began to arrive within its wait and `grace`.
+    /// The call failed, or no response started to arrive within the requested wait plus `grace`.
     pub async fn follow(&self, follow: Follow, grace: Duration) -> Result<FollowResponse, PeerError> {
         let within = Duration::from_millis(follow.wait_ms) + grace;
-        self.answer(within, self.client.follow(latest(within), follow)).await
+        self.response(within, self.client.follow(call_context(within), follow))
+            .await
     }
 
-    /// Events of stores of cached prefixes, of each after a number. A store that the other router has no word of is left out.
+    /// Events of prefix cache stores, for each store from an event number on. Stores of which the upstream has no
+    /// current data are left out.
     ///
     /// # Errors
-    /// The call failed, or no answer began to arrive in time.
+    /// The call failed, or no response started to arrive in time.
     pub async fn prefixes(&self, follow: Vec<PrefixQuery>, within: Duration) -> Result<Vec<PrefixPage>, PeerError> {
-        self.answer(within, self.client.prefixes(latest(within), follow)).await
+        self.response(within, self.client.prefixes(call_context(within), follow))
+            .await
     }
 
     /// Exchanges load reports of endpoints.
     ///
     /// # Errors
-    /// The call failed, or no answer began to arrive in time.
+    /// The call failed, or no response started to arrive in time.
     pub async fn loads(&self, exchange: LoadExchange, within: Duration) -> Result<Vec<LoadMessage>, PeerError> {
-        self.answer(within, self.client.loads(latest(within), exchange)).await
+        self.response(within, self.client.loads(call_context(within), exchange))
+            .await
     }
 
-    /// Tells what this router's requests wait for.
+    /// Sends the prefill backlogs of this router's requests.
     ///
     /// # Errors
-    /// The call failed, or no answer began to arrive in time.
-    pub async fn backlog(&self, told: BacklogMessage, within: Duration) -> Result<(), PeerError> {
-        self.answer(within, self.client.backlog(latest(within), told)).await
+    /// The call failed, or no response started to arrive in time.
+    pub async fn backlog(&self, message: BacklogMessage, within: Duration) -> Result<(), PeerError> {
+        self.response(within, self.client.backlog(call_context(within), message))
+            .await
     }
 
-    /// How long ago weights were named lately.
+    /// Ages of recently set target weights.
     ///
     /// # Errors
-    /// The call failed, or no answer began to arrive in time.
+    /// The call failed, or no response started to arrive in time.
     pub async fn target_ages(&self, within: Duration) -> Result<Vec<TargetAgeMessage>, PeerError> {
-        self.answer(within, self.client.names(latest(within))).await
+        self.response(within, self.client.names(call_context(within))).await
     }
 
-    /// Since when the store answers the router; absent if it never did.
+    /// When the store responded to the router; absent if it never did.
     ///
     /// # Errors
-    /// The call failed, or no answer began to arrive in time.
+    /// The call failed, or no response started to arrive in time.
     pub async fn uptime(&self, within: Duration) -> Result<Option<UptimeMessage>, PeerError> {
-        self.answer(within, self.client.uptime(latest(within))).await
+        self.response(within, self.client.uptime(call_context(within))).await
     }
 
-    /// The document that the router has in force; absent if it has none.
+    /// Revision of the router's active document; absent if it has none.
     ///
     /// # Errors
-    /// The call failed, or no answer began to arrive in time.
+    /// The call failed, or no response started to arrive in time.
     pub async fn document(&self, within: Duration) -> Result<Option<Revision>, PeerError> {
-        self.answer(within, self.client.document(latest(within))).await
+        self.response(within, self.client.document(call_context(within))).await
     }
 
-    /// Waits for an answer that begins to arrive within a time and does not stall after that.
-    async fn answer<T>(
+    /// Waits for a response that starts to arrive within a time and does not stall afterwards.
+    async fn response<T>(
         &self,
         within: Duration,
         call: impl Future<Output = Result<T, RpcError>>,
     ) -> Result<T, PeerError> {
         let before = self.received();
-        let answered = progressing(within, || self.received(), call).await;
-        Ok(answered.map_err(|_| PeerError::ResponseTimeout(self.received() - before))??)
+        let outcome = progressing(within, || self.received(), call).await;
+        Ok(outcome.map_err(|_| PeerError::ResponseTimeout(self.received() - before))??)
     }
 }
 
-/// Until when the other router may work on a call, and its answer may arrive.
-fn latest(within: Duration) -> Context {
-    deadline_in(within + LONGEST_ANSWER)
+/// Context with the deadline until which the peer may handle a call and its response may arrive.
+fn call_context(within: Duration) -> Context {
+    deadline_in(within + MAX_RESPONSE_TIME)
 }
--- a/crates/peers/src/server.rs
+++ b/crates/peers/src/server.rs
@@ -1,6 +1,6 @@
-//! Answers peers.
+//! Serves calls from peers.
 
-use crate::delta::{Extent, Received, Sent};
+use crate::delta::{DeltaDecoder, DeltaEncoder, Extent};
 use crate::handle::Inner;
 use crate::service::Router;
 use crate::{Beat, socket};
@@ -16,14 +16,15 @@
 use tarpc::server::{BaseChannel, Channel};
 use tokio_serde::formats::Json;
 
-/// Most connections from peers: two from each of 22 routers, and room for strangers that go away by themselves.
+/// Maximum number of incoming connections: two from each of 22 routers, plus unrelated clients, whose idle connections
+/// are closed.
 const MAX_CONNECTIONS: usize = 256;
-/// A connection without a call for this long is ended.
-const IDLE: Duration = Duration::from_secs(600);
-/// Pause after a failed accept, which mostly means that file descriptors have run out.
+/// A connection without a call for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(600);
+/// Pause after a failed accept. The usual cause is a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Accepts until the router stops.
+/// Accepts connections until the task is cancelled.
 pub(crate) async fn accept(listener: TcpListener, inner: Arc<Inner>) {
     let open = Arc::new(AtomicUsize::new(0));
     loop {
@@ -43,50 +44,50 @@
     }
 }
 
-/// Answers one call after the other, so that a peer can't have more than one worked on.
+/// Serves one call at a time, so that a peer has at most one call in progress.
 async fn serve(stream: TcpStream, inner: Arc<Inner>) {
     let transport = tarpc::serde_transport::new(socket::framed(stream, &inner.traffic), Json::default());
-    let answers = Answers {
+    let server = Server {
         inner,
         connection: Arc::default(),
     };
-    let mut calls = Box::pin(BaseChannel::with_defaults(transport).execute(answers.serve()));
-    while let Ok(Some(call)) = async_std::future::timeout(IDLE, calls.next()).await {
+    let mut calls = Box::pin(BaseChannel::with_defaults(transport).execute(server.serve()));
+    while let Ok(Some(call)) = async_std::future::timeout(IDLE_TIMEOUT, calls.next()).await {
         call.await;
     }
 }
 
-/// What is known on one connection.
+/// State of one connection.
 #[derive(Debug, Default)]
 struct Connection {
-    from: Option<Member>,
-    sent: Sent,
-    received: Received,
+    peer: Option<Member>,
+    encoder: DeltaEncoder,
+    decoder: DeltaDecoder,
 }
 
 #[derive(Clone)]
-struct Answers {
+struct Server {
     inner: Arc<Inner>,
     connection: Arc<Mutex<Connection>>,
 }
 
-impl Router for Answers {
+impl Router for Server {
     async fn hello(self, _: Context, from: Member) -> Member {
-        self.connection.lock().await.from = Some(from);
+        self.connection.lock().await.peer = Some(from);
         self.inner.own.clone()
     }
 
     async fn beat(self, _: Context, beat: Beat) -> Option<Beat> {
         let mut connection = self.connection.lock().await;
-        let from = connection.from.clone()?;
-        let news = connection.received.take(beat).ok()?;
-        self.inner.tell(&from, news).await.ok()?;
-        // What is urgent for the caller has its own way; an answer carries what a heartbeat would.
-        Some(connection.sent.beat(&self.inner.published(), Extent::Whole))
+        let from = connection.peer.clone()?;
+        let update = connection.decoder.decode(beat).ok()?;
+        self.inner.send_update(&from, update).await.ok()?;
+        // A response carries all changes, as a periodic heartbeat does. Urgent ones go out on this router's own link.
+        Some(connection.encoder.encode(&self.inner.published(), Extent::Full))
     }
 
     async fn roster(self, _: Context, roster: Roster) -> Roster {
-        // A router that is stopping has nobody to tell.
+        // The channel is closed while this router stops.
         let _ = self.inner.events.send(crate::Event::Roster(roster)).await;
         self.inner.published().roster.clone()
     }
--- a/crates/peers/src/service.rs
+++ b/crates/peers/src/service.rs
@@ -1,29 +1,29 @@
-//! The calls between routers.
+//! The RPC interface between routers.
 
 use crate::Beat;
 use control::membership::{Member, Roster};
 use ids::Digest;
 use quick_error::quick_error;
 
-// The macro writes items that can't carry comments.
+// The macro generates items that cannot have doc comments.
 #[allow(missing_docs)]
 mod calls {
     use super::{Beat, Digest, Member, Roster};
 
-    /// What a router answers to its peers.
+    /// Calls that a router serves to its peers.
     #[tarpc::service]
     pub trait Router {
-        /// Says who calls, as the first call on a connection; answers who is called.
+        /// First call on a connection. Identifies the caller and returns the identity of the called router.
         async fn hello(from: Member) -> Member;
-        /// A heartbeat; nothing if it could not be understood, and the connection is to be ended.
+        /// Sends a heartbeat. `None` if it could not be decoded; the caller then closes the connection.
         async fn beat(beat: Beat) -> Option<Beat>;
-        /// The caller's membership for the other's.
+        /// Exchanges membership lists.
         async fn roster(roster: Roster) -> Roster;
-        /// How crowded each endpoint has been, in thousandths, by its key in hashes.
+        /// Recent pressure on each endpoint, in thousandths, by the endpoint's hash key.
         async fn pressures() -> Vec<(u64, u32)>;
-        /// Text of the head in force.
+        /// Text of the active configuration's head.
         async fn head() -> Option<String>;
-        /// Text of a section in force.
+        /// Text of a section of the active configuration.
         async fn section(digest: Digest) -> Option<String>;
     }
 }
@@ -31,37 +31,37 @@
 pub(crate) use calls::{Router, RouterClient};
 
 quick_error! {
-    /// A call to a peer failed.
+    /// Why a call to a peer failed.
     #[derive(Debug)]
     pub enum PeerError {
-        /// No connection.
+        /// The connection could not be opened.
         Connect(error: std::io::Error) {
             display("no connection: {error}")
             source(error)
             from()
         }
-        /// The call failed or took too long.
+        /// The call failed or exceeded its deadline.
         Call(error: tarpc::client::RpcError) {
             display("the call failed: {error}")
             source(error)
             from()
         }
-        /// No connection or no answer in time.
+        /// No connection or no response in time.
         Timeout {
-            display("no answer in time")
+            display("no connection or response in time")
             from(async_std::future::TimeoutError)
         }
-        /// No whole answer in time.
+        /// The response did not arrive in time or stalled.
         ResponseTimeout(received: u64) {
-            display("no answer in time, {received} bytes of it had arrived")
+            display("no complete response in time, {received} bytes received")
         }
-        /// Someone else answers at the peer's address.
+        /// Another router responds at the peer's address.
         WrongPeer {
-            display("another router answers at this address")
+            display("another router responds at this address")
         }
-        /// One end did not understand the other's heartbeat.
+        /// A heartbeat or a compressed value could not be decoded.
         Malformed {
-            display("a heartbeat was not understood")
+            display("a heartbeat or value could not be decoded")
         }
         /// The router is stopping.
         Stopped {
--- a/crates/peers/src/socket.rs
+++ b/crates/peers/src/socket.rs
@@ -1,4 +1,4 @@
-//! Connections with framing, for both ends.
+//! Framed TCP connections with traffic counters, for clients and servers.
 
 use crate::service::{PeerError, RouterClient};
 use async_std::net::TcpStream;
@@ -15,8 +15,8 @@
 use tokio_util::codec::length_delimited::LengthDelimitedCodec;
 use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
 
-/// Longest message. A section takes at most 1 MB and its quotes double inside JSON; without a bound one peer could
-/// make a router take any amount of memory.
+/// Maximum message length, bytes. A section has at most 1 MB, and JSON escaping doubles its quotes. Without a limit one
+/// peer could make a router allocate any amount of memory.
 pub const MAX_FRAME: usize = 4 << 20;
 
 /// Bytes sent and received.
@@ -26,39 +26,39 @@
     pub(crate) received: AtomicU64,
 }
 
-/// A connection that counts.
-pub(crate) struct Counted {
+/// A TCP stream that counts its bytes.
+pub(crate) struct CountedStream {
     stream: TcpStream,
     traffic: Arc<Traffic>,
 }
 
-pub(crate) type FramedSocket = Framed<Compat<Counted>, LengthDelimitedCodec>;
+pub(crate) type FramedSocket = Framed<Compat<CountedStream>, LengthDelimitedCodec>;
 
 pub(crate) fn framed(stream: TcpStream, traffic: &Arc<Traffic>) -> FramedSocket {
-    // Heartbeats are single small writes; waiting to join them only delays the answer.
+    // Heartbeats are single small writes. Nagle's algorithm would only delay them.
     let _ = stream.set_nodelay(true);
-    let counted = Counted {
+    let stream = CountedStream {
         stream,
         traffic: traffic.clone(),
     };
     LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME)
-        .new_framed(counted.compat())
+        .new_framed(stream.compat())
 }
 
-/// Connects; the client lives until it is dropped or the connection breaks.
+/// Connects to a peer. The connection closes when the client is dropped.
 pub(crate) async fn connect(address: SocketAddr, traffic: &Arc<Traffic>) -> Result<RouterClient, PeerError> {
     let stream = async_std::future::timeout(crate::CALL_TIMEOUT, TcpStream::connect(address)).await??;
     let transport = tarpc::serde_transport::new(framed(stream, traffic), Json::default());
-    let new = RouterClient::new(client::Config::default(), transport);
+    let created = RouterClient::new(client::Config::default(), transport);
     async_std::task::spawn(async move {
-        // How a connection ends is seen by its calls.
-        let _ = new.dispatch.await;
+        // Pending calls report a connection error.
+        let _ = created.dispatch.await;
     });
-    Ok(new.client)
+    Ok(created.client)
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         if let Poll::Ready(Ok(count)) = &read {
@@ -68,7 +68,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(count)) = &written {
--- a/crates/peers/tests/loopback.rs
+++ b/crates/peers/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Routers on loopback: hearing, fetching, restarts and strangers.
+//! Routers on loopback: heartbeats, fetches, restarts, wrong peers and hanging peers.
 
 use async_channel::Receiver;
 use async_std::net::TcpListener;
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Far longer than anything here takes; only a broken mechanism meets it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit of each wait, far longer than any step takes; it ends only a test that fails.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Router {
     peers: Peers,
@@ -60,25 +60,26 @@
     }
 }
 
-async fn wait_for(router: &Router, wanted: impl Fn(&Event) -> bool) -> Event {
+async fn wait_for(router: &Router, matches: impl Fn(&Event) -> bool) -> Event {
     let find = async {
         loop {
             let event = router.events.recv().await.unwrap();
-            if wanted(&event) {
+            if matches(&event) {
                 return event;
             }
         }
     };
-    timeout(PATIENCE, find).await.expect("the event never came")
+    timeout(TIMEOUT, find).await.expect("no such event arrived")
 }
 
-fn offers(wanted: u64) -> impl Fn(&Event) -> bool {
-    move |event| matches!(event, Event::Offer { revision, .. } if revision.0 == wanted)
+fn offers(expected: u64) -> impl Fn(&Event) -> bool {
+    move |event| matches!(event, Event::Offer { revision, .. } if revision.0 == expected)
 }
 
-/// A router is cut from the platform, and its peer is not. It hears of the new revision and reads it from the peer.
+/// A router that cannot reach the platform would keep an old configuration. It learns of the new revision from a peer's
+/// heartbeat and fetches it from that peer.
 #[async_std::test]
-async fn a_revision_comes_from_a_peer() {
+async fn a_new_revision_is_fetched_from_a_peer() {
     let (mut a, b) = (router("a", None).await, router("b", None).await);
     a.peers.publish(state(1));
     b.peers.publish(state(1));
@@ -91,30 +92,30 @@
     let fetcher = a.peers.fetcher();
     let head = fetcher.head(&from).await.unwrap().unwrap();
     assert_eq!(Digest::of(head.as_bytes()), digest);
-    let wanted = Digest::of(b"section of 2");
+    let digest = Digest::of(b"section of 2");
     assert_eq!(
-        fetcher.section(&from, wanted).await.unwrap().as_deref(),
+        fetcher.section(&from, digest).await.unwrap().as_deref(),
         Some("section of 2")
     );
     assert_eq!(fetcher.section(&from, Digest::of(b"other")).await.unwrap(), None);
 }
 
-/// A new revision doesn't wait for the next heartbeat, nor for a link that has none.
+/// A new revision must not wait for a periodic heartbeat, because some links have none.
 #[async_std::test]
-async fn urgent_news_goes_out_on_a_quiet_link() {
+async fn urgent_changes_are_sent_on_a_link_without_heartbeats() {
     let (mut a, b) = (router("a", None).await, router("b", None).await);
     a.peers.set_links(&[link(&b, false)]);
     wait_for(&b, |event| matches!(event, Event::Heartbeat { .. })).await;
     a.peers.publish_now(state(5));
     wait_for(&b, offers(5)).await;
-    let seen = b.peers.recent_peers();
-    let known: Vec<_> = seen.iter().map(|peer| (&peer.member, peer.revision)).collect();
-    assert_eq!(known, [(&a.member, Some(Revision(5)))], "for the status");
+    let recent = b.peers.recent_peers();
+    let revisions: Vec<_> = recent.iter().map(|peer| (&peer.member, peer.revision)).collect();
+    assert_eq!(revisions, [(&a.member, Some(Revision(5)))], "shown in the status");
 }
 
-/// A peer restarts at the same address. It must be found again, and told everything from the beginning.
+/// A peer restarts at the same address and has lost its state. The link must reconnect and send the full state again.
 #[async_std::test]
-async fn a_restarted_peer_is_found_again() {
+async fn a_restarted_peer_receives_the_full_state() {
     let (mut a, mut b) = (router("a", None).await, router("b", None).await);
     a.peers.publish(state(3));
     a.peers.set_links(&[link(&b, true)]);
@@ -122,8 +123,8 @@
     b.peers.stop();
     let address = b.member.address;
     drop(b);
-    // The old connection is still served; the new router listens at the same address once that is free.
-    let begin = async {
+    // The old connection is still open. The new router starts once the address is free.
+    let restart = async {
         loop {
             if TcpListener::bind(address).await.is_ok() {
                 return router("b", Some(address)).await;
@@ -131,13 +132,13 @@
             task::sleep(Duration::from_millis(50)).await;
         }
     };
-    let b = timeout(PATIENCE, begin).await.expect("the address became free");
+    let b = timeout(TIMEOUT, restart).await.expect("the address became free");
     wait_for(&b, offers(3)).await;
 }
 
-/// An address was given to another VM. Whoever answers there now must not be taken for the old router.
+/// The peer's address was reassigned to another VM. The router there must not be mistaken for the peer.
 #[async_std::test]
-async fn a_stranger_at_a_peers_address_is_not_heard() {
+async fn another_router_at_a_peers_address_is_rejected() {
     let (mut a, b) = (router("a", None).await, router("b", None).await);
     let mut wrong = link(&b, true);
     wrong.member.id = VmId::from("c");
@@ -146,19 +147,19 @@
     assert_eq!(event, Event::LinkFailed(VmId::from("c")));
 }
 
-/// A peer accepts connections and never answers.
+/// A peer accepts connections and never responds. Calls to it and its link must fail, not wait forever.
 #[async_std::test]
-async fn a_hanging_peer_is_given_up() {
+async fn calls_to_a_hanging_peer_time_out() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut a = router("a", None).await;
-    let mut silent = a.member.clone();
-    (silent.id, silent.address) = (VmId::from("b"), listener.local_addr().unwrap());
-    let fetched = timeout(PATIENCE, a.peers.fetcher().head(&silent))
+    let mut hanging = a.member.clone();
+    (hanging.id, hanging.address) = (VmId::from("b"), listener.local_addr().unwrap());
+    let fetched = timeout(TIMEOUT, a.peers.fetcher().head(&hanging))
         .await
         .expect("the call ends");
     assert!(matches!(fetched, Err(PeerError::Call(_))), "{fetched:?}");
     a.peers.set_links(&[Link {
-        member: silent,
+        member: hanging,
         cross_domain: false,
         periodic: true,
     }]);
