--- a/crates/ids/src/digest.rs
+++ b/crates/ids/src/digest.rs
@@ -1,4 +1,4 @@
-//! BLAKE3 digests, written as 64 lower-case hexadecimal digits.
+//! BLAKE3 digests, formatted as 64 lower-case hexadecimal digits.
 
 use derive_more::Display;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
--- a/crates/ids/src/lib.rs
+++ b/crates/ids/src/lib.rs
@@ -1,6 +1,6 @@
 //! Identifiers shared by all crates. Never does I/O.
 //!
-//! Each identifier is a type of its own, so that a workspace cannot be passed where a model is meant.
+//! Each identifier has its own type, so that a workspace cannot be passed where a model is expected.
 
 mod digest;
 mod names;
--- a/crates/ids/src/names.rs
+++ b/crates/ids/src/names.rs
@@ -1,4 +1,4 @@
-//! Identifiers that are text.
+//! Text identifiers.
 
 use derive_more::{AsRef, Display, From};
 use serde::{Deserialize, Serialize};
@@ -29,11 +29,11 @@
 }
 
 text_id!(
-    /// A customer of the system: owns keys, limits and cached prefixes.
+    /// A customer of the system. Has its own API keys, limits and cached prefixes.
     WorkspaceId
 );
 text_id!(
-    /// A model as callers name it.
+    /// A model, as named in client requests.
     ModelId
 );
 text_id!(
@@ -41,11 +41,11 @@
     WeightsVersion
 );
 text_id!(
-    /// A plain service beside the model engines.
+    /// A plain service, served by runners instead of model engines.
     ServiceId
 );
 text_id!(
-    /// A back end in service: an engine or a runner of a plain service.
+    /// A back end: an engine or a runner of a plain service.
     EndpointId
 );
 text_id!(
@@ -57,10 +57,10 @@
     DomainId
 );
 text_id!(
-    /// One request of a caller, unique over all routers.
+    /// A client request; unique across all routers.
     RequestId
 );
 text_id!(
-    /// The caller's name for one call that may run at most once, unique within its workspace.
+    /// A client's key for a call that may run at most once; unique within its workspace.
     IdempotencyKey
 );
--- a/crates/ids/src/numbers.rs
+++ b/crates/ids/src/numbers.rs
@@ -1,4 +1,4 @@
-//! Identifiers that are numbers.
+//! Numeric identifiers.
 
 use derive_more::{Display, From, Into};
 use serde::{Deserialize, Serialize};
@@ -15,22 +15,22 @@
 }
 
 number_id!(
-    /// One life of an endpoint: it changes when the endpoint restarts, and its cache is empty then.
+    /// Incarnation of an endpoint. Changes when the endpoint restarts with an empty cache.
     Incarnation(u64)
 );
 number_id!(
-    /// Version of one value in the platform's key-value service; 0 stands for "absent".
+    /// Version of a value in the platform's key-value service; 0 if the key never existed.
     Version(u64)
 );
 number_id!(
-    /// Revision of the configuration document; it only grows.
+    /// Revision of the configuration document; only increases.
     Revision(u64)
 );
 number_id!(
-    /// Fencing number of a lease holder; it only grows.
+    /// Fencing token of a lease holder; only increases.
     Fence(u64)
 );
 number_id!(
-    /// Urgency of a request: 0 is the most urgent.
+    /// Priority of a request; 0 is the most urgent.
     Priority(u8)
 );
--- a/crates/store/src/calls.rs
+++ b/crates/store/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls.
+//! Client for the calls of the platform's key-value service.
 
 use crate::error::PlatformError;
 use http::{Client, Method, Reply, Request, SendError, StatusCode, Url};
@@ -11,12 +11,12 @@
 use std::time::Duration;
 use wire::platform::{Entries, Entry, Grant, Lease, LeaseRef, Put, VmList};
 
-/// A value holds at most a megabyte; a range may hold several.
-const ANSWER_MAX: u64 = 16 << 20;
-/// How much longer than its own wait a watch may take.
+/// Maximum response length, bytes. A value has at most a megabyte; a range may have several.
+const MAX_RESPONSE_BYTES: u64 = 16 << 20;
+/// Additional time limit of a watch beyond its own wait and the call timeout.
 const WATCH_SLACK: Duration = Duration::from_secs(1);
 
-/// A client; clones share connections.
+/// A client. Clones share connections.
 #[derive(Debug, Clone)]
 pub struct Platform {
     client: Client,
@@ -25,19 +25,19 @@
     timeout: Duration,
 }
 
-/// What became of a compare-and-swap.
+/// Outcome of a compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Written {
-    /// The value is in place, under this version.
+    /// The value was written with this version.
     Done(Version),
-    /// The key had another version; this is its entry.
+    /// The key had another version. Holds its current entry.
     Conflict(Entry),
 }
 
 impl Platform {
-    /// A client for the platform's addresses, of which there must be at least one. `timeout` holds for each call.
+    /// Creates a client for one or more platform addresses. `timeout` applies to each call.
     pub fn new(addresses: Vec<SocketAddr>, timeout: Duration) -> Self {
-        assert!(!addresses.is_empty(), "settings are checked to name a platform address");
+        assert!(!addresses.is_empty(), "validated settings contain a platform address");
         Self {
             client: Client::new(),
             addresses: addresses.into(),
@@ -46,13 +46,13 @@
         }
     }
 
-    /// The entry of `key`, `None` if it never existed; one that was deleted has a version and no value.
+    /// The entry of `key`, `None` if it never existed. A deleted key's entry has a version and no value.
     pub async fn get(&self, key: &str) -> Result<Option<Entry>, PlatformError> {
         let request = self.request(Method::Get, "/v1/kv", &[("key", key)]);
         let reply = self.send(request, &[], self.timeout).await?;
         if reply.status() == StatusCode::NotFound {
-            // A deleted key keeps its version, without which nobody could write it again.
-            let bytes = lost(reply.whole(ANSWER_MAX).await)?;
+            // A deleted key keeps its version, which is needed to write the key again.
+            let bytes = or_lost(reply.whole(MAX_RESPONSE_BYTES).await)?;
             let entry: Entry = serde_json::from_slice(&bytes)?;
             return Ok(Some(entry).filter(|entry| entry.version > Version(0)));
         }
@@ -66,14 +66,14 @@
         Ok(entries.entries)
     }
 
-    /// Compare-and-swap.
+    /// Writes a value if the key has the expected version.
     pub async fn put(&self, put: &Put) -> Result<Written, PlatformError> {
         let body = serde_json::to_vec(put)?;
         let request = self.request(Method::Put, "/v1/kv", &[]);
         let reply = self.send(request, &body, self.timeout).await?;
         let conflict = reply.status() == StatusCode::Conflict;
         let bytes = if conflict {
-            lost(reply.whole(ANSWER_MAX).await)?
+            or_lost(reply.whole(MAX_RESPONSE_BYTES).await)?
         } else {
             success(reply).await?
         };
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Waits until the version of `key` passes `after`; `None` if it has not within `wait`.
+    /// Waits until the version of `key` exceeds `after`; `None` if it does not within `wait`.
     pub async fn watch(&self, key: &str, after: Version, wait: Duration) -> Result<Option<Entry>, PlatformError> {
         let after = after.to_string();
         let wait_ms = wait.as_millis().to_string();
@@ -99,7 +99,7 @@
         parse(reply).await.map(Some)
     }
 
-    /// Asks for a lease.
+    /// Requests a lease.
     pub async fn grant(&self, ttl: Duration) -> Result<Lease, PlatformError> {
         self.post(
             "/v1/leases",
@@ -110,7 +110,7 @@
         .await
     }
 
-    /// Renews a lease; `None` if it has lapsed.
+    /// Renews a lease; `None` if it has expired.
     pub async fn renew(&self, id: u64) -> Result<Option<Lease>, PlatformError> {
         let body = serde_json::to_vec(&LeaseRef { id })?;
         let request = self.request(Method::Post, "/v1/leases/renew", &[]);
@@ -122,7 +122,7 @@
         parse(reply).await.map(Some)
     }
 
-    /// Gives a lease back, and with it the values written under it.
+    /// Revokes a lease, which deletes the values written under it.
     pub async fn revoke(&self, id: u64) -> Result<(), PlatformError> {
         let body = serde_json::to_vec(&LeaseRef { id })?;
         let request = self.request(Method::Post, "/v1/leases/revoke", &[]);
@@ -145,7 +145,7 @@
     }
 
     fn request(&self, method: Method, path: &str, query: &[(&str, &str)]) -> Request {
-        let mut url = Url::parse("http://platform").expect("a constant URL");
+        let mut url = Url::parse("http://platform").expect("constant URL is valid");
         url.set_path(path);
         if !query.is_empty() {
             url.query_pairs_mut().extend_pairs(query);
@@ -153,7 +153,7 @@
         Request::new(method, url)
     }
 
-    /// Sends once, to the address that answered last; a failure moves on to the next address for later calls.
+    /// Sends once, to the current address. After a failure, later calls use the next address.
     async fn send(&self, request: Request, body: &[u8], within: Duration) -> Result<Reply, PlatformError> {
         let current = self.current.load(Ordering::Relaxed);
         let to = self.addresses[current % self.addresses.len()];
@@ -164,12 +164,12 @@
         };
         sent.map_err(|err| {
             self.current.store(current + 1, Ordering::Relaxed);
-            not_answered(&err)
+            send_failure(&err)
         })
     }
 }
 
-fn not_answered(err: &SendError) -> PlatformError {
+fn send_failure(err: &SendError) -> PlatformError {
     if err.not_sent() {
         PlatformError::NotSent
     } else {
@@ -177,13 +177,13 @@
     }
 }
 
-fn lost<T>(read: Result<T, http::BodyError>) -> Result<T, PlatformError> {
-    read.map_err(|_| PlatformError::Lost)
+fn or_lost<T>(body: Result<T, http::BodyError>) -> Result<T, PlatformError> {
+    body.map_err(|_| PlatformError::Lost)
 }
 
 async fn success(reply: Reply) -> Result<Vec<u8>, PlatformError> {
     let status = reply.status();
-    let bytes = lost(reply.whole(ANSWER_MAX).await)?;
+    let bytes = or_lost(reply.whole(MAX_RESPONSE_BYTES).await)?;
     if !status.is_success() {
         return Err(PlatformError::Refused(status.into()));
     }
@@ -195,5 +195,5 @@
 }
 
 async fn discard(reply: Reply) -> Result<(), PlatformError> {
-    lost(reply.whole(ANSWER_MAX).await).map(|_| ())
+    or_lost(reply.whole(MAX_RESPONSE_BYTES).await).map(|_| ())
 }
--- a/crates/store/src/items/client.rs
+++ b/crates/store/src/items/client.rs
@@ -1,4 +1,4 @@
-//! Calls over kept connections.
+//! Calls over a persistent connection.
 
 use super::{
     Call, Changes, Codec, CommitOutcome, Granted, Item, ItemsError, Page, Position, Transaction, WatchOutcome,
@@ -9,42 +9,44 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Longest answer, bytes: pages and documents are about a megabyte at most, in base64.
-const ANSWER_BYTES: u64 = 4 << 20;
-/// Longest wait for a connection; within a region one stands after a few milliseconds.
-const CONNECT: Duration = Duration::from_millis(700);
+/// Maximum response length. Pages and documents have about a megabyte at most, in base64.
+const MAX_RESPONSE_BYTES: u64 = 4 << 20;
+/// Maximum time to connect. Within a region a connection takes a few milliseconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A whole answer.
-struct Answer {
+/// A complete response.
+struct Response {
     status: u16,
     era: u64,
     body: Vec<u8>,
 }
 
-/// A client with one kept connection; calls go one after the other. Time limits of calls hold until an answer begins to arrive, and
-/// for its whole only while it stalls.
+/// A client with one persistent connection, over which calls go one after the other.
+///
+/// The time limit of a call applies until the response starts to arrive. After that, only a stalled response fails the
+/// call.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
     codec: Codec,
-    kept: Mutex<Option<Source>>,
+    idle: Mutex<Option<Source>>,
 }
 
 impl Client {
-    /// A client without a connection.
+    /// Creates a client. It connects at the first call.
     pub fn new(address: SocketAddr, codec: Codec) -> Self {
         Self {
             address,
             codec,
-            kept: Mutex::new(None),
+            idle: Mutex::new(None),
         }
     }
 
-    /// All items under a prefix, and the store's position before the first page was read: a watch that begins there
-    /// misses nothing, since pages are no snapshot.
+    /// Reads all items under a prefix, and the store's position as of the first page. A watch from there misses
+    /// nothing, although the pages are no snapshot.
     ///
     /// # Errors
-    /// A page could not be read, or the store came back from a copy between two pages.
+    /// A page could not be read, or the store was restored from a backup between two pages.
     pub async fn all(&self, prefix: &str, within: Duration) -> Result<(Vec<Item>, Position), ItemsError> {
         let (first, era) = self.page(prefix, None, within).await?;
         let position = Position {
@@ -67,17 +69,17 @@
         Ok((items, position))
     }
 
-    /// A page, and the era that it was read in.
+    /// Reads a page of items and the era in which it was read.
     async fn page(&self, prefix: &str, after: Option<&str>, within: Duration) -> Result<(Page, u64), ItemsError> {
-        let answer = self.call(&(self.codec.range)(prefix, after), within).await?;
-        expect_ok(answer.status)?;
-        Ok(((self.codec.page)(&answer.body)?, answer.era))
+        let response = self.call(&(self.codec.range)(prefix, after), within).await?;
+        expect_ok(response.status)?;
+        Ok(((self.codec.page)(&response.body)?, response.era))
     }
 
     /// Waits for changes under a prefix after a position.
     ///
     /// # Errors
-    /// No answer came within `wait` and `grace`, or the store refused.
+    /// No response came within `wait` plus `grace`, or the store rejected the call.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -86,91 +88,92 @@
         grace: Duration,
     ) -> Result<WatchOutcome, ItemsError> {
         let call = (self.codec.watch)(prefix, after.revision, wait);
-        let answer = self.call(&call, wait + grace).await?;
-        if answer.status != 410 {
-            expect_ok(answer.status)?;
+        let response = self.call(&call, wait + grace).await?;
+        if response.status != 410 {
+            expect_ok(response.status)?;
         }
-        if answer.era != after.era {
-            return Ok(WatchOutcome::Restored(answer.era));
+        if response.era != after.era {
+            return Ok(WatchOutcome::Restored(response.era));
         }
-        if answer.status == 410 {
+        if response.status == 410 {
             return Ok(WatchOutcome::Compacted);
         }
-        let changes: Changes = (self.codec.changes)(&answer.body)?;
+        let changes: Changes = (self.codec.changes)(&response.body)?;
         Ok(WatchOutcome::Changes(changes))
     }
 
-    /// Carries out a transaction, sent once.
+    /// Commits a transaction. The call is sent once.
     ///
     /// # Errors
-    /// The outcome is known only for [`ItemsError::NotSent`] and [`ItemsError::Refused`]: nothing was done.
+    /// After [`ItemsError::NotSent`] and [`ItemsError::Refused`] nothing was written. After other errors the outcome is
+    /// unknown.
     pub async fn commit(&self, transaction: &Transaction, within: Duration) -> Result<CommitOutcome, ItemsError> {
-        let answer = self.call(&(self.codec.transaction)(transaction), within).await?;
-        match answer.status {
-            200 => Ok(CommitOutcome::Done((self.codec.committed)(&answer.body)?)),
+        let response = self.call(&(self.codec.transaction)(transaction), within).await?;
+        match response.status {
+            200 => Ok(CommitOutcome::Done((self.codec.committed)(&response.body)?)),
             404 => Ok(CommitOutcome::NoLease),
             412 => Ok(CommitOutcome::Conflict),
             status => Err(ItemsError::Refused(status)),
         }
     }
 
-    /// Asks for a lease.
+    /// Requests a lease.
     ///
     /// # Errors
-    /// None was granted, or the answer was lost; then it lapses by itself.
+    /// No lease was granted, or the response was lost. In the latter case the lease expires by itself.
     pub async fn grant(&self, ttl: Duration, within: Duration) -> Result<Granted, ItemsError> {
-        let answer = self.call(&(self.codec.grant)(ttl), within).await?;
-        expect_ok(answer.status)?;
-        Ok((self.codec.granted)(&answer.body)?)
+        let response = self.call(&(self.codec.grant)(ttl), within).await?;
+        expect_ok(response.status)?;
+        Ok((self.codec.granted)(&response.body)?)
     }
 
     /// Renews a lease; `None` if it has ended.
     ///
     /// # Errors
-    /// It may or may not have been renewed.
+    /// The lease may or may not have been renewed.
     pub async fn renew(&self, lease: u64, within: Duration) -> Result<Option<Duration>, ItemsError> {
-        let answer = self.call(&(self.codec.renew)(lease), within).await?;
-        if answer.status == 404 {
+        let response = self.call(&(self.codec.renew)(lease), within).await?;
+        if response.status == 404 {
             return Ok(None);
         }
-        expect_ok(answer.status)?;
-        Ok(Some((self.codec.renewed)(&answer.body)?))
+        expect_ok(response.status)?;
+        Ok(Some((self.codec.renewed)(&response.body)?))
     }
 
     /// Ends a lease.
     ///
     /// # Errors
-    /// It may go on until it lapses.
+    /// The lease may last until it expires.
     pub async fn release(&self, lease: u64, within: Duration) -> Result<(), ItemsError> {
         self.call(&(self.codec.release)(lease), within).await.map(|_| ())
     }
 
-    async fn call(&self, call: &Call, within: Duration) -> Result<Answer, ItemsError> {
-        let until = Instant::now() + within;
-        let mut kept = self.kept.lock().await;
-        let source = match kept.take() {
+    async fn call(&self, call: &Call, within: Duration) -> Result<Response, ItemsError> {
+        let deadline = Instant::now() + within;
+        let mut idle = self.idle.lock().await;
+        let source = match idle.take() {
             Some(source) => source,
-            None => self.open(until).await?,
+            None => self.open(deadline).await?,
         };
         let headers = Headers::default();
         let conn = source.conn().clone();
         let before = conn.received();
-        let sent = call.send(source, self.address, &headers, ANSWER_BYTES);
-        match progressing(left(until), || conn.received(), sent).await {
-            Ok(Ok(called)) => {
-                *kept = called.kept;
-                Ok(Answer {
-                    status: called.status,
-                    era: (self.codec.era)(&called.headers),
-                    body: called.body,
+        let sent = call.send(source, self.address, &headers, MAX_RESPONSE_BYTES);
+        match progressing(remaining(deadline), || conn.received(), sent).await {
+            Ok(Ok(response)) => {
+                *idle = response.kept;
+                Ok(Response {
+                    status: response.status,
+                    era: (self.codec.era)(&response.headers),
+                    body: response.body,
                 })
             }
             Ok(Err(_)) | Err(_) => Err(ItemsError::Lost(conn.received() - before)),
         }
     }
 
-    async fn open(&self, until: Instant) -> Result<Source, ItemsError> {
-        let source = connect(self.address, left(until).min(CONNECT)).await;
+    async fn open(&self, deadline: Instant) -> Result<Source, ItemsError> {
+        let source = connect(self.address, remaining(deadline).min(CONNECT_TIMEOUT)).await;
         source.map_err(|_| ItemsError::NotSent)
     }
 }
@@ -182,6 +185,6 @@
     Err(ItemsError::Refused(status))
 }
 
-fn left(until: Instant) -> Duration {
-    until.saturating_duration_since(Instant::now())
+fn remaining(deadline: Instant) -> Duration {
+    deadline.saturating_duration_since(Instant::now())
 }
--- a/crates/store/src/items/log.rs
+++ b/crates/store/src/items/log.rs
@@ -1,49 +1,51 @@
-//! What a router knows of the service, for those that follow it: the items, and what changed after a revision.
+//! A router's copy of the service's items and recent removals, from which it serves followers.
 
 use super::{Change, Item, Position};
 use std::collections::BTreeMap;
 
-/// Removed keys that are remembered; whoever is further behind gets everything.
-const REMOVALS: usize = 1_000;
+/// Maximum number of revisions with removals that are kept. A follower that is further behind gets all items.
+const MAX_REMOVALS: usize = 1_000;
 
-/// The items as of a revision, with the removals that led there.
+/// The items as of a position, with the removals before it.
 #[derive(Debug, Clone, Default)]
 pub struct ItemLog {
-    /// Position up to which all is known.
+    /// Position up to which the log is complete; `None` before the first read.
     position: Option<Position>,
-    /// Removals are known after this revision.
+    /// Removals after this revision are complete.
     floor: u64,
     items: BTreeMap<String, Item>,
     removed: BTreeMap<u64, Vec<String>>,
 }
 
-/// What came after a position.
+/// The changes after a position.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ItemDelta {
     /// Position up to which this is complete.
     pub position: Option<Position>,
-    /// Whether `items` is all there is.
+    /// Whether `items` holds all items; otherwise it holds only the changed ones.
     pub whole: bool,
-    /// Items.
+    /// All or the changed items, see `whole`.
     pub items: Vec<Item>,
-    /// Keys that have gone.
+    /// Removed keys.
     pub removed: Vec<String>,
 }
 
 impl ItemLog {
-    /// Position up to which all is known.
+    /// Position up to which the log is complete; `None` before the first read.
     pub fn position(&self) -> Option<Position> {
         self.position
     }
 
     /// Items under a prefix.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Item> {
-        let from = self.items.range(prefix.to_owned()..);
-        from.map(|(_, item)| item)
+        let start = self.items.range(prefix.to_owned()..);
+        start
+            .map(|(_, item)| item)
             .take_while(move |item| item.key.starts_with(prefix))
     }
 
-    /// Everything as of a position. What was known of removals doesn't matter any more.
+    /// Replaces all items with those as of a position and discards the removals. Followers at earlier positions get all
+    /// items.
     pub fn replace(&mut self, items: &[Item], position: Position) {
         self.items = items.iter().map(|item| (item.key.clone(), item.clone())).collect();
         self.removed.clear();
@@ -51,7 +53,7 @@
         self.position = Some(position);
     }
 
-    /// Changes up to a position of the same era.
+    /// Applies the changes up to a position of the same era.
     pub fn apply(&mut self, changes: &[Change], position: Position) {
         for change in changes {
             match change {
@@ -65,19 +67,19 @@
             }
         }
         self.position = self.position.max(Some(position));
-        while self.removed.len() > REMOVALS {
+        while self.removed.len() > MAX_REMOVALS {
             if let Some((oldest, _)) = self.removed.pop_first() {
                 self.floor = self.floor.max(oldest);
             }
         }
     }
 
-    /// Whether anything came after a position.
+    /// Whether the log is ahead of a position.
     pub fn has_changes(&self, after: Option<Position>) -> bool {
         self.position > after
     }
 
-    /// What came after a position.
+    /// The changes after a position. All items if the position has another era or is older than the kept removals.
     pub fn since(&self, after: Option<Position>) -> ItemDelta {
         let era = self.position.map(|position| position.era);
         let after = after.filter(|after| Some(after.era) == era && after.revision >= self.floor);
@@ -89,14 +91,14 @@
                 removed: Vec::new(),
             };
         };
-        let newer = self.items.values().filter(|item| item.revision > after);
-        let gone = self.removed.range(after + 1..).flat_map(|(_, keys)| keys);
-        let gone = gone.filter(|key| !self.items.contains_key(*key));
+        let changed = self.items.values().filter(|item| item.revision > after);
+        let removed = self.removed.range(after + 1..).flat_map(|(_, keys)| keys);
+        let removed = removed.filter(|key| !self.items.contains_key(*key));
         ItemDelta {
             position: self.position,
             whole: false,
-            items: newer.cloned().collect(),
-            removed: gone.cloned().collect(),
+            items: changed.cloned().collect(),
+            removed: removed.cloned().collect(),
         }
     }
 }
--- a/crates/store/src/items/mod.rs
+++ b/crates/store/src/items/mod.rs
@@ -1,7 +1,7 @@
 //! Client of a key-value service that has transactions, leases and watches over prefixes.
 //!
-//! How a call looks on the wire is a matter of a [`Codec`]; this module keeps the connections, the time limits and the
-//! difference between a call that was never sent and one whose answer was lost.
+//! A [`Codec`] defines the format of calls. This module manages connections and time limits, and distinguishes calls
+//! that were never sent from calls whose response was lost.
 
 mod client;
 mod log;
--- a/crates/store/src/items/types.rs
+++ b/crates/store/src/items/types.rs
@@ -1,18 +1,19 @@
-//! Values of the service and the codec that brings them to the wire.
+//! Values of the service, and the codec that encodes and decodes its calls.
 
 use http::raw::{Call, Headers};
 use quick_error::quick_error;
 use std::time::Duration;
 
-/// How far the service's history is known.
+/// A position in the service's history.
 ///
-/// A service that comes back from a copy has lost what was written since, and gives those revisions out again: they say
-/// nothing without the era, which rises each time. A service that names no era stays in era 0.
+/// A service that was restored from a backup has lost later writes and assigns their revisions again. Revisions are
+/// therefore only comparable within an era, and each restore starts a new, higher era. A service without eras stays in
+/// era 0.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// How often the service has come back from a copy.
+    /// Era of the service; higher after each restore from a backup.
     pub era: u64,
-    /// Its revision in that era.
+    /// Revision within the era.
     pub revision: u64,
 }
 
@@ -21,13 +22,13 @@
 pub struct Item {
     /// The key.
     pub key: String,
-    /// Its bytes.
+    /// The value.
     pub value: Vec<u8>,
     /// Store revision of its last change.
     pub revision: u64,
     /// Store revision of its creation.
     pub created: u64,
-    /// The lease it goes with; 0 for none.
+    /// The lease that it expires with; 0 for none.
     pub lease: u64,
 }
 
@@ -38,41 +39,41 @@
     Written(Item),
     /// A key was removed, or its lease ended.
     Removed {
-        /// Which.
+        /// The key.
         key: String,
         /// Store revision of the removal.
         revision: u64,
     },
 }
 
-/// A page of the items under a prefix. Pages are no snapshot.
+/// A page of the items under a prefix. Successive pages are no consistent snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
-    /// In order of keys.
+    /// Items in key order.
     pub items: Vec<Item>,
-    /// Whether more follow after the last of these.
+    /// Whether more items follow after the last one.
     pub more: bool,
     /// Store revision of this page.
     pub revision: u64,
 }
 
-/// Changes in the order in which they happened.
+/// Changes of a watched prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Changes {
-    /// Empty if nothing happened while the watch waited.
+    /// Changes in the order in which they happened; empty if there were none while the watch waited.
     pub changes: Vec<Change>,
-    /// Store revision to go on from.
+    /// Store revision after which the next watch continues.
     pub revision: u64,
 }
 
-/// What a watch brought.
+/// Outcome of a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchOutcome {
-    /// Changes after the revision that was asked for.
+    /// Changes after the requested revision.
     Changes(Changes),
-    /// The service has dropped that part of its history: all must be read again.
+    /// The service no longer has that part of its history. All items must be read again.
     Compacted,
-    /// The service has come back from a copy, in this era: all must be read again.
+    /// The service was restored from a backup and is in this era. All items must be read again.
     Restored(u64),
 }
 
@@ -81,16 +82,16 @@
 pub struct Write {
     /// The key.
     pub key: String,
-    /// Its bytes.
+    /// The value.
     pub value: Vec<u8>,
-    /// The key goes when this lease ends; 0 for none.
+    /// The key is removed when this lease ends; 0 for none.
     pub lease: u64,
 }
 
-/// All or nothing.
+/// Writes that are applied together or not at all.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// Keys and the revisions they must have; 0 for a key that must not exist.
+    /// Keys and their required revisions; 0 for a key that must not exist.
     pub expected: Vec<(String, u64)>,
     /// Keys to write.
     pub writes: Vec<Write>,
@@ -99,9 +100,9 @@
 /// Outcome of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// Done, at this store revision.
+    /// Applied at this store revision.
     Done(u64),
-    /// An expected revision differs.
+    /// A key has another revision than required.
     Conflict,
     /// The lease has ended.
     NoLease,
@@ -112,15 +113,15 @@
 pub struct Granted {
     /// Its id.
     pub lease: u64,
-    /// Its time to live, counted from the call's arrival.
+    /// Its time to live, from the time when the call arrived at the service.
     pub ttl: Duration,
 }
 
 quick_error! {
-    /// Bytes that are not what was expected.
+    /// A response that cannot be decoded.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Unreadable {
-        /// What is wrong.
+        /// Description of the problem.
         Why(text: String) {
             from()
             display("{text}")
@@ -136,51 +137,51 @@
         NotSent {
             display("the store cannot be reached")
         }
-        /// No whole answer came: a write may have taken effect, or may still.
+        /// No complete response arrived: a write may have taken effect, or may do so later.
         Lost(received: u64) {
-            display("the store's answer was lost, {received} bytes of it had arrived")
+            display("the store's response was lost, {received} bytes received")
         }
-        /// The store came back from a copy while it was read.
+        /// The store was restored from a backup between two pages.
         Restored {
-            display("the store came back from a copy while it was read")
+            display("the store was restored from a backup while it was read")
         }
-        /// The store refused the call and did nothing.
+        /// The store rejected the call without any effect.
         Refused(status: u16) {
-            display("the store answered with status {status}")
+            display("the store responded with status {status}")
         }
-        /// The answer cannot be read.
+        /// The response cannot be decoded.
         Unreadable(err: Unreadable) {
             from()
-            display("the store's answer cannot be read: {err}")
+            display("the store's response cannot be decoded: {err}")
         }
     }
 }
 
-/// How calls and answers look on the wire.
+/// Encoders of calls and decoders of responses.
 #[derive(Debug, Clone, Copy)]
 pub struct Codec {
-    /// The era that an answer was given in.
+    /// The era in a response's headers.
     pub era: fn(&Headers) -> u64,
-    /// Items under a prefix, after a key.
+    /// Call that reads a page of items under a prefix, after a key.
     pub range: fn(prefix: &str, after: Option<&str>) -> Call,
-    /// Answer to a range.
+    /// Response to `range`.
     pub page: fn(&[u8]) -> Result<Page, Unreadable>,
-    /// Changes under a prefix after a revision; waits for the first one.
+    /// Call that waits for changes under a prefix after a revision.
     pub watch: fn(prefix: &str, after: u64, wait: Duration) -> Call,
-    /// Answer to a watch.
+    /// Response to `watch`.
     pub changes: fn(&[u8]) -> Result<Changes, Unreadable>,
-    /// A transaction.
+    /// Call that commits a transaction.
     pub transaction: fn(&Transaction) -> Call,
-    /// Answer to a transaction: the revision.
+    /// Response to `transaction`: its store revision.
     pub committed: fn(&[u8]) -> Result<u64, Unreadable>,
-    /// Asks for a lease.
+    /// Call that requests a lease.
     pub grant: fn(Duration) -> Call,
-    /// Answer with a lease.
+    /// Response to `grant`.
     pub granted: fn(&[u8]) -> Result<Granted, Unreadable>,
-    /// Renews a lease.
+    /// Call that renews a lease.
     pub renew: fn(u64) -> Call,
-    /// Answer to a renewal: time to live.
+    /// Response to `renew`: the time to live.
     pub renewed: fn(&[u8]) -> Result<Duration, Unreadable>,
-    /// Ends a lease.
+    /// Call that ends a lease.
     pub release: fn(u64) -> Call,
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,8 @@
 //! Client of the platform's key-value service.
 //!
-//! Each call counts against a rate that all VMs share, so the client never repeats one by itself. A write whose
-//! answer was lost is told apart from one that was never sent: the caller settles it by reading back.
+//! Each call counts against a rate limit that all VMs share, so the client never retries by itself. Errors distinguish
+//! a write that was never sent from one whose response was lost. After a lost response, the caller reads the key to
+//! learn the outcome.
 
 mod calls;
 mod error;
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -1,4 +1,4 @@
-//! What a router tells those that follow it.
+//! The item log from which a router serves its followers.
 
 use std::collections::BTreeMap;
 use store::items::{Change, Item, ItemDelta, ItemLog, Position};
@@ -25,7 +25,7 @@
     Position { era: 3, revision }
 }
 
-/// A router with `a` and `b` as of 5, then `c` written, `a` removed and `b` changed.
+/// A log with `a` and `b` as of revision 5, then `c` written, `a` removed and `b` changed.
 fn log() -> ItemLog {
     let mut log = ItemLog::default();
     log.replace(&[item("a", 3), item("b", 5)], at(5));
@@ -34,9 +34,9 @@
     log
 }
 
-/// A follower that misses a removal sends requests to an endpoint that is gone; one that is told too much only works more.
+/// A follower that misses a removal sends requests to a removed endpoint. Superfluous items only cost it work.
 #[test]
-fn a_follower_is_told_what_it_lacks() {
+fn a_follower_gets_all_changes_after_its_position() {
     struct Case {
         after: Option<u64>,
         whole: bool,
@@ -50,7 +50,7 @@
             items: &["b", "c"],
             removed: &[],
         },
-        // What was removed before this router knew anything can't be told.
+        // Removals before the first read are unknown, so the follower gets all items.
         Case {
             after: Some(4),
             whole: true,
@@ -84,12 +84,12 @@
     ];
     let log = log();
     for case in cases {
-        let since = log.since(case.after.map(at));
-        let items: Vec<&str> = since.items.iter().map(|item| item.key.as_str()).collect();
+        let delta = log.since(case.after.map(at));
+        let items: Vec<&str> = delta.items.iter().map(|item| item.key.as_str()).collect();
         assert_eq!(items, case.items, "{:?}", case.after);
-        assert_eq!(since.removed, case.removed, "{:?}", case.after);
+        assert_eq!(delta.removed, case.removed, "{:?}", case.after);
         assert_eq!(
-            (since.whole, since.position),
+            (delta.whole, delta.position),
             (case.whole, Some(at(8))),
             "{:?}",
             case.after
@@ -98,13 +98,14 @@
     }
 }
 
-/// Whoever follows by any steps ends with the same items as the router it follows.
+/// A lost change would make a follower differ from its upstream for good. A follower that applies deltas at irregular
+/// positions must end with the same items.
 #[test]
-fn followers_end_with_the_same_items() {
-    let mut leader = ItemLog::default();
-    leader.replace(&[item("k0", 1)], at(1));
+fn followers_converge_to_the_same_items() {
+    let mut upstream = ItemLog::default();
+    upstream.replace(&[item("k0", 1)], at(1));
     let mut follower: BTreeMap<String, u64> = BTreeMap::from([("k0".to_owned(), 1)]);
-    let mut known = 1;
+    let mut position = 1;
     for revision in 2..400 {
         let key = format!("k{}", revision * 7 % 11);
         let change = if revision % 3 == 0 {
@@ -112,35 +113,36 @@
         } else {
             Change::Written(item(&key, revision))
         };
-        leader.apply(&[change], at(revision));
+        upstream.apply(&[change], at(revision));
         if revision % 5 != 0 {
             continue;
         }
-        follow(&mut follower, leader.since(Some(at(known))));
-        known = revision;
+        follow(&mut follower, upstream.since(Some(at(position))));
+        position = revision;
     }
-    follow(&mut follower, leader.since(Some(at(known))));
-    let all = leader.since(None).items.into_iter();
+    follow(&mut follower, upstream.since(Some(at(position))));
+    let all = upstream.since(None).items.into_iter();
     let expected: BTreeMap<String, u64> = all.map(|item| (item.key, item.revision)).collect();
     assert_eq!(follower, expected);
 }
 
-fn follow(follower: &mut BTreeMap<String, u64>, since: ItemDelta) {
-    follower.retain(|key, _| !since.removed.contains(key));
-    follower.extend(since.items.into_iter().map(|item| (item.key, item.revision)));
+fn follow(follower: &mut BTreeMap<String, u64>, delta: ItemDelta) {
+    follower.retain(|key, _| !delta.removed.contains(key));
+    follower.extend(delta.items.into_iter().map(|item| (item.key, item.revision)));
 }
 
-/// A follower of another era has other items under the same revisions: it is told everything, and never that it is ahead.
+/// A follower with the position of an earlier era has other items under the same revisions. It must get all items, even
+/// if its revision is higher.
 #[test]
-fn a_follower_of_an_earlier_era_is_told_everything() {
+fn a_follower_from_an_earlier_era_gets_all_items() {
     let mut log = log();
     log.replace(&[item("a", 3)], Position { era: 4, revision: 4 });
     for revision in [1, 4, 8] {
         let after = Some(at(revision));
         assert!(log.has_changes(after), "{revision}");
-        let since = log.since(after);
-        assert!(since.whole, "{revision}");
-        assert_eq!(since.items, [item("a", 3)], "{revision}");
+        let delta = log.since(after);
+        assert!(delta.whole, "{revision}");
+        assert_eq!(delta.items, [item("a", 3)], "{revision}");
     }
     assert!(!log.has_changes(Some(Position { era: 5, revision: 1 })));
 }
--- a/crates/wire/src/client/completion.rs
+++ b/crates/wire/src/client/completion.rs
@@ -1,13 +1,13 @@
-//! What a router reads of a completion's body; all other fields go on to the engine unread.
+//! The fields that a router reads from a completion request. All other fields are forwarded to the engine unread.
 //!
-//! The visitor is written by hand, since this is read for each request and prompts are long: texts without escapes are
-//! borrowed from the body, and fields that are not ours are skipped without being built.
+//! The visitor is written by hand for speed, since every request is parsed and prompts are long. Strings without escapes
+//! are borrowed from the body, and other fields are skipped without allocation.
 
 use serde::de::{Deserialize, Deserializer, Error, IgnoredAny, MapAccess, Visitor};
 use std::borrow::Cow;
 use std::fmt;
 
-/// The part of a completion's body that a router needs.
+/// The part of a completion request that a router needs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Completion<'a> {
     /// The model.
@@ -16,23 +16,23 @@
     pub prompt: Option<Cow<'a, str>>,
     /// The messages of `/v1/chat/completions`.
     pub messages: Option<Vec<Message<'a>>>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: Option<u32>,
-    /// Whether the answer is to come as server-sent events.
+    /// Whether the response is requested as server-sent events.
     pub stream: bool,
 }
 
 /// One message of a chat.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Message<'a> {
-    /// Who speaks.
+    /// Role of the author.
     pub role: Cow<'a, str>,
-    /// What they say.
+    /// Text of the message.
     pub content: Cow<'a, str>,
 }
 
 impl Completion<'_> {
-    /// The prompt as text: a chat is rendered message by message, each as `role`, newline, content, newline.
+    /// The prompt as text. A chat is rendered message by message, each as role, newline, content, newline.
     pub fn rendered(&self) -> Cow<'_, str> {
         if let Some(prompt) = &self.prompt {
             return Cow::Borrowed(prompt);
@@ -48,7 +48,7 @@
     }
 }
 
-/// A text that is borrowed where the JSON holds no escapes.
+/// A string that is borrowed if its JSON has no escapes.
 struct Text<'a>(Cow<'a, str>);
 
 impl<'de> Deserialize<'de> for Text<'de> {
@@ -98,15 +98,15 @@
         let mut stream = None;
         while let Some(Text(field)) = map.next_key()? {
             match field.as_ref() {
-                "model" => once(&mut model, "model", map.next_value::<Text>()?.0)?,
-                "prompt" => once(
+                "model" => set_once(&mut model, "model", map.next_value::<Text>()?.0)?,
+                "prompt" => set_once(
                     &mut prompt,
                     "prompt",
                     map.next_value::<Option<Text>>()?.map(|text| text.0),
                 )?,
-                "messages" => once(&mut messages, "messages", map.next_value()?)?,
-                "max_tokens" => once(&mut max_tokens, "max_tokens", map.next_value()?)?,
-                "stream" => once(&mut stream, "stream", map.next_value::<Option<bool>>()?)?,
+                "messages" => set_once(&mut messages, "messages", map.next_value()?)?,
+                "max_tokens" => set_once(&mut max_tokens, "max_tokens", map.next_value()?)?,
+                "stream" => set_once(&mut stream, "stream", map.next_value::<Option<bool>>()?)?,
                 _ => {
                     map.next_value::<IgnoredAny>()?;
                 }
@@ -142,8 +142,8 @@
         let mut content = None;
         while let Some(Text(field)) = map.next_key()? {
             match field.as_ref() {
-                "role" => once(&mut role, "role", map.next_value::<Text>()?.0)?,
-                "content" => once(&mut content, "content", map.next_value::<Text>()?.0)?,
+                "role" => set_once(&mut role, "role", map.next_value::<Text>()?.0)?,
+                "content" => set_once(&mut content, "content", map.next_value::<Text>()?.0)?,
                 _ => {
                     map.next_value::<IgnoredAny>()?;
                 }
@@ -156,8 +156,8 @@
     }
 }
 
-/// A field that stands twice would be read differently here and at the engine.
-fn once<T, E: Error>(slot: &mut Option<T>, name: &'static str, value: T) -> Result<(), E> {
+/// Rejects duplicate fields. The router and the engine could each use a different one of the two.
+fn set_once<T, E: Error>(slot: &mut Option<T>, name: &'static str, value: T) -> Result<(), E> {
     if slot.replace(value).is_some() {
         return Err(E::duplicate_field(name));
     }
--- a/crates/wire/src/client/mod.rs
+++ b/crates/wire/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! What callers speak: the completions interface of this ecosystem, and one JSON form for refusals.
+//! The client interface: the common completions API of inference servers, and one JSON format for errors.
 
 mod completion;
 
@@ -8,23 +8,23 @@
 use ids::RequestId;
 use serde::{Deserialize, Serialize};
 
-/// Whether a refused or failed request may have run.
+/// Whether a rejected or failed request may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[display(rename_all = "snake_case")]
 pub enum Ran {
     /// Nothing was executed.
     NotRun,
-    /// It may have been executed, wholly or in part.
+    /// It may have been executed, completely or in part.
     Unknown,
 }
 
-/// Stable codes of refusals.
+/// Stable error codes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[display(rename_all = "snake_case")]
 pub enum Code {
-    /// The request cannot be understood.
+    /// The request is malformed.
     InvalidRequest,
     /// The body is too large.
     BodyTooLarge,
@@ -34,46 +34,46 @@
     NotFound,
     /// The workspace's limit is reached.
     RateLimited,
-    /// The system is full.
+    /// The system has no free capacity.
     Overloaded,
     /// The deadline cannot be met or has passed.
     DeadlineExceeded,
     /// No endpoint can serve it now.
     NoEndpoint,
-    /// The endpoint failed before its answer was whole.
+    /// The endpoint failed before its response was complete.
     EndpointFailed,
-    /// The key was used for another call.
+    /// The idempotency key was used for a different call.
     KeyReused,
-    /// A call of this key is still running.
+    /// A call with this idempotency key is still running.
     InProgress,
-    /// The key's claim cannot be made while the platform is out of reach.
+    /// The idempotency key cannot be claimed because the platform is unreachable.
     ClaimUnavailable,
     /// The router is shutting down.
     ShuttingDown,
     /// The router has no configuration yet.
     NotReady,
-    /// A fault of the router.
+    /// An internal error of the router.
     Internal,
 }
 
-/// A refusal as callers see it, under the key `error`.
+/// An error as clients receive it, under the JSON key `error`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
     /// Stable code.
     pub code: Code,
-    /// For people; may change.
+    /// Human-readable; may change.
     pub message: String,
     /// Whether the request may have run.
     pub ran: Ran,
-    /// When to come back, milliseconds; also in `Retry-After`, rounded up to seconds.
+    /// Time to wait before a retry, milliseconds; also in `Retry-After`, rounded up to seconds.
     pub retry_after_ms: Option<u64>,
     /// The request's id.
     pub request_id: RequestId,
 }
 
-/// The JSON body of a refusal.
+/// The JSON body of an error response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RefusalBody {
-    /// The refusal.
+    /// The error.
     pub error: Refusal,
 }
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -1,38 +1,38 @@
-//! What an engine speaks, as HTTP with JSON bodies.
+//! Interface of engines: HTTP with JSON bodies.
 //!
-//! | call | answer |
+//! | call | response |
 //! | --- | --- |
 //! | `POST /v1/completions`, `POST /v1/chat/completions` | 200 JSON, or server-sent events numbered by their `id` from 0 and ending in `[DONE]`; 409 [`Refused`] |
-//! | `POST /v1/cancel?request=ID` | 204, also when it is unknown |
+//! | `POST /v1/cancel?request=ID` | 204, also if the request is unknown |
 //! | `GET /v1/load` | 200 [`Load`] |
 //! | `GET /v1/events?after=N&wait_ms=W` | 200 [`Events`] |
 //! | `POST /v1/orders` with [`Order`] | 200 [`OrderDone`]; 409 [`Refused`] |
 //! | `GET /v1/blocks?scope=S&hash=H` | 200 [`Block`]; 404 |
 //! | `POST /v1/blocks` with [`Block`] | 204 |
-//! | `GET /v1/sent?request=ID` | 200 the bytes of the answer as sent (the stand-in only) |
-//! | `POST /fault` with [`Fault`] | 204 (the stand-in only) |
+//! | `GET /v1/sent?request=ID` | 200 with the bytes of the response as sent (stand-in only) |
+//! | `POST /fault` with [`Fault`] | 204 (stand-in only) |
 
 use ids::{Fence, Incarnation, ModelId, WeightsVersion};
 use serde::{Deserialize, Serialize};
 
-/// An engine's report of its load; it lags.
+/// An engine's load report, which lags behind its actual load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// This life of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
     /// The model it serves.
     pub model: ModelId,
-    /// The weights it serves, absent while it loads.
+    /// The weights it serves, absent while it loads weights.
     pub weights: Option<WeightsVersion>,
-    /// Whether it takes new work.
+    /// Whether it is draining and accepts no new work.
     pub leaving: bool,
     /// Requests running.
     pub running: u32,
-    /// Requests waiting inside the engine.
+    /// Requests waiting in the engine's queue.
     pub waiting: u32,
     /// Prompt tokens still to be prefilled.
     pub prefill_tokens: u64,
-    /// Cached blocks in use and in all.
+    /// Cache blocks: in use, total.
     pub blocks: (u64, u64),
     /// Number of the newest cache event.
     pub newest_event: u64,
@@ -41,24 +41,24 @@
 /// A cache event: a block was stored or evicted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Grows by one; a gap means that events were lost.
+    /// Increases by one per event; a gap means that events were lost.
     pub number: u64,
-    /// Hash of the block's chain, hexadecimal.
+    /// Hash of the chain of blocks up to this one, hexadecimal.
     pub block: String,
-    /// Stored, or else evicted.
+    /// Whether the block was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
-/// Events after the number that was asked for.
+/// Events after the requested number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Events {
-    /// This life of the engine; numbers start again with each.
+    /// Incarnation of the engine; event numbers restart with each incarnation.
     pub incarnation: Incarnation,
-    /// Ascending, perhaps with gaps.
+    /// Events in ascending order, possibly with gaps.
     pub events: Vec<Event>,
 }
 
-/// What an order asks for.
+/// The action that an order requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
@@ -68,14 +68,14 @@
         model: ModelId,
         /// Its weights.
         weights: WeightsVersion,
-        /// Adapter on top, if any.
+        /// Adapter to apply, if any.
         adapter: Option<String>,
     },
     /// Take part in prefill, decode or both.
     Role(EngineRole),
 }
 
-/// Which part of the work an engine does.
+/// The phases of inference that an engine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
@@ -87,86 +87,86 @@
     Both,
 }
 
-/// An order; it states the wanted end, so that doing it twice does no harm.
+/// An order to an engine. It states the desired end state, which makes it idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number of the holder who gives it.
+    /// Fencing token of the lease holder that sends the order.
     pub fence: Fence,
-    /// The engine must not start on it later than this after receipt, milliseconds.
+    /// Time after receipt within which the engine must start on the order, milliseconds.
     pub expires_ms: u64,
-    /// The incarnation it is meant for.
+    /// The engine incarnation that the order is for.
     pub incarnation: Incarnation,
-    /// The wanted end.
+    /// The desired end state.
     pub action: Action,
 }
 
-/// An order was carried out.
+/// Response to an order that was carried out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderDone {
-    /// The engine's life that did it.
+    /// Incarnation of the engine that carried it out.
     pub incarnation: Incarnation,
 }
 
-/// Why an engine refused; a refused request or order has not run.
+/// An engine's rejection of a request or an order, which has then not run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
     /// The reason.
     pub reason: RefusedReason,
 }
 
-/// Reasons of an engine's refusal.
+/// Reasons for a rejection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusedReason {
     /// The engine serves other weights or is loading.
     OtherWeights,
-    /// The engine takes no new work.
+    /// The engine is draining and accepts no new work.
     Leaving,
     /// The engine's queue is full.
     Full,
-    /// The order's fencing number is older than one already seen.
+    /// The order's fencing token is older than one that the engine has seen.
     OldFence,
-    /// The order was meant for another life of the engine.
+    /// The order was for another incarnation of the engine.
     OtherIncarnation,
-    /// The order came too late.
+    /// The order expired before the engine started on it.
     Expired,
-    /// The request to resume cannot be met.
+    /// The stream cannot be resumed at the requested event.
     CannotResume,
 }
 
-/// A kept cache block on its way between engines.
+/// A cache block, as transferred between engines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Block {
-    /// Cache scope it belongs to; never imported into another.
+    /// Cache scope that the block belongs to. It is never imported into another scope.
     pub scope: String,
-    /// Weights it was computed with; refused by others.
+    /// Weights that the block was computed with. Engines with other weights reject it.
     pub weights: WeightsVersion,
-    /// Hash of the block's chain, hexadecimal.
+    /// Hash of the chain of blocks up to this one, hexadecimal.
     pub hash: String,
-    /// Tokens it holds.
+    /// Number of tokens in the block.
     pub tokens: u32,
 }
 
-/// Fault switch of the stand-in; a field left out keeps its setting.
+/// Fault injection in the stand-in. An absent field keeps its setting.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Comes back empty under a new incarnation, cutting every connection.
+    /// Cuts all connections and restarts with an empty cache and a new incarnation.
     pub crash: Option<bool>,
-    /// Takes no new work from now on.
+    /// Starts draining: accepts no new work.
     pub leaving: Option<bool>,
-    /// Accepts calls and never answers.
+    /// Accepts calls and never responds.
     pub hang: Option<bool>,
-    /// Prefill and decode take this many times as long, in percent.
+    /// Duration of prefill and decode in percent of normal.
     pub slow_percent: Option<u32>,
-    /// The next this many streams break after [`Fault::break_at`] pieces.
+    /// This many of the next streams break after [`Fault::break_at`] events.
     pub break_streams: Option<u32>,
-    /// Pieces sent before a stream breaks; absent: before the head.
+    /// Events sent before a stream breaks. If absent, it breaks before the response head.
     pub break_at: Option<u64>,
-    /// The next this many answers bear another request's id.
+    /// This many of the next responses carry another request's id.
     pub cross_answers: Option<u32>,
-    /// The next this many JSON answers are shorter than declared.
+    /// This many of the next JSON responses are shorter than their declared length.
     pub cut_answers: Option<u32>,
-    /// Of 100 cache events this many are lost.
+    /// Percentage of cache events that are lost.
     pub lose_events_percent: Option<u32>,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Typed messages on every interface. Never does I/O.
+//! Message types of all interfaces. Never does I/O.
 //!
-//! `client` is what clients speak, `engine` and `service` what endpoints speak, `platform` what the key-value
-//! service speaks. Bodies are JSON; what a router adds to a forwarded call stands in headers, so that a
-//! caller's body goes on unchanged.
+//! `client` holds the interface to clients, `engine` and `service` those to endpoints, and `platform` the one to the
+//! key-value service. Bodies are JSON. A router adds its own data to a forwarded call as headers, so that a client's
+//! body is forwarded unchanged.
 
 pub mod client;
 pub mod engine;
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -1,73 +1,73 @@
-//! The platform's key-value service and its list of VMs, as HTTP with JSON bodies.
+//! Interface of the platform's key-value service and VM list: HTTP with JSON bodies.
 //!
-//! | call | answer |
+//! | call | response |
 //! | --- | --- |
-//! | `GET /v1/kv?key=K` | 200 [`Entry`]; 404 [`Entry`] without value, version 0 if the key never existed |
-//! | `PUT /v1/kv` with [`Put`] | 200 [`Put`]'s outcome as [`Entry`]; 409 with the current [`Entry`] |
+//! | `GET /v1/kv?key=K` | 200 [`Entry`]; 404 [`Entry`] without a value, version 0 if the key never existed |
+//! | `PUT /v1/kv` with [`Put`] | 200 with the new [`Entry`]; 409 with the current [`Entry`] |
 //! | `GET /v1/range?prefix=P` | 200 [`Entries`] |
-//! | `GET /v1/watch?key=K&after=V&wait_ms=W` | 200 [`Entry`] once its version passes `V`; 204 |
+//! | `GET /v1/watch?key=K&after=V&wait_ms=W` | 200 [`Entry`] once its version exceeds `V`; 204 after `W` ms |
 //! | `POST /v1/leases` with [`Grant`] | 200 [`Lease`] |
-//! | `POST /v1/leases/renew` with [`LeaseRef`] | 200 [`Lease`]; 404 once lapsed |
+//! | `POST /v1/leases/renew` with [`LeaseRef`] | 200 [`Lease`]; 404 once expired |
 //! | `POST /v1/leases/revoke` with [`LeaseRef`] | 204 |
 //! | `GET /v1/vms` | 200 [`VmList`] |
 //! | `GET /v1/calls` | 200 [`Calls`] (not counted) |
-//! | `POST /fault` with [`Fault`] | 204 (the stand-in only) |
+//! | `POST /fault` with [`Fault`] | 204 (stand-in only) |
 
 use ids::{DomainId, Version};
 use serde::{Deserialize, Serialize};
 
-/// A value with its version. A deleted value keeps growing its version and has no value.
+/// A key with its value and version. A deleted key has no value, but its version keeps increasing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The key.
     pub key: String,
     /// The value, absent if the key does not exist.
     pub value: Option<String>,
-    /// Grows with each write of this key; 0 if it never existed.
+    /// Increases with each write of this key; 0 if the key never existed.
     pub version: Version,
 }
 
 /// All entries below a prefix.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entries {
-    /// Sorted by key.
+    /// Entries, sorted by key.
     pub entries: Vec<Entry>,
 }
 
-/// A compare-and-swap.
+/// A compare-and-swap request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
     /// The key.
     pub key: String,
-    /// New value; absent deletes.
+    /// New value; absent to delete the key.
     pub value: Option<String>,
-    /// Version the key must have now.
+    /// Version that the key must have.
     pub expect: Version,
-    /// The value goes when this lease does.
+    /// The value is deleted when this lease ends.
     #[serde(default)]
     pub lease: Option<u64>,
 }
 
-/// Asks for a lease.
+/// Requests a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// Time to live without renewal, milliseconds.
     pub ttl_ms: u64,
 }
 
-/// Names a lease.
+/// Refers to a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRef {
-    /// The lease's id; ids only grow, so one serves as fencing number.
+    /// The lease's id. Ids only increase, so they serve as fencing tokens.
     pub id: u64,
 }
 
 /// A lease as granted or renewed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The lease's id; ids only grow, so one serves as fencing number.
+    /// The lease's id. Ids only increase, so they serve as fencing tokens.
     pub id: u64,
-    /// Time to live from the moment the platform answered, milliseconds.
+    /// Time to live from the platform's response on, milliseconds.
     pub ttl_ms: u64,
 }
 
@@ -77,7 +77,7 @@
 pub enum VmState {
     /// In service.
     Live,
-    /// Told to go; it finishes what it has.
+    /// Asked to shut down; finishes its current work.
     Leaving,
 }
 
@@ -94,7 +94,7 @@
     pub state: VmState,
 }
 
-/// The platform's list, which lags behind reality.
+/// The platform's VM list, which lags behind the actual state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
     /// VMs in no particular order.
@@ -104,25 +104,25 @@
 /// Calls counted so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Calls {
-    /// Reads, a waiting watch counted as one.
+    /// Reads. A watch counts as one read.
     pub reads: u64,
-    /// Writes, lease calls among them.
+    /// Writes, including lease calls.
     pub writes: u64,
-    /// Watches among the reads.
+    /// Watches, which are included in the reads.
     pub watches: u64,
 }
 
-/// Fault switch of the stand-in; a field left out keeps its setting.
+/// Fault injection in the stand-in. An absent field keeps its setting.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Connections are closed without an answer.
+    /// Connections are closed without a response.
     pub down: Option<bool>,
-    /// Each answer waits this long, milliseconds.
+    /// Delay of each response, milliseconds.
     pub delay_ms: Option<u64>,
-    /// This many of the next writes take effect and lose their answer.
+    /// This many of the next writes take effect, but their response is lost.
     pub lose_answers: Option<u32>,
-    /// How far the VM list lags, milliseconds.
+    /// Lag of the VM list, milliseconds.
     pub list_lag_ms: Option<u64>,
     /// Replaces the list of VMs.
     pub vms: Option<Vec<Vm>>,
--- a/crates/wire/src/service.rs
+++ b/crates/wire/src/service.rs
@@ -1,17 +1,17 @@
-//! What a plain service speaks: any method below its address, JSON or bytes.
+//! Interface of plain services: any method and path, JSON or bytes.
 //!
-//! | call | answer |
+//! | call | response |
 //! | --- | --- |
 //! | `POST /ANY/PATH` | 200 [`Done`] |
 //! | `GET /v1/load` | 200 [`Load`] |
-//! | `GET /v1/executions` | 200 [`Executions`] (the stand-in only) |
-//! | `POST /fault` with [`Fault`] | 204 (the stand-in only) |
+//! | `GET /v1/executions` | 200 [`Executions`] (stand-in only) |
+//! | `POST /fault` with [`Fault`] | 204 (stand-in only) |
 
 use ids::Incarnation;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Answer of the stand-in: which call it was, and its how-manieth execution.
+/// Response of the stand-in: the call and the number of its execution.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Done {
     /// The path that was called.
@@ -20,18 +20,18 @@
     pub key: Option<String>,
     /// Request id, if the call had one.
     pub request: Option<String>,
-    /// Count of executions in this life.
+    /// Number of executions in this incarnation so far.
     pub execution: u64,
     /// The body as received.
     pub echo: String,
 }
 
-/// A service's report of its load; it lags.
+/// A service's load report, which lags behind its actual load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// This life of the runner.
+    /// Incarnation of the runner.
     pub incarnation: Incarnation,
-    /// Whether it takes new work.
+    /// Whether it is draining and accepts no new work.
     pub leaving: bool,
     /// Calls running.
     pub running: u32,
@@ -48,21 +48,21 @@
     pub by_request: BTreeMap<String, u64>,
 }
 
-/// Fault switch of the stand-in; a field left out keeps its setting.
+/// Fault injection in the stand-in. An absent field keeps its setting.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Takes no new work from now on.
+    /// Starts draining: accepts no new work.
     pub leaving: Option<bool>,
-    /// Accepts calls and never answers.
+    /// Accepts calls and never responds.
     pub hang: Option<bool>,
     /// Each call takes this long, milliseconds.
     pub work_ms: Option<u64>,
-    /// The next this many calls are executed and then cut.
+    /// The connections of this many of the next calls are cut, see [`Fault::cut_at`].
     pub cut: Option<u32>,
-    /// Where the cut falls.
+    /// The point at which they are cut.
     pub cut_at: Option<CutAt>,
-    /// The next this many answers bear another request's id.
+    /// This many of the next responses carry another request's id.
     pub cross_answers: Option<u32>,
 }
 
@@ -70,14 +70,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CutAt {
-    /// The request is read, not executed, and the connection closed.
+    /// After the request was read, before execution.
     BeforeWork,
-    /// Executed, and closed before any byte of the answer.
+    /// After execution, before any byte of the response.
     BeforeHead,
-    /// Inside the answer's head.
+    /// Inside the response head.
     InHead,
-    /// After the head, before the body.
+    /// After the response head, before the body.
     AfterHead,
-    /// Inside the body.
+    /// Inside the response body.
     InBody,
 }
