--- a/crates/peers/src/events.rs
+++ b/crates/peers/src/events.rs
@@ -37,7 +37,7 @@
     pub sections: BTreeMap<Digest, String>,
 }
 
-/// Everything that a router publishes to its peers.
+/// The state that a router publishes to its peers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PublishedState {
     /// Whether the router is shutting down.
@@ -94,6 +94,6 @@
         /// The endpoints.
         endpoints: Vec<EndpointId>,
     },
-    /// A peer did not respond, or the connection to it failed. A new connection is opened.
+    /// The link to a peer failed, for example because the peer did not respond. It reconnects after a pause.
     LinkFailed(VmId),
 }
--- a/crates/peers/src/handle.rs
+++ b/crates/peers/src/handle.rs
@@ -116,8 +116,8 @@
 }
 
 impl Peers {
-    /// Creates a router without links that does not listen yet. Events go to `events`. Its reader must not fall behind
-    /// for long, because heartbeats wait while the channel is full.
+    /// Creates a router's peer interface, without links and not yet listening. Events go to `events`. Its reader must not
+    /// fall behind for long, because heartbeats wait while the channel is full.
     pub fn new(own: Member, events: Sender<Event>) -> Self {
         let inner = Inner {
             own,
@@ -143,8 +143,8 @@
         self.inner.state.store(Arc::new(state));
     }
 
-    /// Like [`publish`](Self::publish), but sends urgent changes to peers at once: a new revision, a draining endpoint,
-    /// a new incarnation of an endpoint, or the shutdown of this router.
+    /// Like [`publish`](Self::publish), but sends urgent changes without waiting for the next periodic heartbeat: a
+    /// new revision, a draining endpoint, a new incarnation of an endpoint, or the shutdown of this router.
     pub fn publish_now(&self, state: PublishedState) {
         self.publish(state);
         for entry in self.links.values() {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Closes all other links and opens the missing ones.
+    /// Sets the links: closes those that are not listed and opens the missing ones.
     pub fn set_links(&mut self, links: &[Link]) {
         let stale: Vec<VmId> = self
             .links
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -25,7 +25,8 @@
 /// Shortest time between two heartbeats, also for urgent changes.
 const MIN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Maintains the link until the task is cancelled. A message on `urgent` triggers a heartbeat at once.
+/// Maintains the link until the task is cancelled. A message on `urgent` triggers a heartbeat before
+/// the next periodic one.
 pub(crate) async fn maintain(link: Link, inner: Arc<Inner>, urgent: Receiver<()>) {
     let mut backoff = MIN_BACKOFF;
     loop {
--- a/crates/wire/src/client/completion.rs
+++ b/crates/wire/src/client/completion.rs
@@ -1,7 +1,7 @@
 //! The fields that a router reads from a completion request. All other fields are forwarded to the engine unread.
 //!
-//! The visitor is written by hand for speed, since every request is parsed and prompts are long. Strings without escapes
-//! are borrowed from the body, and other fields are skipped without allocation.
+//! The visitor is written by hand for speed, since every request is parsed and prompts are long. Strings without
+//! escapes are borrowed from the body, and other fields are skipped without allocation.
 
 use serde::de::{Deserialize, Deserializer, Error, IgnoredAny, MapAccess, Visitor};
 use std::borrow::Cow;
