--- a/crates/peers/src/handle.rs
+++ b/crates/peers/src/handle.rs
@@ -116,8 +116,8 @@
 }
 
 impl Peers {
-    /// Creates a router's peer interface, without links and not yet listening. Events go to `events`. Its reader must not
-    /// fall behind for long, because heartbeats wait while the channel is full.
+    /// Creates a router's peer interface, without links and not yet listening. Events go to `events`. Its reader must
+    /// not fall behind for long, because heartbeats wait while the channel is full.
     pub fn new(own: Member, events: Sender<Event>) -> Self {
         let inner = Inner {
             own,
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -91,7 +91,7 @@
     pub removed: Vec<String>,
     /// How long before this response the upstream last knew that the store held nothing newer, milliseconds.
     pub age_ms: Option<u64>,
-    /// When the store responded to the upstream; absent if it never did.
+    /// Period in which the store has responded to the upstream; absent if it never did.
     pub answers: Option<UptimeMessage>,
     /// How long the response waited for a change, milliseconds. The ages are measured at the end of this wait.
     pub waited_ms: u64,
@@ -195,7 +195,7 @@
         async fn backlog(told: BacklogMessage);
         /// Ages of recently set target weights.
         async fn names() -> Vec<TargetAgeMessage>;
-        /// When the store responded to the router.
+        /// Period in which the store has responded to the router.
         async fn uptime() -> Option<UptimeMessage>;
         /// Revision of the router's active document.
         async fn document() -> Option<Revision>;
@@ -220,7 +220,7 @@
     pub backlog: Handler<BacklogMessage, ()>,
     /// Ages of recently set target weights.
     pub target_ages: Handler<(), Vec<TargetAgeMessage>>,
-    /// When the store responded to the router.
+    /// Period in which the store has responded to the router.
     pub uptime: Handler<(), Option<UptimeMessage>>,
     /// Revision of the router's active document.
     pub document: Handler<(), Option<Revision>>,
@@ -367,7 +367,7 @@
         self.response(within, self.client.names(call_context(within))).await
     }
 
-    /// When the store responded to the router; absent if it never did.
+    /// Period in which the store has responded to the router; absent if it never did.
     ///
     /// # Errors
     /// The call failed, or no response started to arrive in time.
