--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -6,7 +6,7 @@
 use async_std::future::timeout;
 use async_std::task;
 use dispatch::fleet::{Backlog, RateUpdate};
-use peers::{BacklogTold, Leader, PeerError, RateTold};
+use peers::{BacklogMessage, PeerError, RateMessage, Upstream};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 
 /// Sends this router's backlog to the other routers until the process exits.
 pub async fn publish_backlogs(shared: Arc<Shared>) {
-    let mut senders: HashMap<SocketAddr, Sender<BacklogTold>> = HashMap::new();
+    let mut senders: HashMap<SocketAddr, Sender<BacklogMessage>> = HashMap::new();
     let mut members_read = None;
     let mut idle = true;
     loop {
@@ -47,14 +47,14 @@
             continue;
         }
         idle = is_empty;
-        let rate = |rate: &RateUpdate| RateTold(rate.endpoint, rate.rate, age(rate.reported_at, now));
-        let rates: Vec<RateTold> = rates.iter().map(rate).collect();
+        let rate = |rate: &RateUpdate| RateMessage(rate.endpoint, rate.rate, age(rate.reported_at, now));
+        let rates: Vec<RateMessage> = rates.iter().map(rate).collect();
         let router = shared.settings.load().vm.clone();
         for sender in senders.values() {
-            let update = BacklogTold {
+            let update = BacklogMessage {
                 router: router.clone(),
                 backlogs: backlog.tokens.clone(),
-                reads: backlog.lane_tokens.clone(),
+                lane_tokens: backlog.lane_tokens.clone(),
                 rates: rates.clone(),
             };
             // Only the newest update matters. A closed channel is replaced the next time that the list of routers is
@@ -64,7 +64,7 @@
     }
 }
 
-fn update_peers(shared: &Shared, senders: &mut HashMap<SocketAddr, Sender<BacklogTold>>) {
+fn update_peers(shared: &Shared, senders: &mut HashMap<SocketAddr, Sender<BacklogMessage>>) {
     let own = shared.settings.load().vm.clone();
     let others = Members::read(shared).others(&own, MAX_PEERS);
     senders.retain(|address, sender| others.contains(address) && !sender.is_closed());
@@ -78,7 +78,7 @@
 }
 
 /// Sends all updates to one router.
-async fn send_updates(address: SocketAddr, updates: Receiver<BacklogTold>) {
+async fn send_updates(address: SocketAddr, updates: Receiver<BacklogMessage>) {
     let mut connected = None;
     while let Ok(update) = updates.recv().await {
         match send_once(connected.take(), address, update).await {
@@ -91,25 +91,29 @@
     }
 }
 
-async fn send_once(connected: Option<Leader>, address: SocketAddr, update: BacklogTold) -> Result<Leader, PeerError> {
+async fn send_once(
+    connected: Option<Upstream>,
+    address: SocketAddr,
+    update: BacklogMessage,
+) -> Result<Upstream, PeerError> {
     let leader = match connected {
         Some(leader) => leader,
-        None => Leader::connect(address, CALL_TIMEOUT).await?,
+        None => Upstream::connect(address, CALL_TIMEOUT).await?,
     };
     leader.backlog(update, CALL_TIMEOUT).await?;
     Ok(leader)
 }
 
 /// Applies an update from another router.
-pub fn apply(shared: &Shared, update: &BacklogTold) {
+pub fn apply(shared: &Shared, update: &BacklogMessage) {
     let now = shared.clock.now();
     let backlog = Backlog {
         tokens: update.backlogs.clone(),
-        lane_tokens: update.reads.clone(),
+        lane_tokens: update.lane_tokens.clone(),
     };
     // The report is assumed to be as old as possible. Otherwise a report that returns to its sender would seem newer
     // than the original.
-    let rate = |RateTold(endpoint, rate, age): &RateTold| RateUpdate {
+    let rate = |RateMessage(endpoint, rate, age): &RateMessage| RateUpdate {
         endpoint: *endpoint,
         rate: *rate,
         reported_at: now.saturating_sub(Duration::from_millis(*age) + CALL_TIMEOUT),
--- a/crates/gateway/src/follow/members.rs
+++ b/crates/gateway/src/follow/members.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use store::items::{Client, Committed, ItemsError, Transaction, Write};
+use store::items::{Client, CommitOutcome, ItemsError, Transaction, Write};
 
 /// Key prefix of routers' entries, followed by the VM's id.
 pub const MEMBER_PREFIX: &str = "apricotfork/routers/";
@@ -50,7 +50,7 @@
         let own = shared.settings.load();
         let relay = shared.relay.lock();
         let mut members = Self::default();
-        for item in relay.log.under(MEMBER_PREFIX) {
+        for item in relay.log.with_prefix(MEMBER_PREFIX) {
             let Ok(member) = serde_json::from_slice::<Member>(&item.value) else {
                 log::warn!(key = item.key.as_str(); "router: cannot parse its entry");
                 continue;
@@ -176,5 +176,5 @@
         }],
     };
     let committed = client.commit(&transaction, CALL_TIMEOUT).await?;
-    Ok(matches!(committed, Committed::Done(_)).then_some(granted.lease))
+    Ok(matches!(committed, CommitOutcome::Done(_)).then_some(granted.lease))
 }
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -26,14 +26,14 @@
 use async_std::task;
 use dispatch::uptime::Span;
 use ids::VmId;
-use peers::{Follow, Followed, Leader, PeerError};
+use peers::{Follow, FollowResponse, PeerError, Upstream};
 use rand::RngExt;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use store::items::{Change, Client, Item, ItemsError, Position, Watched};
+use store::items::{Change, Client, Item, ItemsError, Position, WatchOutcome};
 
 /// How long a watch of the store waits. Data for followers is up to this old, and it must reach them within the bound
 /// on configurations, which is 2 s at the sites.
@@ -94,7 +94,7 @@
     shared: Arc<Shared>,
     address: SocketAddr,
     client: Client,
-    leader: Option<(VmId, Leader)>,
+    leader: Option<(VmId, Upstream)>,
     /// Abandoned routers, and when each may be tried again.
     backoff: HashMap<VmId, Duration>,
     /// Pause before the next watch, whose wait is shortened by it.
@@ -169,7 +169,7 @@
     }
 
     /// The router to follow now; none if this router watches the store directly.
-    async fn next_leader(&mut self) -> Option<(VmId, Leader)> {
+    async fn next_leader(&mut self) -> Option<(VmId, Upstream)> {
         let settings = self.shared.settings.load_full();
         let members = Members::read(&self.shared);
         {
@@ -186,7 +186,7 @@
             if let Some(kept) = self.leader.take_if(|(known, _)| *known == vm) {
                 return Some(kept);
             }
-            match Leader::connect(address, FOLLOW_CONNECT_TIMEOUT).await {
+            match Upstream::connect(address, FOLLOW_CONNECT_TIMEOUT).await {
                 Ok(leader) => {
                     log::info!(router = vm.as_str(); "store: following another router");
                     return Some((vm, leader));
@@ -202,7 +202,7 @@
         self.backoff.insert(vm, self.shared.clock.now() + LEADER_BACKOFF);
     }
 
-    async fn follow_leader(&mut self, vm: VmId, leader: Leader, known: Position) {
+    async fn follow_leader(&mut self, vm: VmId, leader: Upstream, known: Position) {
         let sent = self.shared.clock.now();
         let remaining = self.remaining_freshness();
         let wait = remaining
@@ -220,7 +220,7 @@
         let followed = match followed {
             Ok(followed) => followed,
             Err(err) => {
-                if let PeerError::Late(received) = err {
+                if let PeerError::ResponseTimeout(received) = err {
                     self.count_abandoned("router", received);
                 }
                 return self.drop_leader(vm, &err.to_string());
@@ -251,7 +251,7 @@
 
     async fn send_followed(
         &self,
-        followed: Followed,
+        followed: FollowResponse,
         position: Position,
         confirmed: Option<Duration>,
         uptime: Span,
@@ -321,7 +321,7 @@
         let watched = self.client.watch(ROOT, known, wait, grace).await;
         self.count("watch", watched.is_ok());
         match watched? {
-            Watched::Changes(changes) => {
+            WatchOutcome::Changes(changes) => {
                 let position = Position {
                     revision: changes.revision.max(known.revision),
                     ..known
@@ -336,11 +336,11 @@
                 task::sleep(BATCH_DELAY).await;
                 self.pause = BATCH_DELAY;
             }
-            Watched::Forgotten => {
+            WatchOutcome::Compacted => {
                 log::warn!(revision = known.revision; "store: history compacted, reading everything again");
                 self.needs_read = true;
             }
-            Watched::Restored(era) => {
+            WatchOutcome::Restored(era) => {
                 log::warn!(
                     era = known.era,
                     revision = known.revision,
--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -6,7 +6,9 @@
 use dispatch::prefixes::{PartKey, PrefixEvent, PrefixEvents};
 use futures::FutureExt;
 use futures::channel::oneshot;
-use peers::{Answer, Follow, Followed, PACKED_FROM, PeerError, PrefixFollow, PrefixPage, RelayItem, pack, unpack};
+use peers::{
+    Follow, FollowResponse, PACK_MIN_BYTES, PeerError, PrefixPage, PrefixQuery, RelayHandlers, RelayItem, pack, unpack,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -83,7 +85,7 @@
     /// The compressed value of an item, computed once for all followers; none if the value is small or compressing it
     /// fails.
     fn packed(&mut self, item: &Item) -> Option<String> {
-        if item.value.len() < PACKED_FROM {
+        if item.value.len() < PACK_MIN_BYTES {
             return None;
         }
         if let Some((revision, packed)) = self.packed.get(&item.key)
@@ -107,7 +109,8 @@
     /// Removes compressed values of items that no longer exist.
     fn drop_packed(&mut self) {
         let log = &self.log;
-        self.packed.retain(|key, _| log.under(key).any(|item| item.key == *key));
+        self.packed
+            .retain(|key, _| log.with_prefix(key).any(|item| item.key == *key));
     }
 
     fn wake_followers(&mut self) {
@@ -117,10 +120,10 @@
         }
     }
 
-    fn prefixes_since(&self, follow: &PrefixFollow) -> Option<PrefixPage> {
+    fn prefixes_since(&self, follow: &PrefixQuery) -> Option<PrefixPage> {
         let kept = self.prefixes.get(&follow.store)?;
         let first = kept.events.first().map_or(kept.next, |event| event.number);
-        let gap = follow.life != kept.incarnation || follow.next < first;
+        let gap = follow.incarnation != kept.incarnation || follow.next < first;
         let newer = kept.events.iter().filter(|event| gap || event.number >= follow.next);
         // Only the last event of each part matters.
         let states: BTreeMap<PartKey, bool> = newer.map(|event| (event.part, event.held)).collect();
@@ -130,7 +133,7 @@
         };
         Some(PrefixPage {
             store: follow.store,
-            life: kept.incarnation,
+            incarnation: kept.incarnation,
             next: kept.next,
             held: parts(true),
             gone: parts(false),
@@ -139,17 +142,17 @@
 }
 
 /// Handlers for followers' calls.
-pub fn handlers(shared: &Arc<Shared>) -> Answer {
+pub fn handlers(shared: &Arc<Shared>) -> RelayHandlers {
     let (items, prefixes) = (shared.clone(), shared.clone());
     let (fleet, ages, store) = (shared.clone(), shared.clone(), shared.clone());
     let (backlog, site) = (shared.clone(), shared.clone());
-    Answer {
+    RelayHandlers {
         follow: Arc::new(move |follow| follow_items(items.clone(), follow).boxed()),
         prefixes: Arc::new(move |follow| {
             let now = prefixes.clock.now();
             // The last events of an unresponsive store are out of date. Engines would wait for its parts in vain.
-            let alive = |follow: &&PrefixFollow| prefixes.prefixes().is_available(follow.store, now);
-            let asked: Vec<&PrefixFollow> = follow.iter().filter(alive).collect();
+            let alive = |follow: &&PrefixQuery| prefixes.prefixes().is_available(follow.store, now);
+            let asked: Vec<&PrefixQuery> = follow.iter().filter(alive).collect();
             let state = prefixes.relay.lock();
             let pages = asked
                 .into_iter()
@@ -162,13 +165,13 @@
             backlogs::apply(&backlog, &update);
             futures::future::ready(()).boxed()
         }),
-        names: Arc::new(move |()| futures::future::ready(weight_ages::response(&ages)).boxed()),
+        target_ages: Arc::new(move |()| futures::future::ready(weight_ages::response(&ages)).boxed()),
         uptime: Arc::new(move |()| futures::future::ready(uptime::response(&store)).boxed()),
         document: Arc::new(move |()| futures::future::ready(documents::response(&site)).boxed()),
     }
 }
 
-async fn follow_items(shared: Arc<Shared>, follow: Follow) -> Followed {
+async fn follow_items(shared: Arc<Shared>, follow: Follow) -> FollowResponse {
     let asked = shared.clock.now();
     // A follower abandons a router whose data is too old, so the response is sent before that. A later response would
     // delay the next change by as much.
@@ -177,7 +180,7 @@
     let (after, changed) = {
         let mut state = shared.relay.lock();
         let after = after(&follow, state.log.position());
-        let changed = if state.log.has_news(after) {
+        let changed = if state.log.has_changes(after) {
             None
         } else {
             let (sender, receiver) = oneshot::channel();
@@ -207,7 +210,7 @@
         }
     }
     drop(state);
-    Followed {
+    FollowResponse {
         revision: since.position.map(|position| position.revision),
         era: since.position.map(|position| position.era),
         whole: since.whole,
@@ -276,7 +279,7 @@
     };
     let gone = page.gone.iter().map(event(false));
     PrefixEvents {
-        incarnation: page.life,
+        incarnation: page.incarnation,
         next: page.next,
         gap: false,
         events: gone.chain(page.held.iter().map(event(true))).collect(),
--- a/crates/router/src/control/peering.rs
+++ b/crates/router/src/control/peering.rs
@@ -7,7 +7,7 @@
 use control::membership::{self, Change, Link, Listed, Member, Membership};
 use control::{following, orders, rendezvous};
 use ids::{EndpointId, Revision, VmId};
-use peers::{LoadReport, Offered, Peers};
+use peers::{LoadReport, OfferedConfig, Peers};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     pub(super) membership: Membership,
     pub(super) peers: Peers,
     links: Vec<Link>,
-    pub(super) offered: Option<Arc<Offered>>,
+    pub(super) offered: Option<Arc<OfferedConfig>>,
     pub(super) leaving: bool,
     /// Whether a peer was asked for pressures.
     hinted: bool,
@@ -68,7 +68,7 @@
             self.relink();
             let state = self.state_for_peers();
             self.peering.peers.publish(state);
-            self.shared.seen.store(Arc::new(self.peering.peers.seen()));
+            self.shared.seen.store(Arc::new(self.peering.peers.recent_peers()));
             let domains = self.peering.membership.roster(now).counts;
             self.shared.domains.store(Arc::new(domains));
         }
@@ -105,7 +105,7 @@
     /// What a peer said.
     pub(super) fn peer_event(&mut self, event: peers::Event) {
         match event {
-            peers::Event::Heard { from, leaving, routers } => {
+            peers::Event::Heartbeat { from, leaving, routers } => {
                 self.ask_pressures(from.clone());
                 self.member_event(membership::Event::Heartbeat { from, leaving, routers });
             }
@@ -117,7 +117,7 @@
                 }
             }
             peers::Event::Unwatched { .. } => {}
-            peers::Event::Silent(peer) => {
+            peers::Event::LinkFailed(peer) => {
                 self.start_event(control::startup::Event::PeerFailed(peer));
             }
         }
@@ -212,7 +212,7 @@
             incarnation: report.incarnation,
             model: None,
             weights: report.weights,
-            leaving: report.leaving,
+            leaving: report.draining,
             running: report.running,
             waiting: report.waiting,
             prefill: u64::from(report.prefill) * PREFILL_UNIT,
--- a/crates/router/src/control/telling.rs
+++ b/crates/router/src/control/telling.rs
@@ -3,7 +3,7 @@
 use super::state::Control;
 use control::rendezvous;
 use ids::Digest;
-use peers::{LoadReport, Offered, Published};
+use peers::{LoadReport, OfferedConfig, PublishedState};
 use std::sync::Arc;
 
 /// Thousands of prompt tokens, the unit of a load report between routers.
@@ -16,11 +16,11 @@
         self.peering.peers.publish_now(state);
     }
 
-    pub(super) fn state_for_peers(&mut self) -> Published {
+    pub(super) fn state_for_peers(&mut self) -> PublishedState {
         self.renew_offer();
         let peering = &self.peering;
         let membership = &peering.membership;
-        Published {
+        PublishedState {
             leaving: peering.leaving,
             routers: u32::try_from(membership.live().len()).unwrap_or(u32::MAX),
             membership: membership.digest(),
@@ -44,7 +44,7 @@
         }
         let texts = configured.texts.values();
         let sections = texts.map(|text| (Digest::of(text.as_bytes()), text.clone()));
-        self.peering.offered = Some(Arc::new(Offered {
+        self.peering.offered = Some(Arc::new(OfferedConfig {
             revision: configured.head.revision,
             digest,
             head: configured.head.text(),
@@ -62,7 +62,7 @@
             endpoint: id.clone(),
             incarnation: load.incarnation,
             weights: load.weights.clone(),
-            leaving: load.leaving,
+            draining: load.leaving,
             running: load.running,
             waiting: load.waiting,
             prefill: u32::try_from(load.prefill.div_ceil(PREFILL_UNIT)).unwrap_or(u32::MAX),
