--- a/crates/router/src/caller/attempt.rs
+++ b/crates/router/src/caller/attempt.rs
@@ -1,19 +1,19 @@
-//! Attempts of one call at endpoints, until one begins to answer or none is left.
+//! Attempts to run one request at endpoints, until one returns a response head or no attempt is left.
 //!
-//! The request's state machine says what may be done next and what a refusal may say; the retry budget says
-//! whether it is worth it.
+//! The request's state machine decides which step is allowed next and what a refusal may state. The retry budget
+//! decides whether another attempt is worth its cost.
 
 use super::call::Call;
 use super::refusal::{Cause, Refused};
-use super::transmit::{declined, incarnation, unless_gone};
-use crate::control::{Event, Sighting};
-use crate::pool::{Flight, Permit, Wish};
+use super::transmit::{declined, incarnation, unless_disconnected};
+use crate::control::{Event, Observation};
+use crate::pool::{EndpointAttempt, Permit, PickContext};
 use crate::shared::Shared;
 use admission::{Failure, RetryDecision, Sample};
 use async_std::task;
 use http::{Reply, Request, SendError};
 use ids::WeightsVersion;
-use lifecycle::request::{Request as Life, RequestEvent, RequestStep, RetryPolicy};
+use lifecycle::request::{Request as RequestLifecycle, RequestEvent, RequestStep, RetryPolicy};
 use placement::{EndpointKey, PrefixChain};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -22,177 +22,186 @@
 use wire::engine::RefusedReason;
 use wire::headers;
 
-/// Longest body of an endpoint's refusal that is read, bytes.
+/// Maximum size of the body of an endpoint's refusal, bytes.
 const REFUSAL_BYTES: u64 = 64 * 1024;
 
-/// The attempts of one call.
+/// The attempts of one request.
 pub struct Attempts {
     pub(super) shared: Arc<Shared>,
     pub(super) call: Call,
     pub(super) permit: Permit,
-    pub(super) life: Life,
+    pub(super) lifecycle: RequestLifecycle,
     pub(super) chain: PrefixChain,
-    /// Weights that may serve it, the preferred ones first; empty for plain services.
+    /// Weights that may serve the request, preferred first; empty for plain services.
     pub(super) weights: Vec<WeightsVersion>,
-    pub(super) avoid: Vec<EndpointKey>,
+    pub(super) excluded: Vec<EndpointKey>,
     pub(super) count: u32,
 }
 
-/// What came of one send.
-pub enum Sent {
-    /// A head that is this request's.
+/// Outcome of one send.
+pub enum SendOutcome {
+    /// A response head that belongs to this request.
     Head(Box<Reply>),
-    /// The attempt failed, in this way.
+    /// The attempt failed.
     Failed(Failure),
-    /// The caller has gone.
-    Gone,
+    /// The client disconnected.
+    ClientGone,
 }
 
-/// An endpoint that has begun to answer.
-pub struct Opened {
+/// The head of an endpoint's response, with its attempt.
+pub struct OpenedReply {
     /// The attempt.
-    pub flight: Flight,
-    /// Its answer.
+    pub attempt: EndpointAttempt,
+    /// The response.
     pub reply: Reply,
 }
 
 impl Attempts {
-    /// No attempt so far.
-    pub fn new(shared: &Arc<Shared>, call: Call, permit: Permit, repeat: RetryPolicy) -> Self {
+    /// Creates the state of a request that has not been sent.
+    pub fn new(shared: &Arc<Shared>, call: Call, permit: Permit, retry_policy: RetryPolicy) -> Self {
         Self {
             shared: shared.clone(),
             call,
             permit,
-            life: Life::new(repeat),
+            lifecycle: RequestLifecycle::new(retry_policy),
             chain: PrefixChain::from_hashes(0, Vec::new(), &[]),
             weights: Vec::new(),
-            avoid: Vec::new(),
+            excluded: Vec::new(),
             count: 0,
         }
     }
 
-    /// Tries endpoints until one has begun an answer that `judge` accepts.
-    pub async fn open<F, Fut>(&mut self, send: F) -> Result<Opened, Refused>
+    /// Tries endpoints until one returns a head that [`Self::classify_head`] accepts.
+    pub async fn open<F, Fut>(&mut self, send: F) -> Result<OpenedReply, Refused>
     where
         F: Fn(Arc<Shared>, Request, Vec<u8>, SocketAddr, Duration) -> Fut,
         Fut: Future<Output = Result<Reply, SendError>>,
     {
         loop {
-            let flight = self.place()?;
-            let (flight, sent) = self.send(flight, &send).await?;
+            let attempt = self.place()?;
+            let (attempt, sent) = self.send(attempt, &send).await?;
             let failure = match sent {
-                Sent::Head(reply) => return Ok(Opened { flight, reply: *reply }),
-                Sent::Failed(failure) => failure,
-                Sent::Gone => return Err(self.gone()),
+                SendOutcome::Head(reply) => return Ok(OpenedReply { attempt, reply: *reply }),
+                SendOutcome::Failed(failure) => failure,
+                SendOutcome::ClientGone => return Err(self.client_gone()),
             };
-            self.failed(&flight, failure);
-            self.pause(failure).await?;
+            self.record_failure(&attempt, failure);
+            self.wait_for_retry(failure).await?;
         }
     }
 
-    fn place(&mut self) -> Result<Flight, Refused> {
-        let wish = Wish {
+    fn place(&mut self) -> Result<EndpointAttempt, Refused> {
+        let context = PickContext {
             chain: &self.chain,
             weights: &self.weights,
-            avoid: &self.avoid,
+            excluded: &self.excluded,
         };
-        let Some(flight) = self.permit.place(&wish) else {
+        let Some(attempt) = self.permit.place(&context) else {
             return Err(self.give_up(Cause::NoEndpoint));
         };
         self.count += 1;
         self.shared
             .metrics
             .placements
-            .with_label_values(&[flight.reason.to_string()])
+            .with_label_values(&[attempt.reason.to_string()])
             .inc();
-        Ok(flight)
+        Ok(attempt)
     }
 
-    /// Sends to the endpoint of `flight`, and to a second one if that is slow; the attempt that counts comes back.
-    async fn send<F, Fut>(&mut self, flight: Flight, send: &F) -> Result<(Flight, Sent), Refused>
+    /// Sends to the endpoint of `attempt`, and to a second endpoint if the first is slow. Returns the attempt whose
+    /// outcome counts.
+    async fn send<F, Fut>(
+        &mut self,
+        attempt: EndpointAttempt,
+        send: &F,
+    ) -> Result<(EndpointAttempt, SendOutcome), Refused>
     where
         F: Fn(Arc<Shared>, Request, Vec<u8>, SocketAddr, Duration) -> Fut,
         Fut: Future<Output = Result<Reply, SendError>>,
     {
-        let Some(left) = self.call.left(&self.shared) else {
+        let Some(remaining) = self.call.remaining(&self.shared) else {
             return Err(self.give_up(Cause::Deadline));
         };
-        let step = self.life.on(RequestEvent::SendStarts);
-        assert_eq!(step, RequestStep::Send, "a call is sent only where its state allows it");
-        let sending = Box::pin(self.transmit(&flight, left, send));
-        let (flight, result) = if self.is_completion() {
-            self.race(flight, sending, send).await
+        let step = self.lifecycle.on(RequestEvent::SendStarts);
+        assert_eq!(
+            step,
+            RequestStep::Send,
+            "a request is sent only in a state that allows it"
+        );
+        let sending = Box::pin(self.transmit(&attempt, remaining, send));
+        let (attempt, result) = if self.is_completion() {
+            self.race(attempt, sending, send).await
         } else {
-            (flight, unless_gone(&self.call.conn, sending).await)
+            (attempt, unless_disconnected(&self.call.conn, sending).await)
         };
         let Some(result) = result else {
-            self.cancel(&flight);
-            return Ok((flight, Sent::Gone));
+            self.cancel(&attempt);
+            return Ok((attempt, SendOutcome::ClientGone));
         };
-        let sent = self.settle(&flight, result).await;
-        Ok((flight, sent))
+        let sent = self.classify_result(&attempt, result).await;
+        Ok((attempt, sent))
     }
 
-    /// The request on its way to the endpoint of `flight`.
-    pub(super) fn transmit<F, Fut>(&self, flight: &Flight, left: Duration, send: &F) -> Fut
+    /// Sends the request to the endpoint of `attempt`.
+    pub(super) fn transmit<F, Fut>(&self, attempt: &EndpointAttempt, remaining: Duration, send: &F) -> Fut
     where
         F: Fn(Arc<Shared>, Request, Vec<u8>, SocketAddr, Duration) -> Fut,
     {
-        let request = self.request(flight, left);
+        let request = self.request(attempt, remaining);
         let body = self.call.body.clone();
-        send(self.shared.clone(), request, body, flight.address, left)
+        send(self.shared.clone(), request, body, attempt.address, remaining)
     }
 
-    async fn settle(&mut self, flight: &Flight, result: Result<Reply, SendError>) -> Sent {
+    async fn classify_result(&mut self, attempt: &EndpointAttempt, result: Result<Reply, SendError>) -> SendOutcome {
         match result {
-            Ok(reply) => self.judge(flight, reply).await,
+            Ok(reply) => self.classify_head(attempt, reply).await,
             Err(SendError::Timeout(true)) => {
-                self.life.on(RequestEvent::SendFailed);
-                self.cancel(flight);
-                Sent::Failed(Failure::Timeout)
+                self.lifecycle.on(RequestEvent::SendFailed);
+                self.cancel(attempt);
+                SendOutcome::Failed(Failure::Timeout)
             }
             Err(err) if err.not_sent() => {
-                self.life.on(RequestEvent::EndpointRefused);
-                Sent::Failed(Failure::NotSent)
+                self.lifecycle.on(RequestEvent::EndpointRefused);
+                SendOutcome::Failed(Failure::NotSent)
             }
             Err(_) => {
-                self.life.on(RequestEvent::SendFailed);
-                Sent::Failed(Failure::Unknown)
+                self.lifecycle.on(RequestEvent::SendFailed);
+                SendOutcome::Failed(Failure::Unknown)
             }
         }
     }
 
-    /// Whether a head is the answer to this request. A late answer to another one is never passed on.
-    async fn judge(&mut self, flight: &Flight, reply: Reply) -> Sent {
-        self.sight(flight, &reply);
+    /// Decides whether a head belongs to this request. A late response to another request is never forwarded.
+    async fn classify_head(&mut self, attempt: &EndpointAttempt, reply: Reply) -> SendOutcome {
+        self.report_changes(attempt, &reply);
         let status = u16::from(reply.status());
         let echoed = reply.header(headers::REQUEST_ID);
-        // A refusal of another request says nothing of this one, which may be running.
-        let crossed = echoed.is_some_and(|id| id != self.call.id.as_str());
-        if status == 409 && self.is_completion() && !crossed {
-            self.life.on(RequestEvent::EndpointRefused);
-            return Sent::Failed(self.refused(flight, reply).await);
+        // A refusal of another request does not show whether this one ran.
+        let mismatched = echoed.is_some_and(|id| id != self.call.id.as_str());
+        if status == 409 && self.is_completion() && !mismatched {
+            self.lifecycle.on(RequestEvent::EndpointRefused);
+            return SendOutcome::Failed(self.classify_refusal(attempt, reply).await);
         }
-        if declined(&reply) && !self.is_completion() && !crossed {
-            self.life.on(RequestEvent::EndpointRefused);
+        if declined(&reply) && !self.is_completion() && !mismatched {
+            self.lifecycle.on(RequestEvent::EndpointRefused);
             let incarnation = incarnation(&reply);
-            self.tell(flight, Sighting::Leaves { incarnation });
+            self.report(attempt, Observation::Draining { incarnation });
             reply.close();
-            return Sent::Failed(Failure::Declined);
+            return SendOutcome::Failed(Failure::Declined);
         }
-        self.life.on(RequestEvent::HeadArrived);
-        // A plain service need not know of request ids; an engine does.
-        let ours = !crossed && (reply.header(headers::REQUEST_ID).is_some() || !self.is_completion());
-        if ours && self.allowed(&reply) && status < 500 {
-            return Sent::Head(Box::new(reply));
+        self.lifecycle.on(RequestEvent::HeadArrived);
+        // Engines must echo the request id; plain services may omit it.
+        let matches = !mismatched && (reply.header(headers::REQUEST_ID).is_some() || !self.is_completion());
+        if matches && self.weights_allowed(&reply) && status < 500 {
+            return SendOutcome::Head(Box::new(reply));
         }
         reply.close();
-        self.life.on(RequestEvent::AnswerFailed);
-        Sent::Failed(Failure::Unknown)
+        self.lifecycle.on(RequestEvent::AnswerFailed);
+        SendOutcome::Failed(Failure::Unknown)
     }
 
-    /// An engine's refusal: it has not run the request.
-    async fn refused(&self, flight: &Flight, reply: Reply) -> Failure {
+    /// Classifies an engine's refusal. The engine has not run the request.
+    async fn classify_refusal(&self, attempt: &EndpointAttempt, reply: Reply) -> Failure {
         let incarnation = incarnation(&reply);
         let body = reply.whole(REFUSAL_BYTES).await.unwrap_or_default();
         let Ok(refused) = serde_json::from_slice::<wire::engine::Refused>(&body) else {
@@ -201,15 +210,15 @@
         match refused.reason {
             RefusedReason::Full => Failure::Full,
             RefusedReason::Leaving => {
-                self.tell(flight, Sighting::Leaves { incarnation });
+                self.report(attempt, Observation::Draining { incarnation });
                 Failure::Declined
             }
             _ => Failure::Declined,
         }
     }
 
-    /// Whether weights that may serve this request have served it.
-    fn allowed(&self, reply: &Reply) -> bool {
+    /// Whether the weights that served are allowed for this request.
+    fn weights_allowed(&self, reply: &Reply) -> bool {
         let served = reply.header(headers::WEIGHTS).unwrap_or_default();
         let allowed = self.weights.iter().any(|weights| weights.as_str() == served);
         allowed || !self.is_completion() || !reply.status().is_success()
@@ -219,43 +228,43 @@
         !self.weights.is_empty()
     }
 
-    /// Tells the control thread of a life or weights that differ from what is believed.
-    fn sight(&self, flight: &Flight, reply: &Reply) {
+    /// Reports an incarnation or weights that differ from the published state to the control thread.
+    fn report_changes(&self, attempt: &EndpointAttempt, reply: &Reply) {
         let incarnation = incarnation(reply);
         let weights = reply.header(headers::WEIGHTS).map(WeightsVersion::from);
-        let believed = self.call.caller.view.belief(&flight.endpoint);
-        let news = incarnation.is_some_and(|life| life != believed.incarnation)
-            || (weights.is_some() && weights != believed.weights);
-        if news {
-            self.tell(flight, Sighting::Answered { incarnation, weights });
+        let known = self.call.auth.view.endpoint_state(&attempt.endpoint);
+        let changed = incarnation.is_some_and(|number| number != known.incarnation)
+            || (weights.is_some() && weights != known.weights);
+        if changed {
+            self.report(attempt, Observation::Answered { incarnation, weights });
         }
     }
 
-    fn failed(&mut self, flight: &Flight, failure: Failure) {
-        let (why, sighting) = match failure {
-            Failure::NotSent => ("not_sent", Some(Sighting::NotReached)),
+    fn record_failure(&mut self, attempt: &EndpointAttempt, failure: Failure) {
+        let (reason, observation) = match failure {
+            Failure::NotSent => ("not_sent", Some(Observation::ConnectFailed)),
             Failure::Declined => ("declined", None),
             Failure::Full => ("full", None),
-            Failure::Unknown => ("broken", Some(Sighting::Broke)),
-            Failure::Timeout => ("timeout", Some(Sighting::Silent)),
+            Failure::Unknown => ("broken", Some(Observation::ConnectionLost)),
+            Failure::Timeout => ("timeout", Some(Observation::Timeout)),
         };
-        self.shared.metrics.retries.with_label_values(&[why]).inc();
+        self.shared.metrics.retries.with_label_values(&[reason]).inc();
         match failure {
-            Failure::Full => flight.observe(Sample::Full),
-            Failure::Timeout | Failure::Unknown => flight.observe(Sample::Timeout),
+            Failure::Full => attempt.observe(Sample::Full),
+            Failure::Timeout | Failure::Unknown => attempt.observe(Sample::Timeout),
             Failure::NotSent | Failure::Declined => {}
         }
-        if let Some(sighting) = sighting {
-            self.tell(flight, sighting);
+        if let Some(observation) = observation {
+            self.report(attempt, observation);
         }
-        self.avoid.push(flight.key);
+        self.excluded.push(attempt.key);
     }
 
-    async fn pause(&mut self, failure: Failure) -> Result<(), Refused> {
-        if self.life.ended() {
-            return Err(Refused::with(cause(failure), self.life.ran()));
+    async fn wait_for_retry(&mut self, failure: Failure) -> Result<(), Refused> {
+        if self.lifecycle.ended() {
+            return Err(Refused::new(cause(failure), self.lifecycle.ran()));
         }
-        let repeatable = self.life.state() == lifecycle::request::RequestState::Queued;
+        let repeatable = self.lifecycle.state() == lifecycle::request::RequestState::Queued;
         match self.permit.retry(self.count, repeatable, self.call.deadline, failure) {
             RetryDecision::Retry(pause) if pause.is_zero() => Ok(()),
             RetryDecision::Retry(pause) => {
@@ -266,44 +275,48 @@
         }
     }
 
-    /// The caller has gone: nobody reads this refusal, but the state must be ended.
-    fn gone(&mut self) -> Refused {
-        self.shared.metrics.callers_gone.inc();
-        self.give_up(Cause::Endpoint)
+    /// Ends the state of a request whose client has disconnected. The refusal is not delivered.
+    fn client_gone(&mut self) -> Refused {
+        self.shared.metrics.clients_gone.inc();
+        self.give_up(Cause::EndpointFailed)
     }
 
-    /// Ends the request; what the refusal says follows from its state.
+    /// Ends the request. Its state determines whether the refusal says that it ran.
     pub fn give_up(&mut self, cause: Cause) -> Refused {
-        let ran = self.life.ran();
-        self.life.on(RequestEvent::GiveUp);
-        Refused::with(cause, ran)
+        let ran = self.lifecycle.ran();
+        self.lifecycle.on(RequestEvent::GiveUp);
+        Refused::new(cause, ran)
     }
 
-    /// An answer broke off after its head: tries elsewhere if the state and the budget allow it.
-    pub async fn again(&mut self, flight: Flight) -> Result<(), Refused> {
-        self.failed(&flight, Failure::Unknown);
-        drop(flight);
-        self.pause(Failure::Unknown).await
+    /// The response failed after its head: prepares an attempt at another endpoint if the state and the retry budget
+    /// allow it.
+    pub async fn retry(&mut self, attempt: EndpointAttempt) -> Result<(), Refused> {
+        self.record_failure(&attempt, Failure::Unknown);
+        drop(attempt);
+        self.wait_for_retry(Failure::Unknown).await
     }
 
-    pub(super) fn tell(&self, flight: &Flight, sighting: Sighting) {
-        let event = Event::Endpoint(flight.endpoint.clone(), sighting);
-        // The control thread is behind by a whole queue: the next sighting will do as well.
+    pub(super) fn report(&self, attempt: &EndpointAttempt, observation: Observation) {
+        let event = Event::Endpoint(attempt.endpoint.clone(), observation);
+        // Dropped if the event queue is full: a later observation carries the same information.
         let _ = self.shared.events.try_send(event);
     }
 
-    /// Another endpoint, for the rest of a stream.
-    pub fn place_again(&mut self, broken: EndpointKey) -> Option<Flight> {
-        self.avoid.push(broken);
-        let wish = Wish {
+    /// Chooses an endpoint for the rest of a stream, preferring one that has not failed.
+    pub fn place_resume(&mut self, broken: EndpointKey) -> Option<EndpointAttempt> {
+        self.excluded.push(broken);
+        let context = PickContext {
             chain: &self.chain,
             weights: &self.weights,
-            avoid: &self.avoid,
+            excluded: &self.excluded,
         };
-        self.permit.place(&wish).or_else(|| {
-            // With no other endpoint of these weights the one that broke is as good as any.
-            let wish = Wish { avoid: &[], ..wish };
-            self.permit.place(&wish)
+        self.permit.place(&context).or_else(|| {
+            // No other endpoint serves these weights, so the failed one may be used again.
+            let context = PickContext {
+                excluded: &[],
+                ..context
+            };
+            self.permit.place(&context)
         })
     }
 }
@@ -312,6 +325,6 @@
     match failure {
         Failure::Timeout => Cause::Deadline,
         Failure::NotSent | Failure::Declined | Failure::Full => Cause::NoEndpoint,
-        Failure::Unknown => Cause::Endpoint,
+        Failure::Unknown => Cause::EndpointFailed,
     }
 }
--- a/crates/router/src/caller/call.rs
+++ b/crates/router/src/caller/call.rs
@@ -1,7 +1,7 @@
-//! What every call has: who, until when, how urgent, and its whole body.
+//! One request with its body, read before it is admitted.
 
-use super::auth::Caller;
-use super::held::Held;
+use super::auth::AuthContext;
+use super::held::BodyReservation;
 use super::refusal::{Cause, Refused};
 use crate::shared::Shared;
 use http::timeout;
@@ -11,55 +11,55 @@
 use std::time::Duration;
 use wire::headers;
 
-/// When to come back if the bodies in flight take all memory that they may.
-const MEMORY_MS: u64 = 1_000;
-/// Rank of a request that states no priority.
-const ORDINARY: Priority = Priority(5);
+/// Retry-after time if the memory for request bodies is exhausted, milliseconds.
+const MEMORY_RETRY_MS: u64 = 1_000;
+/// Priority of a request that states none.
+const DEFAULT_PRIORITY: Priority = Priority(5);
 
-/// One call, read whole.
+/// A request with its complete body.
 #[derive(Debug)]
 pub struct Call {
-    /// Its id.
+    /// The request id.
     pub id: RequestId,
-    /// Who calls.
-    pub caller: Caller,
-    /// The connection, to notice that the caller has gone.
+    /// The client's authentication.
+    pub auth: AuthContext,
+    /// The connection, used to detect that the client disconnected.
     pub conn: Conn,
-    /// Until when an answer is wanted, on the router's clock.
+    /// Deadline on the router's clock.
     pub deadline: Duration,
-    /// Urgency.
+    /// Priority.
     pub priority: Priority,
     /// Method.
     pub method: Method,
     /// Path, without the query.
     pub path: String,
-    /// Query, if any.
+    /// Query string, if any.
     pub query: Option<String>,
-    /// The head, its body taken.
+    /// The request head; its body has been read.
     pub head: Request,
     /// The body.
     pub body: Vec<u8>,
-    /// Its part of the memory for bodies.
-    pub _held: Held,
+    /// Memory reserved for the body.
+    pub _reservation: BodyReservation,
 }
 
-/// Reads a call's headers and body.
+/// Reads the headers and body of a request.
 pub async fn read(
     shared: &Arc<Shared>,
-    caller: &Caller,
+    auth: &AuthContext,
     mut request: Request,
     conn: Conn,
     id: &RequestId,
 ) -> Result<Call, Refused> {
-    let longest = shared.settings.limits.request();
-    let wanted = number(&request, headers::DEADLINE_MS)?.map_or(longest, Duration::from_millis);
-    let deadline = shared.clock.now() + wanted.min(longest);
-    let priority = priority(caller, &request)?;
-    let held = hold(shared, &request, &conn)?;
+    let maximum = shared.settings.limits.request();
+    let requested = number(&request, headers::DEADLINE_MS)?.map_or(maximum, Duration::from_millis);
+    let deadline = shared.clock.now() + requested.min(maximum);
+    let priority = priority(auth, &request)?;
+    let reservation = reserve(shared, &request, &conn)?;
     let body = body(shared, &mut request, &conn).await?;
     Ok(Call {
         id: id.clone(),
-        caller: caller.clone(),
+        auth: auth.clone(),
         conn,
         deadline,
         priority,
@@ -68,26 +68,28 @@
         query: request.url().query().map(str::to_owned),
         head: request,
         body,
-        _held: held,
+        _reservation: reservation,
     })
 }
 
 impl Call {
-    /// Time left until the deadline, refused if there is none.
-    pub fn left(&self, shared: &Shared) -> Option<Duration> {
-        let left = self.deadline.checked_sub(shared.clock.now())?;
-        (!left.is_zero()).then_some(left)
+    /// Time until the deadline, `None` once it has passed.
+    pub fn remaining(&self, shared: &Shared) -> Option<Duration> {
+        let remaining = self.deadline.checked_sub(shared.clock.now())?;
+        (!remaining.is_zero()).then_some(remaining)
     }
 }
 
-/// A body of undeclared length counts with the most it may have.
-fn hold(shared: &Shared, request: &Request, conn: &Conn) -> Result<Held, Refused> {
+/// Reserves memory for the body. A body of undeclared length counts as the longest allowed.
+fn reserve(shared: &Shared, request: &Request, conn: &Conn) -> Result<BodyReservation, Refused> {
     let limits = &shared.settings.limits;
     let declared = request.len().map_or(limits.body_bytes, |length| length as u64);
-    let held = shared.bodies.take(declared.min(limits.body_bytes), limits.held_bytes);
-    held.ok_or_else(|| {
+    let reservation = shared
+        .bodies
+        .try_reserve(declared.min(limits.body_bytes), limits.held_bytes);
+    reservation.ok_or_else(|| {
         conn.shut_reads();
-        Refused::not_run(Cause::Memory).retry_after(MEMORY_MS)
+        Refused::not_run(Cause::BodyMemory).retry_after(MEMORY_RETRY_MS)
     })
 }
 
@@ -100,26 +102,26 @@
         Ok(Err(ReadError::TooLarge(limit))) => Err(Refused::not_run(Cause::TooLarge(limit))),
         Ok(Err(ReadError::Io(_) | ReadError::Short)) | Err(_) => {
             conn.shut_reads();
-            Err(Refused::not_run(Cause::BodyBroke))
+            Err(Refused::not_run(Cause::BodyIncomplete))
         }
     }
 }
 
-fn priority(caller: &Caller, request: &Request) -> Result<Priority, Refused> {
+fn priority(auth: &AuthContext, request: &Request) -> Result<Priority, Refused> {
     let Some(name) = text(request, headers::PRIORITY) else {
-        return Ok(ORDINARY);
+        return Ok(DEFAULT_PRIORITY);
     };
-    let spec = caller.view.document.priorities.get(name);
+    let spec = auth.view.document.priorities.get(name);
     spec.map(|spec| spec.rank)
         .ok_or_else(|| Refused::not_run(Cause::Priority(name.to_owned())))
 }
 
-/// A header's text.
+/// The last value of a header.
 pub fn text<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.header(name).map(|values| values.last().as_str())
 }
 
-/// A header's value as a whole number.
+/// A header's value as an integer.
 pub fn number(request: &Request, name: &'static str) -> Result<Option<u64>, Refused> {
     let Some(text) = text(request, name) else {
         return Ok(None);
--- a/crates/router/src/caller/claim.rs
+++ b/crates/router/src/caller/claim.rs
@@ -1,4 +1,4 @@
-//! Drives the claim machines of `lifecycle` against the platform.
+//! Runs the claim state machines of `lifecycle` against the platform.
 
 use super::call::{self, Call};
 use super::refusal::{Cause, Refused};
@@ -16,29 +16,29 @@
 use wire::caller::Ran;
 use wire::platform::{Entry, Put};
 
-/// How long an answer waits for its result to be written down, so that a retry elsewhere finds it.
+/// How long a response waits until its result is stored, so that a retry through another router finds it.
 const SETTLE_WAIT: Duration = Duration::from_secs(1);
-/// How long it is tried in all.
-const SETTLE_PATIENCE: Duration = Duration::from_secs(20);
-/// Pause between tries.
+/// Time after which storing a result is given up.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Delay between attempts.
 const SETTLE_PAUSE: Duration = Duration::from_millis(100);
-/// When to come back for a call that is running.
-const IN_PROGRESS_MS: u64 = 1_000;
-/// When to come back while the platform is out of reach.
-const OUTAGE_MS: u64 = 2_000;
+/// Retry-after time of a request in progress, milliseconds.
+const IN_PROGRESS_RETRY_MS: u64 = 1_000;
+/// Retry-after time while the platform is unreachable, milliseconds.
+const OUTAGE_RETRY_MS: u64 = 2_000;
 
-/// What came of a claim.
-pub enum Claimed {
-    /// The call is this router's.
+/// Result of a claim.
+pub enum ClaimResult {
+    /// This router may run the request.
     Won(HeldClaim),
-    /// It has run; this was its answer.
+    /// The request has run; its stored response.
     Answer(StoredAnswer),
-    /// It is not run now.
+    /// The request is refused.
     Refused(Refused),
 }
 
-/// What the platform did, owned.
-enum Happened {
+/// Result of a platform call, owned.
+enum PlatformResult {
     Written(Version),
     Conflict(Entry),
     Read(Option<Entry>),
@@ -47,9 +47,9 @@
     Tick,
 }
 
-/// Claims `key` for this call.
-pub async fn claim(shared: &Arc<Shared>, call: &Call, key: &IdempotencyKey, attempt: Attempt) -> Claimed {
-    let name = claim_key(&call.caller.workspace, key);
+/// Claims `key` for this request.
+pub async fn claim(shared: &Arc<Shared>, call: &Call, key: &IdempotencyKey, attempt: Attempt) -> ClaimResult {
+    let name = claim_key(&call.auth.workspace, key);
     let limits = ClaimLimits::default();
     let request = ClaimRequest {
         nonce: Nonce::from(rand::random::<u128>()),
@@ -63,53 +63,53 @@
         } else {
             Ran::Unknown
         };
-        return Claimed::Refused(Refused::with(Cause::Claim, ran).retry_after(OUTAGE_MS));
+        return ClaimResult::Refused(Refused::new(Cause::ClaimUnavailable, ran).retry_after(OUTAGE_RETRY_MS));
     };
     let (mut machine, mut step) = Claim::start(request, limits, shared.clock.now());
     loop {
-        let happened = match step {
+        let result = match step {
             ClaimStep::Write { value, expect } => write(shared, &name, Some(value), expect, lease).await,
             ClaimStep::Read => read(shared, &name).await,
             ClaimStep::Wait(pause) => wait(pause).await,
             end => {
-                clear(shared, &machine, &name, lease);
-                return ended(end, key);
+                release(shared, &machine, &name, lease);
+                return claim_result(end, key);
             }
         };
-        step = machine.on(event(&happened), shared.clock.now());
+        step = machine.on(event(&result), shared.clock.now());
     }
 }
 
-/// Frees, in the background, a key that this attempt has perhaps claimed without ever hearing of it.
-fn clear(shared: &Arc<Shared>, machine: &Claim, name: &str, lease: u64) {
-    let until = shared.clock.now() + SETTLE_PATIENCE;
+/// Releases a key in the background that this attempt may have claimed without receiving confirmation.
+fn release(shared: &Arc<Shared>, machine: &Claim, name: &str, lease: u64) {
+    let until = shared.clock.now() + SETTLE_TIMEOUT;
     let Some((settle, step)) = machine.clear(SETTLE_PAUSE, until) else {
         return;
     };
     let (background, name) = (shared.clone(), name.to_owned());
     shared.settling.fetch_add(1, Ordering::SeqCst);
     task::spawn(async move {
-        drive(&background, &name, lease, settle, step).await;
+        run_settlement(&background, &name, lease, settle, step).await;
         background.settling.fetch_sub(1, Ordering::SeqCst);
     });
 }
 
-fn ended(step: ClaimStep, key: &IdempotencyKey) -> Claimed {
+fn claim_result(step: ClaimStep, key: &IdempotencyKey) -> ClaimResult {
     let key = key.clone();
-    Claimed::Refused(match step {
-        ClaimStep::Won(held) => return Claimed::Won(held),
-        ClaimStep::Answer(kept) => return Claimed::Answer(kept),
-        ClaimStep::InProgress => Refused::with(Cause::InProgress(key), Ran::Unknown).retry_after(IN_PROGRESS_MS),
+    ClaimResult::Refused(match step {
+        ClaimStep::Won(held) => return ClaimResult::Won(held),
+        ClaimStep::Answer(stored) => return ClaimResult::Answer(stored),
+        ClaimStep::InProgress => Refused::new(Cause::InProgress(key), Ran::Unknown).retry_after(IN_PROGRESS_RETRY_MS),
         ClaimStep::KeyReused => Refused::not_run(Cause::KeyReused(key)),
-        ClaimStep::Unavailable(ran) => Refused::with(Cause::Claim, ran).retry_after(OUTAGE_MS),
+        ClaimStep::Unavailable(ran) => Refused::new(Cause::ClaimUnavailable, ran).retry_after(OUTAGE_RETRY_MS),
         ClaimStep::Unknown | ClaimStep::Ended | ClaimStep::Write { .. } | ClaimStep::Read | ClaimStep::Wait(_) => {
-            Refused::with(Cause::Abandoned(key), Ran::Unknown)
+            Refused::new(Cause::Abandoned(key), Ran::Unknown)
         }
     })
 }
 
-/// Writes down how a claimed call ended. Waits a while for it, then goes on in the background; a shutdown waits
-/// for what is left.
+/// Stores the outcome of a claimed request. Waits up to [`SETTLE_WAIT`], then continues in the background. Shutdown
+/// waits for unfinished tasks.
 pub async fn settle(
     shared: &Arc<Shared>,
     workspace: &WorkspaceId,
@@ -119,32 +119,32 @@
 ) {
     let name = claim_key(workspace, key);
     let outcome = match outcome {
-        Outcome::Done(kept) => Outcome::Done(bounded(kept)),
+        Outcome::Done(stored) => Outcome::Done(bounded(stored)),
         other => other,
     };
     shared.settling.fetch_add(1, Ordering::SeqCst);
     let background = shared.clone();
     let settling = task::spawn(async move {
-        run_settle(&background, &name, held, outcome).await;
+        settle_claim(&background, &name, held, outcome).await;
         background.settling.fetch_sub(1, Ordering::SeqCst);
     });
-    // The answer is whole whether or not its result is kept.
+    // The response is valid whether or not its result is stored.
     let _ = http::timeout(SETTLE_WAIT, settling).await;
 }
 
-async fn run_settle(shared: &Arc<Shared>, name: &str, held: HeldClaim, outcome: Outcome) {
-    let until = shared.clock.now() + SETTLE_PATIENCE;
-    let Some(lease) = lease_within(shared, SETTLE_PATIENCE).await else {
+async fn settle_claim(shared: &Arc<Shared>, name: &str, held: HeldClaim, outcome: Outcome) {
+    let until = shared.clock.now() + SETTLE_TIMEOUT;
+    let Some(lease) = lease_within(shared, SETTLE_TIMEOUT).await else {
         shared.metrics.platform.with_label_values(&["settle_gave_up"]).inc();
         return;
     };
     let (machine, step) = Settle::start(held, outcome, SETTLE_PAUSE, until);
-    drive(shared, name, lease, machine, step).await;
+    run_settlement(shared, name, lease, machine, step).await;
 }
 
-async fn drive(shared: &Shared, name: &str, lease: u64, mut machine: Settle, mut step: SettleStep) {
+async fn run_settlement(shared: &Shared, name: &str, lease: u64, mut machine: Settle, mut step: SettleStep) {
     loop {
-        let happened = match step {
+        let result = match step {
             SettleStep::Write { value, expect } => write(shared, name, value, expect, lease).await,
             SettleStep::Read => read(shared, name).await,
             SettleStep::Wait(pause) => wait(pause).await,
@@ -154,13 +154,14 @@
                 return;
             }
         };
-        step = machine.on(event(&happened), shared.clock.now());
+        step = machine.on(event(&result), shared.clock.now());
     }
 }
 
-/// The lease that ends claims; `None` if none can be had within `patience`. Calls that need a new lease at the same time
-/// wait for one another: without the bound the last of them would wait for as many timeouts of the platform.
-async fn lease_within(shared: &Shared, patience: Duration) -> Option<u64> {
+/// The lease that claims are attached to; `None` if none is granted within `timeout`. Requests that need a new lease
+/// at the same time wait for one another: without the bound the last of them would wait for as many platform
+/// timeouts.
+async fn lease_within(shared: &Shared, timeout: Duration) -> Option<u64> {
     let granted = async {
         loop {
             if let Some(id) = lease(shared).await {
@@ -169,24 +170,24 @@
             task::sleep(SETTLE_PAUSE).await;
         }
     };
-    http::timeout(patience, granted).await.ok()
+    http::timeout(timeout, granted).await.ok()
 }
 
-/// The lease that ends claims; `None` while the platform does not grant one.
+/// The lease that claims are attached to; `None` while the platform does not grant one.
 async fn lease(shared: &Shared) -> Option<u64> {
     let mut current = shared.claim_lease.lock().await;
-    let asked = shared.clock.now();
-    match current.step(asked) {
+    let requested = shared.clock.now();
+    match current.step(requested) {
         LeaseStep::Use(id) => Some(id),
         LeaseStep::RequestNew => {
             let lease = shared.platform.grant(CLAIM_LEASE_TTL).await.ok()?;
-            current.granted(lease.id, asked);
+            current.granted(lease.id, requested);
             Some(lease.id)
         }
     }
 }
 
-async fn write(shared: &Shared, key: &str, value: Option<String>, expect: Version, lease: u64) -> Happened {
+async fn write(shared: &Shared, key: &str, value: Option<String>, expect: Version, lease: u64) -> PlatformResult {
     let put = Put {
         key: key.to_owned(),
         value,
@@ -194,49 +195,49 @@
         lease: Some(lease),
     };
     match shared.platform.put(&put).await {
-        Ok(Written::Done(version)) => Happened::Written(version),
-        Ok(Written::Conflict(entry)) => Happened::Conflict(entry),
+        Ok(Written::Done(version)) => PlatformResult::Written(version),
+        Ok(Written::Conflict(entry)) => PlatformResult::Conflict(entry),
         Err(err) => failed(shared, &err).await,
     }
 }
 
-async fn read(shared: &Shared, key: &str) -> Happened {
+async fn read(shared: &Shared, key: &str) -> PlatformResult {
     match shared.platform.get(key).await {
-        Ok(entry) => Happened::Read(entry),
+        Ok(entry) => PlatformResult::Read(entry),
         Err(err) => failed(shared, &err).await,
     }
 }
 
-async fn failed(shared: &Shared, err: &PlatformError) -> Happened {
-    let (label, happened) = match err {
-        PlatformError::NotSent => ("not_sent", Happened::Unreachable),
-        _ => ("lost", Happened::Lost),
+async fn failed(shared: &Shared, err: &PlatformError) -> PlatformResult {
+    let (label, result) = match err {
+        PlatformError::NotSent => ("not_sent", PlatformResult::Unreachable),
+        _ => ("lost", PlatformResult::Lost),
     };
     shared.metrics.platform.with_label_values(&[label]).inc();
     if let PlatformError::Refused(_) = err {
-        // The platform forgot the lease, as after its own restart: the next claim asks for another.
+        // The platform does not know the lease, for example after a restart: the next claim requests a new one.
         shared.claim_lease.lock().await.invalidate();
     }
-    happened
+    result
 }
 
-async fn wait(pause: Duration) -> Happened {
+async fn wait(pause: Duration) -> PlatformResult {
     task::sleep(pause).await;
-    Happened::Tick
+    PlatformResult::Tick
 }
 
-fn event(happened: &Happened) -> ClaimEvent<'_> {
-    match happened {
-        Happened::Written(version) => ClaimEvent::Written(*version),
-        Happened::Conflict(entry) => ClaimEvent::Conflict(seen(Some(entry))),
-        Happened::Read(entry) => ClaimEvent::Read(seen(entry.as_ref())),
-        Happened::Lost => ClaimEvent::Lost,
-        Happened::Unreachable => ClaimEvent::Unreachable,
-        Happened::Tick => ClaimEvent::Tick,
+fn event(result: &PlatformResult) -> ClaimEvent<'_> {
+    match result {
+        PlatformResult::Written(version) => ClaimEvent::Written(*version),
+        PlatformResult::Conflict(entry) => ClaimEvent::Conflict(entry_state(Some(entry))),
+        PlatformResult::Read(entry) => ClaimEvent::Read(entry_state(entry.as_ref())),
+        PlatformResult::Lost => ClaimEvent::Lost,
+        PlatformResult::Unreachable => ClaimEvent::Unreachable,
+        PlatformResult::Tick => ClaimEvent::Tick,
     }
 }
 
-fn seen(entry: Option<&Entry>) -> EntryState<'_> {
+fn entry_state(entry: Option<&Entry>) -> EntryState<'_> {
     match entry {
         Some(entry) => EntryState {
             version: entry.version,
@@ -249,10 +250,10 @@
     }
 }
 
-/// The result as it is kept: a large body is not.
-fn bounded(kept: StoredAnswer) -> StoredAnswer {
-    let body = kept.body.as_bytes().map_or(Body::TooLarge(0), Body::from_bytes);
-    StoredAnswer { body, ..kept }
+/// The result in its stored form, without a body that is too large.
+fn bounded(stored: StoredAnswer) -> StoredAnswer {
+    let body = stored.body.as_bytes().map_or(Body::TooLarge(0), Body::from_bytes);
+    StoredAnswer { body, ..stored }
 }
 
 fn digest(call: &Call) -> ids::Digest {
--- a/crates/router/src/caller/completion.rs
+++ b/crates/router/src/caller/completion.rs
@@ -1,13 +1,13 @@
-//! Completions: read, admitted, placed, answered whole or as a stream.
+//! Completions: parsing, admission, placement, and buffered or streamed responses.
 
-use super::attempt::{Attempts, Opened};
-use super::auth::Caller;
+use super::attempt::{Attempts, OpenedReply};
+use super::auth::AuthContext;
 use super::call::{self, Call};
 use super::refusal::{Cause, Refused};
 use super::stream;
 use super::transmit::send_pooled;
 use crate::shared::Shared;
-use crate::view::{Standing, Target, View};
+use crate::view::{Availability, Target, View};
 use admission::{Job, Tokens};
 use http::{Response, StatusCode};
 use ids::{Incarnation, ModelId, WeightsVersion};
@@ -19,34 +19,34 @@
 use wire::caller::Completion;
 use wire::headers;
 
-/// Bytes of a prompt that make one cache block: 1,024 tokens of about four bytes.
+/// Prompt bytes per cache block: 1,024 tokens of about four bytes.
 const BLOCK_BYTES: usize = 4096;
-/// Tokens of a cache block.
+/// Tokens per cache block.
 pub const BLOCK_TOKENS: u64 = 1024;
-/// Bytes of a token, on average.
+/// Average bytes per token.
 const TOKEN_BYTES: u64 = 4;
-/// Output expected of a request that states no bound.
+/// Output tokens estimated for a request without `max_tokens`.
 const OUTPUT_TOKENS: u32 = 256;
 
-/// Answers one completion.
+/// Handles one completion request.
 pub async fn completion(shared: &Arc<Shared>, call: Call) -> Result<Response, Refused> {
-    let wanted: Completion<'_> =
+    let request: Completion<'_> =
         serde_json::from_slice(&call.body).map_err(|err| Refused::not_run(Cause::Json(err)))?;
-    if wanted.prompt.is_none() && wanted.messages.is_none() {
+    if request.prompt.is_none() && request.messages.is_none() {
         return Err(Refused::not_run(Cause::NoPrompt));
     }
-    let model = ModelId::from(wanted.model.as_ref());
-    let stream = wanted.stream;
-    let weights = weights(&call.caller, &model)?;
-    let chain = chain(&call, &wanted, &model, &weights[0])?;
+    let model = ModelId::from(request.model.as_ref());
+    let stream = request.stream;
+    let weights = weights(&call.auth, &model)?;
+    let chain = chain(&call, &request, &model, &weights[0])?;
     let pool = shared
         .pools
         .get(&Target::Model(model))
         .ok_or(Refused::not_run(Cause::NoEndpoint))?;
-    let estimate = estimate(&wanted, &call, &chain, pool.expected_blocks(&chain));
+    let estimate = estimate(&request, &call, &chain, pool.expected_blocks(&chain));
     let limit = shared
         .limits
-        .take(&call.caller, estimate.uncached + estimate.output, shared.clock.now())?;
+        .try_acquire(&call.auth, estimate.uncached + estimate.output, shared.clock.now())?;
     let permit = match pool.enter(job(&call, estimate)).await {
         Ok(permit) => permit,
         Err(refusal) => {
@@ -58,81 +58,82 @@
     attempts.chain = chain;
     attempts.weights = weights;
     let opened = attempts.open(send_pooled).await?;
-    let seen = seen(&attempts, &opened);
+    let info = record_head(&attempts, &opened);
     if stream && opened.reply.status().is_success() {
-        return stream::answer(attempts, opened, seen, limit).await;
+        return stream::respond(attempts, opened, info, limit).await;
     }
-    whole(attempts, opened, seen, limit).await
+    answer_buffered(attempts, opened, info, limit).await
 }
 
-/// What the head of an engine's answer showed.
+/// Facts from the head of an engine's response.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
-    /// Prompt tokens the engine computed.
+pub struct HeadInfo {
+    /// Prompt tokens that the engine computed.
     pub uncached: u64,
 }
 
-/// Takes in what the head shows of the cache; an answer by another life than believed says nothing of this one.
-fn seen(attempts: &Attempts, opened: &Opened) -> Seen {
+/// Records how much of the prompt was cached. The cached share belongs to the incarnation that responded, which may
+/// differ from the published one.
+fn record_head(attempts: &Attempts, opened: &OpenedReply) -> HeadInfo {
     let prompt = attempts.chain.blocks().len() as u64 * BLOCK_TOKENS;
     let header = |name| opened.reply.header(name).and_then(|text| text.parse::<u64>().ok());
     let cached = header(headers::CACHED_TOKENS).unwrap_or(0).min(prompt);
     let served = opened.reply.header(headers::WEIGHTS).unwrap_or_default();
-    // The chain's hashes stand for the preferred weights only.
-    let chained = attempts
+    // The hashes of the chain are valid for the preferred weights only.
+    let preferred = attempts
         .weights
         .first()
         .is_some_and(|weights| weights.as_str() == served);
-    if let Some(incarnation) = header(headers::INCARNATION).filter(|_| chained) {
+    if let Some(incarnation) = header(headers::INCARNATION).filter(|_| preferred) {
         let blocks = (cached / BLOCK_TOKENS) as usize;
-        opened.flight.learn(Incarnation(incarnation), &attempts.chain, blocks);
+        opened.attempt.learn(Incarnation(incarnation), &attempts.chain, blocks);
     }
     attempts.shared.metrics.prompt_tokens.inc_by(prompt);
     attempts.shared.metrics.cached_tokens.inc_by(cached);
-    Seen {
+    HeadInfo {
         uncached: prompt - cached,
     }
 }
 
-/// Answers with a whole body. One that is cut short is asked for again elsewhere: the caller has seen nothing of it,
-/// and a completion may run twice.
-async fn whole(
+/// Responds with a buffered body. If the endpoint's response is cut off, the request is sent again elsewhere: the
+/// client has received nothing of it, and a completion may run twice.
+async fn answer_buffered(
     mut attempts: Attempts,
-    mut opened: Opened,
-    mut shown: Seen,
-    limit: crate::limits::Taken,
+    mut opened: OpenedReply,
+    mut info: HeadInfo,
+    limit: crate::limits::LimitReservation,
 ) -> Result<Response, Refused> {
     loop {
         let status = opened.reply.status();
         let content = opened.reply.header("content-type").map(str::to_owned);
-        let first_token = opened.flight.first_token(shown.uncached);
+        let first_token = opened.attempt.first_token(info.uncached);
         if let Some(body) = read(&attempts, opened.reply).await {
             attempts.shared.metrics.first_token.observe(first_token.as_secs_f64());
-            attempts.life.on(RequestEvent::AnswerComplete);
+            attempts.lifecycle.on(RequestEvent::AnswerComplete);
             let tokens = Tokens {
-                uncached: shown.uncached,
-                output: output(&body),
+                uncached: info.uncached,
+                output: output_tokens(&body),
             };
             attempts.permit.served(first_token, tokens);
             limit.settle(tokens.uncached + tokens.output);
             return Ok(respond(status, content.as_deref(), body));
         }
-        attempts.cancel(&opened.flight);
-        attempts.life.on(RequestEvent::AnswerFailed);
-        attempts.again(opened.flight).await?;
+        attempts.cancel(&opened.attempt);
+        attempts.lifecycle.on(RequestEvent::AnswerFailed);
+        attempts.retry(opened.attempt).await?;
         opened = attempts.open(send_pooled).await?;
-        shown = seen(&attempts, &opened);
+        info = record_head(&attempts, &opened);
     }
 }
 
-/// The whole body, none if it broke off or the deadline passed.
+/// Reads the complete body; `None` if it is cut off or the deadline passes.
 async fn read(attempts: &Attempts, reply: http::Reply) -> Option<Vec<u8>> {
-    let left = attempts.call.left(&attempts.shared)?;
+    let remaining = attempts.call.remaining(&attempts.shared)?;
     let limit = attempts.shared.settings.limits.answer_bytes;
-    http::timeout(left, reply.whole(limit)).await.ok()?.ok()
+    http::timeout(remaining, reply.whole(limit)).await.ok()?.ok()
 }
 
-/// An answer with this body.
+/// Creates a response with this body.
 pub fn respond(status: StatusCode, content: Option<&str>, body: Vec<u8>) -> Response {
     let mut response = Response::new(status);
     response.set_body(body);
@@ -140,74 +141,75 @@
     response
 }
 
-/// The weights that may serve `model`, those that most endpoints serve first and the wanted ones before equals: while
-/// new weights are loaded, traffic moves once most runners have them, and never to one warming runner alone. There
-/// is at least one.
-fn weights(caller: &Caller, model: &ModelId) -> Result<Vec<WeightsVersion>, Refused> {
+/// The weights that may serve `model`, at least one: first those that most endpoints serve, and the target weights
+/// before others with equally many. While new weights are loaded, traffic moves once most runners have them, and
+/// never to a single runner with a cold cache.
+fn weights(auth: &AuthContext, model: &ModelId) -> Result<Vec<WeightsVersion>, Refused> {
     let missing = || Refused::not_run(Cause::Model(model.clone()));
-    if !caller.spec.models.contains(model) {
+    if !auth.spec.models.contains(model) {
         return Err(missing());
     }
-    let spec = caller.view.document.models.get(model).ok_or_else(missing)?;
+    let spec = auth.view.document.models.get(model).ok_or_else(missing)?;
     let mut weights = spec.versions.clone();
-    let wanted = |version: &WeightsVersion| *version == spec.wanted;
-    weights.sort_by_cached_key(|version| (Reverse(serving(&caller.view, model, version)), !wanted(version)));
+    let is_target = |version: &WeightsVersion| *version == spec.wanted;
+    weights.sort_by_cached_key(|version| (Reverse(count_serving(&auth.view, model, version)), !is_target(version)));
     Ok(weights)
 }
 
-/// How many endpoints serve `version`, or may, since nothing is known of theirs.
-fn serving(view: &View, model: &ModelId, version: &WeightsVersion) -> usize {
+/// How many endpoints serve `version`. Endpoints with unknown weights count too.
+fn count_serving(view: &View, model: &ModelId, version: &WeightsVersion) -> usize {
     let target = Target::Model(model.clone());
     let serves = |id| {
-        let believed = view.belief(id);
-        believed.standing != Standing::Out && believed.weights.as_ref().is_none_or(|weights| weights == version)
+        let state = view.endpoint_state(id);
+        state.availability != Availability::Unavailable
+            && state.weights.as_ref().is_none_or(|weights| weights == version)
     };
     view.members(&target).filter(|(id, _)| serves(id)).count()
 }
 
 fn chain(
     call: &Call,
-    wanted: &Completion<'_>,
+    request: &Completion<'_>,
     model: &ModelId,
     weights: &WeightsVersion,
 ) -> Result<PrefixChain, Refused> {
-    let ends = levels(call)?;
+    let ends = prefix_levels(call)?;
     let scope = Scope {
-        workspace: &call.caller.workspace,
+        workspace: &call.auth.workspace,
         model,
         weights,
     };
     Ok(PrefixChain::new(
         scope,
-        wanted.rendered().as_bytes(),
+        request.rendered().as_bytes(),
         BLOCK_BYTES,
         &ends,
     ))
 }
 
-fn levels(call: &Call) -> Result<Vec<usize>, Refused> {
+fn prefix_levels(call: &Call) -> Result<Vec<usize>, Refused> {
     let Some(text) = call::text(&call.head, headers::PREFIX_LEVELS) else {
         return Ok(Vec::new());
     };
-    let wrong = || Refused::not_run(Cause::Header(headers::PREFIX_LEVELS));
+    let invalid = || Refused::not_run(Cause::Header(headers::PREFIX_LEVELS));
     let ends: Result<Vec<usize>, _> = text.split(',').map(|end| end.trim().parse()).collect();
-    let ends = ends.map_err(|_| wrong())?;
-    if ends.is_sorted() { Ok(ends) } else { Err(wrong()) }
+    let ends = ends.map_err(|_| invalid())?;
+    if ends.is_sorted() { Ok(ends) } else { Err(invalid()) }
 }
 
-fn estimate(wanted: &Completion<'_>, call: &Call, chain: &PrefixChain, expected: usize) -> Tokens {
+fn estimate(request: &Completion<'_>, call: &Call, chain: &PrefixChain, expected: usize) -> Tokens {
     let prompt = (call.body.len() as u64 / TOKEN_BYTES).max(chain.blocks().len() as u64 * BLOCK_TOKENS);
     Tokens {
         uncached: prompt.saturating_sub(expected as u64 * BLOCK_TOKENS),
-        output: u64::from(wanted.max_tokens.unwrap_or(OUTPUT_TOKENS)),
+        output: u64::from(request.max_tokens.unwrap_or(OUTPUT_TOKENS)),
     }
 }
 
-/// The job of a call.
+/// The admission job of a request.
 pub fn job(call: &Call, tokens: Tokens) -> Job {
     Job {
-        workspace: call.caller.workspace.clone(),
-        weight: call.caller.spec.weight,
+        workspace: call.auth.workspace.clone(),
+        weight: call.auth.spec.weight,
         priority: call.priority,
         tokens,
         deadline: Some(call.deadline),
@@ -224,7 +226,7 @@
     completion_tokens: u64,
 }
 
-/// Tokens generated, as the answer says; none if it does not.
-fn output(body: &[u8]) -> u64 {
+/// Generated tokens as stated in the response; 0 if it does not say.
+fn output_tokens(body: &[u8]) -> u64 {
     serde_json::from_slice(body).map_or(0, |answer: Answer| answer.usage.completion_tokens)
 }
--- a/crates/router/src/caller/hedge.rs
+++ b/crates/router/src/caller/hedge.rs
@@ -1,13 +1,14 @@
-//! A second attempt beside a slow one.
+//! Hedging: a second attempt beside a slow one.
 //!
-//! Load pattern: an engine hangs, is stopped or swaps while the others have room. Without this a request waits there
-//! until its deadline and the caller gets nothing in time. An attempt without a head after [`TIMES`] the expected time to
-//! first token gets a second one elsewhere, from the retry budget, and the first answer counts.
+//! An engine may hang, be stopped or swap while others have room. Without hedging, a request waits there until its
+//! deadline and the client gets no response in time. An attempt without a head after [`HEDGE_FACTOR`] times the
+//! expected time to first token gets a second attempt elsewhere, paid from the retry budget. The first response
+//! counts.
 
 use super::attempt::Attempts;
-use super::transmit::unless_gone;
-use crate::control::Sighting;
-use crate::pool::{Flight, Wish};
+use super::transmit::unless_disconnected;
+use crate::control::Observation;
+use crate::pool::{EndpointAttempt, PickContext};
 use crate::shared::Shared;
 use admission::HedgeDecision;
 use futures::future::{Either, select};
@@ -18,39 +19,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An attempt is slow once it takes this many times the expected time to first token: in the experiment's steady
-/// scenarios 99 of 100 requests take less than three times the mean.
-const TIMES: f64 = 3.0;
-/// No attempt is slow before this: below, a hedge gains the caller less than it costs the pool.
-const FLOOR: Duration = Duration::from_millis(500);
+/// An attempt is slow after this multiple of the expected time to first token: in the experiment's steady scenarios
+/// 99 of 100 requests take less than three times the mean.
+const HEDGE_FACTOR: f64 = 3.0;
+/// Minimum hedge delay: below it, a hedge costs the pool more than it gains the client.
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(500);
 
-/// What came of a send, none if the caller went away.
+/// Result of a send, `None` if the client disconnected.
 type Outcome = Option<Result<Reply, SendError>>;
 
 impl Attempts {
-    /// Waits for the answer to `sending`; starts a second attempt if it is slow and that is worth it.
+    /// Waits for the response to `sending`; starts a second attempt if the first is slow and the retry budget allows
+    /// it.
     pub(super) async fn race<F, Fut>(
         &mut self,
-        first: Flight,
+        first: EndpointAttempt,
         mut sending: Pin<Box<Fut>>,
         send: &F,
-    ) -> (Flight, Outcome)
+    ) -> (EndpointAttempt, Outcome)
     where
         F: Fn(Arc<Shared>, Request, Vec<u8>, SocketAddr, Duration) -> Fut,
         Fut: Future<Output = Result<Reply, SendError>>,
     {
-        let slow = self.slow();
-        let waited = http::timeout(slow, unless_gone(&self.call.conn, sending.as_mut())).await;
+        let delay = self.hedge_delay();
+        let waited = http::timeout(delay, unless_disconnected(&self.call.conn, sending.as_mut())).await;
         if let Ok(outcome) = waited {
             return (first, outcome);
         }
-        let Some((second, left)) = self.second(&first, slow) else {
-            let outcome = unless_gone(&self.call.conn, sending).await;
+        let Some((second, remaining)) = self.place_hedge(&first, delay) else {
+            let outcome = unless_disconnected(&self.call.conn, sending).await;
             return (first, outcome);
         };
         self.shared.metrics.retries.with_label_values(&["hedge"]).inc();
-        let other = Box::pin(self.transmit(&second, left, send));
-        let winner = unless_gone(&self.call.conn, first_answer(sending, other)).await;
+        let other = Box::pin(self.transmit(&second, remaining, send));
+        let winner = unless_disconnected(&self.call.conn, first_answer(sending, other)).await;
         match winner {
             None => {
                 self.cancel(&second);
@@ -61,36 +63,36 @@
                 (first, Some(result))
             }
             Some((Side::Second, result)) => {
-                self.tell(&first, Sighting::Silent);
+                self.report(&first, Observation::Timeout);
                 self.cancel(&first);
                 (second, Some(result))
             }
         }
     }
 
-    /// From when on an attempt without an answer counts as slow.
-    pub(super) fn slow(&self) -> Duration {
-        let missing = self.chain.blocks().len() as u64 * super::completion::BLOCK_TOKENS;
-        let expected = self.permit.expected_first_token(missing);
-        expected.mul_f64(TIMES).max(FLOOR)
+    /// Time after which an attempt without a response counts as slow.
+    pub(super) fn hedge_delay(&self) -> Duration {
+        let uncached = self.chain.blocks().len() as u64 * super::completion::BLOCK_TOKENS;
+        let expected = self.permit.expected_first_token(uncached);
+        expected.mul_f64(HEDGE_FACTOR).max(MIN_HEDGE_DELAY)
     }
 
-    /// Another endpoint for a second attempt, if the budget has room for it.
-    fn second(&mut self, first: &Flight, waited: Duration) -> Option<(Flight, Duration)> {
-        let left = self.call.left(&self.shared)?;
+    /// Chooses another endpoint for a second attempt, if the retry budget allows it.
+    fn place_hedge(&mut self, first: &EndpointAttempt, waited: Duration) -> Option<(EndpointAttempt, Duration)> {
+        let remaining = self.call.remaining(&self.shared)?;
         let decision = self.permit.hedge(self.count, self.call.deadline, waited);
         if decision != HedgeDecision::Hedge {
             return None;
         }
-        self.avoid.push(first.key);
-        let wish = Wish {
+        self.excluded.push(first.key);
+        let context = PickContext {
             chain: &self.chain,
             weights: &self.weights,
-            avoid: &self.avoid,
+            excluded: &self.excluded,
         };
-        let second = self.permit.place(&wish)?;
+        let second = self.permit.place(&context)?;
         self.count += 1;
-        Some((second, left))
+        Some((second, remaining))
     }
 }
 
@@ -99,7 +101,7 @@
     Second,
 }
 
-/// The first of two sends that is answered; the other's result if one fails.
+/// Waits for the first successful response; if one send fails, returns the result of the other.
 async fn first_answer<Fut>(first: Pin<Box<Fut>>, second: Pin<Box<Fut>>) -> (Side, Result<Reply, SendError>)
 where
     Fut: Future<Output = Result<Reply, SendError>>,
--- a/crates/router/src/caller/held.rs
+++ b/crates/router/src/caller/held.rs
@@ -1,36 +1,36 @@
-//! Memory for bodies of requests in flight.
+//! Memory budget for the bodies of requests in flight.
 //!
-//! Load pattern: many callers send large bodies, slowly or while engines are busy. Each body alone is within its limit,
-//! and all connections together could hold gigabytes; the process would be killed with every request it had. So bodies
-//! share a budget, and a request that does not fit is refused before its body is read.
+//! Many clients may send large bodies, slowly or while engines are busy. Each body is within its limit, but over all
+//! connections they could take gigabytes, and the process would be killed with all its requests. So bodies share a
+//! budget, and a request that does not fit is refused before its body is read.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Bytes of bodies held now.
+/// Bytes reserved for bodies.
 #[derive(Debug, Clone, Default)]
-pub struct Budget(Arc<AtomicU64>);
+pub struct BodyBudget(Arc<AtomicU64>);
 
-/// A part of the budget, given back when dropped.
+/// Bytes reserved in the budget; released when dropped.
 #[derive(Debug)]
-pub struct Held {
-    budget: Budget,
+pub struct BodyReservation {
+    budget: BodyBudget,
     bytes: u64,
 }
 
-impl Budget {
-    /// Takes `bytes` of at most `limit`, none if they do not fit.
-    pub fn take(&self, bytes: u64, limit: u64) -> Option<Held> {
+impl BodyBudget {
+    /// Reserves `bytes` if the total stays within `limit`.
+    pub fn try_reserve(&self, bytes: u64, limit: u64) -> Option<BodyReservation> {
         let before = self.0.fetch_add(bytes, Ordering::SeqCst);
-        let held = Held {
+        let reservation = BodyReservation {
             budget: self.clone(),
             bytes,
         };
-        (before + bytes <= limit).then_some(held)
+        (before + bytes <= limit).then_some(reservation)
     }
 }
 
-impl Drop for Held {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.budget.0.fetch_sub(self.bytes, Ordering::SeqCst);
     }
--- a/crates/router/src/caller/mod.rs
+++ b/crates/router/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! What callers meet: routes, keys, completions, calls of plain services, refusals.
+//! The client-facing API: routes, authentication, completions, calls of plain services, refusals.
 
 mod attempt;
 mod auth;
@@ -19,15 +19,15 @@
 use std::sync::atomic::Ordering;
 use wire::headers;
 
-pub use auth::Caller;
-pub use held::Budget;
+pub use auth::AuthContext;
+pub use held::BodyBudget;
 pub use refusal::{Cause, Refused};
 
-/// Paths below this belong to plain services.
+/// Path prefix of plain services.
 const SERVICES: &str = "/services/";
 
-/// Answers one request of a caller.
-pub async fn answer(shared: Arc<Shared>, request: Request, conn: Conn) -> Response {
+/// Handles one request of a client.
+pub async fn handle(shared: Arc<Shared>, request: Request, conn: Conn) -> Response {
     let id = shared.next_request();
     let kind = kind(request.url().path());
     let result = route(&shared, request, conn, &id).await;
@@ -66,19 +66,19 @@
         return Err(Refused::not_run(Cause::ShuttingDown).retry_after(shared.settings.shutdown.notice_ms));
     }
     if shared.stopping.load(Ordering::SeqCst) {
-        log::debug!(request = id.as_str(); "accepted while the balancer is being told");
+        log::debug!(request = id.as_str(); "accepted during the shutdown notice period");
     }
     let view = shared.view.load_full().ok_or(Refused::not_run(Cause::NotReady))?;
-    let caller = auth::caller(&view, &request)?;
+    let auth = auth::authenticate(&view, &request)?;
     let path = request.url().path().to_owned();
     match (request.method(), path.as_str()) {
-        (Method::Get, "/v1/models") => Ok(models::models(&caller)),
+        (Method::Get, "/v1/models") => Ok(models::models(&auth)),
         (Method::Post, "/v1/completions" | "/v1/chat/completions") => {
-            let call = call::read(shared, &caller, request, conn, id).await?;
+            let call = call::read(shared, &auth, request, conn, id).await?;
             completion::completion(shared, call).await
         }
         (_, path) if path.starts_with(SERVICES) => {
-            let call = call::read(shared, &caller, request, conn, id).await?;
+            let call = call::read(shared, &auth, request, conn, id).await?;
             service::service(shared, call).await
         }
         (_, "/v1/models" | "/v1/completions" | "/v1/chat/completions") => Err(Refused::not_run(Cause::Method)),
--- a/crates/router/src/caller/models.rs
+++ b/crates/router/src/caller/models.rs
@@ -1,6 +1,6 @@
-//! `GET /v1/models`: the models of the caller's workspace.
+//! `GET /v1/models`: the models of the client's workspace.
 
-use super::auth::Caller;
+use super::auth::AuthContext;
 use http::{Response, StatusCode};
 use serde::Serialize;
 
@@ -17,9 +17,9 @@
     owned_by: &'static str,
 }
 
-/// The list.
-pub fn models(caller: &Caller) -> Response {
-    let ids = caller.spec.models.iter();
+/// Lists the models in the format of the OpenAI API.
+pub fn models(auth: &AuthContext) -> Response {
+    let ids = auth.spec.models.iter();
     let data = ids
         .map(|id| Model {
             id: id.as_str(),
@@ -27,7 +27,7 @@
             owned_by: "apricotfork",
         })
         .collect();
-    let body = serde_json::to_vec(&List { object: "list", data }).expect("a list of texts is always JSON");
+    let body = serde_json::to_vec(&List { object: "list", data }).expect("a list of strings serializes to JSON");
     let mut response = Response::new(StatusCode::Ok);
     response.set_body(body);
     response.insert_header("content-type", "application/json");
--- a/crates/router/src/caller/refusal.rs
+++ b/crates/router/src/caller/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: one typed cause each, and one JSON form.
+//! Refusals of requests: typed causes and their JSON form.
 
 use derive_more::Display;
 use http::{Response, StatusCode};
@@ -7,107 +7,107 @@
 use wire::caller::{Code, Ran, Refusal, RefusalBody};
 use wire::headers;
 
-/// Why a request gets no answer of an endpoint.
+/// Why a request gets no response from an endpoint.
 #[derive(Debug, Display)]
 pub enum Cause {
-    /// The body is not the JSON that is needed.
-    #[display("the body cannot be read: {_0}")]
+    /// The body is not a valid JSON request.
+    #[display("invalid request body: {_0}")]
     Json(serde_json::Error),
-    /// Neither prompt nor messages.
+    /// Both `prompt` and `messages` are missing.
     #[display("the body has neither `prompt` nor `messages`")]
     NoPrompt,
-    /// A header's value cannot be read.
-    #[display("the header {_0} cannot be read")]
+    /// A header has an invalid value.
+    #[display("the header {_0} has an invalid value")]
     Header(&'static str),
-    /// No priority of that name is configured.
-    #[display("there is no priority {_0}")]
+    /// The configuration has no priority of that name.
+    #[display("unknown priority {_0}")]
     Priority(String),
-    /// Body longer than allowed, bytes.
-    #[display("the body is longer than {_0} bytes")]
+    /// The body exceeds the limit, bytes.
+    #[display("the request body exceeds {_0} bytes")]
     TooLarge(u64),
-    /// The body broke off, came too slowly or was shorter than declared.
-    #[display("the body did not arrive whole")]
-    BodyBroke,
-    /// Missing or unknown key.
-    #[display("a bearer key of a workspace is needed")]
-    Key,
-    /// No such model for this workspace.
-    #[display("there is no model {_0} for this workspace")]
+    /// The body was cut off, arrived too slowly or is shorter than declared.
+    #[display("the request body is incomplete")]
+    BodyIncomplete,
+    /// The bearer key is missing or unknown.
+    #[display("the bearer key is missing or unknown")]
+    Unauthorized,
+    /// The workspace has no such model.
+    #[display("this workspace has no model {_0}")]
     Model(ModelId),
-    /// No such service for this workspace.
-    #[display("there is no service {_0} for this workspace")]
+    /// The workspace has no such service.
+    #[display("this workspace has no service {_0}")]
     Service(ServiceId),
-    /// No operation of the service has this path.
+    /// The service has no operation at this path.
     #[display("the service has no operation at this path")]
     Operation,
-    /// No such path.
-    #[display("there is nothing at this path")]
+    /// Unknown path.
+    #[display("unknown path")]
     NoPath,
-    /// The path needs another method.
-    #[display("this path needs another method")]
+    /// The path does not support the method.
+    #[display("this path does not support the method")]
     Method,
-    /// The workspace's limit is reached.
-    #[display("the workspace's limit is reached")]
+    /// The workspace's rate limit is exceeded.
+    #[display("the workspace's rate limit is exceeded")]
     Limit,
-    /// The pool decided against it.
+    /// Admission refused the request.
     #[display("{_0}")]
     Admission(admission::Reason),
-    /// The bodies in flight take all memory that they may.
-    #[display("the router holds too many bodies")]
-    Memory,
-    /// No endpoint can take it.
-    #[display("no endpoint can serve this now")]
+    /// The bodies of requests in flight use up their memory budget.
+    #[display("the memory for request bodies is exhausted")]
+    BodyMemory,
+    /// No endpoint is available.
+    #[display("no endpoint is available")]
     NoEndpoint,
     /// The deadline passed.
     #[display("the deadline has passed")]
     Deadline,
-    /// The endpoint failed before its answer was whole.
-    #[display("the endpoint failed before its answer was whole")]
-    Endpoint,
-    /// The key stands for another call.
-    #[display("the idempotency key {_0} stands for another call")]
+    /// The endpoint failed before its response was complete.
+    #[display("the endpoint failed before its response was complete")]
+    EndpointFailed,
+    /// The idempotency key was used for a different request.
+    #[display("the idempotency key {_0} was used for a different request")]
     KeyReused(IdempotencyKey),
-    /// The key's call is running.
-    #[display("a call with the idempotency key {_0} is running")]
+    /// A request with this idempotency key is in progress.
+    #[display("a request with the idempotency key {_0} is in progress")]
     InProgress(IdempotencyKey),
-    /// The key's call may have run; nobody will know.
-    #[display("the call with the idempotency key {_0} may have run, and will not be run again")]
+    /// The request with this idempotency key may have run, and its result cannot be determined.
+    #[display("the request with the idempotency key {_0} may have run and will not be run again")]
     Abandoned(IdempotencyKey),
-    /// The key's call ran, its answer was too large to keep.
-    #[display("the call with the idempotency key {_0} ran; its answer of {_1} bytes was not kept")]
-    NotKept(IdempotencyKey, u64),
-    /// The claim cannot be made.
-    #[display("the idempotency key cannot be claimed while the platform is out of reach")]
-    Claim,
-    /// Shutdown.
+    /// The request with this idempotency key ran; its response was too large to store. Size in bytes.
+    #[display("the request with the idempotency key {_0} ran; its response of {_1} bytes was not stored")]
+    AnswerNotStored(IdempotencyKey, u64),
+    /// The idempotency key cannot be claimed.
+    #[display("the idempotency key cannot be claimed while the platform is unreachable")]
+    ClaimUnavailable,
+    /// The router is shutting down.
     #[display("this router is shutting down")]
     ShuttingDown,
-    /// No configuration yet.
+    /// The router has no configuration yet.
     #[display("this router has no configuration yet")]
     NotReady,
 }
 
 impl Cause {
-    /// The stable code.
+    /// The stable error code.
     pub fn code(&self) -> Code {
         use admission::Reason;
         match self {
-            Self::Json(_) | Self::NoPrompt | Self::Header(_) | Self::Priority(_) | Self::BodyBroke => {
+            Self::Json(_) | Self::NoPrompt | Self::Header(_) | Self::Priority(_) | Self::BodyIncomplete => {
                 Code::InvalidRequest
             }
             Self::TooLarge(_) => Code::BodyTooLarge,
-            Self::Key => Code::Unauthorized,
+            Self::Unauthorized => Code::Unauthorized,
             Self::Model(_) | Self::Service(_) | Self::Operation | Self::NoPath | Self::Method => Code::NotFound,
             Self::Limit => Code::RateLimited,
             Self::Admission(Reason::DeadlineUnreachable | Reason::DeadlineShort) | Self::Deadline => {
                 Code::DeadlineExceeded
             }
             Self::Admission(Reason::NoCapacity) | Self::NoEndpoint => Code::NoEndpoint,
-            Self::Admission(_) | Self::Memory => Code::Overloaded,
-            Self::Endpoint | Self::Abandoned(_) | Self::NotKept(..) => Code::EndpointFailed,
+            Self::Admission(_) | Self::BodyMemory => Code::Overloaded,
+            Self::EndpointFailed | Self::Abandoned(_) | Self::AnswerNotStored(..) => Code::EndpointFailed,
             Self::KeyReused(_) => Code::KeyReused,
             Self::InProgress(_) => Code::InProgress,
-            Self::Claim => Code::ClaimUnavailable,
+            Self::ClaimUnavailable => Code::ClaimUnavailable,
             Self::ShuttingDown => Code::ShuttingDown,
             Self::NotReady => Code::NotReady,
         }
@@ -116,7 +116,7 @@
     fn status(&self) -> StatusCode {
         match self {
             Self::Method => StatusCode::MethodNotAllowed,
-            Self::BodyBroke => StatusCode::RequestTimeout,
+            Self::BodyIncomplete => StatusCode::RequestTimeout,
             _ => status(self.code()),
         }
     }
@@ -140,19 +140,19 @@
     }
 }
 
-/// A refusal on its way to the caller.
+/// A refusal to be sent to the client.
 #[derive(Debug)]
 pub struct Refused {
-    /// Why.
+    /// The cause.
     pub cause: Cause,
     /// Whether the request may have run.
     pub ran: Ran,
-    /// When to come back.
+    /// When the client may retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Refused {
-    /// A refusal of a request that has not run.
+    /// Creates a refusal of a request that has not run.
     pub fn not_run(cause: Cause) -> Self {
         Self {
             cause,
@@ -161,8 +161,8 @@
         }
     }
 
-    /// A refusal of a request in a state that says whether it ran.
-    pub fn with(cause: Cause, ran: Ran) -> Self {
+    /// Creates a refusal that states whether the request ran.
+    pub fn new(cause: Cause, ran: Ran) -> Self {
         Self {
             cause,
             ran,
@@ -170,34 +170,34 @@
         }
     }
 
-    /// States when to come back, milliseconds.
+    /// Sets the time after which the client may retry, milliseconds.
     pub fn retry_after(mut self, ms: u64) -> Self {
         self.retry_after = Some(Duration::from_millis(ms));
         self
     }
 
-    /// The refusal as callers see it.
+    /// The JSON body sent to clients.
     pub fn body(&self, id: &RequestId) -> RefusalBody {
         let error = Refusal {
             code: self.cause.code(),
             message: self.cause.to_string(),
             ran: self.ran,
-            retry_after_ms: self.retry_after.map(|after| after.as_millis() as u64),
+            retry_after_ms: self.retry_after.map(|delay| delay.as_millis() as u64),
             request_id: id.clone(),
         };
         RefusalBody { error }
     }
 
-    /// The HTTP answer.
+    /// Converts the refusal into an HTTP response.
     pub fn into_response(self, id: &RequestId) -> Response {
         let mut response = Response::new(self.cause.status());
         response.insert_header("content-type", "application/json");
         response.insert_header(headers::RAN, self.ran.to_string());
-        if let Some(after) = self.retry_after {
-            let seconds = after.as_millis().div_ceil(1000).max(1);
+        if let Some(delay) = self.retry_after {
+            let seconds = delay.as_millis().div_ceil(1000).max(1);
             response.insert_header("retry-after", seconds.to_string());
         }
-        let body = serde_json::to_vec(&self.body(id)).expect("a refusal is always JSON");
+        let body = serde_json::to_vec(&self.body(id)).expect("a refusal serializes to JSON");
         response.set_body(body);
         response.insert_header("content-type", "application/json");
         response
--- a/crates/router/src/caller/service.rs
+++ b/crates/router/src/caller/service.rs
@@ -1,8 +1,8 @@
-//! Calls of plain services: repeated only where that does no harm, claimed where a key asks for it.
+//! Calls of plain services: retried only where that is safe, claimed if an idempotency key requires it.
 
 use super::attempt::Attempts;
 use super::call::{self, Call};
-use super::claim::{self, Claimed};
+use super::claim::{self, ClaimResult};
 use super::completion::{job, respond};
 use super::refusal::{Cause, Refused};
 use super::transmit::{declined, send_pooled};
@@ -18,13 +18,13 @@
 use wire::caller::Ran;
 use wire::headers;
 
-/// Answers one call of a plain service.
+/// Handles one call of a plain service.
 pub async fn service(shared: &Arc<Shared>, mut call: Call) -> Result<Response, Refused> {
     let (service, path) = split(&call.path).ok_or(Refused::not_run(Cause::NoPath))?;
-    if !call.caller.spec.services.contains(&service) {
+    if !call.auth.spec.services.contains(&service) {
         return Err(Refused::not_run(Cause::Service(service)));
     }
-    let view = call.caller.view.clone();
+    let view = call.auth.view.clone();
     let operation = view
         .operation(&service, &path)
         .ok_or(Refused::not_run(Cause::Operation))?;
@@ -36,14 +36,14 @@
         .pools
         .get(&Target::Service(service))
         .ok_or(Refused::not_run(Cause::NoEndpoint))?;
-    let limit = shared.limits.take(&call.caller, 0, shared.clock.now())?;
+    let limit = shared.limits.try_acquire(&call.auth, 0, shared.clock.now())?;
     let entered = pool.enter(job(&call, Tokens::default())).await;
     let permit = entered.map_err(|refusal| before_claim(refusal.into(), guard, attempt))?;
     let attempts = Attempts::new(shared, call, permit, guard.repeat());
     let answer = match (guard, key) {
-        (Guard::Idempotent | Guard::Endpoint, _) => repeatable(attempts).await,
-        (Guard::Claim, Some(key)) => claimed(attempts, key, attempt).await,
-        (Guard::SingleSend | Guard::Claim, _) => single(attempts).await,
+        (Guard::Idempotent | Guard::Endpoint, _) => call_with_retries(attempts).await,
+        (Guard::Claim, Some(key)) => call_claimed(attempts, key, attempt).await,
+        (Guard::SingleSend | Guard::Claim, _) => call_once(attempts).await,
     }?;
     limit.settle(0);
     let body = answer.body.as_bytes().map(<[u8]>::to_vec).unwrap_or_default();
@@ -51,7 +51,7 @@
     Ok(respond(status, answer.content.as_deref(), body))
 }
 
-/// `/services/NAME/PATH` as name and `/PATH`.
+/// Splits `/services/NAME/PATH` into the name and `/PATH`.
 fn split(path: &str) -> Option<(ServiceId, String)> {
     let rest = path.strip_prefix(super::SERVICES)?;
     let (name, path) = rest.split_once('/')?;
@@ -66,7 +66,7 @@
     }
 }
 
-/// A refusal before the claim was looked up: an earlier attempt of this key may have run at another router.
+/// A refusal before the claim was read: an earlier attempt with this key may have run through another router.
 fn before_claim(refused: Refused, guard: Guard, attempt: Attempt) -> Refused {
     let keyed = matches!(guard, Guard::Claim | Guard::Endpoint);
     if keyed && attempt == Attempt::Unstated {
@@ -78,51 +78,51 @@
     refused
 }
 
-async fn repeatable(mut attempts: Attempts) -> Result<StoredAnswer, Refused> {
+async fn call_with_retries(mut attempts: Attempts) -> Result<StoredAnswer, Refused> {
     loop {
         let opened = attempts.open(send_pooled).await?;
-        let kept = read(&attempts, opened.reply).await;
-        if let Some(kept) = kept {
-            attempts.life.on(RequestEvent::AnswerComplete);
-            let after = opened.flight.first_token(0);
+        let stored = read(&attempts, opened.reply).await;
+        if let Some(stored) = stored {
+            attempts.lifecycle.on(RequestEvent::AnswerComplete);
+            let after = opened.attempt.first_token(0);
             attempts.permit.served(after, Tokens::default());
-            return Ok(kept);
+            return Ok(stored);
         }
-        attempts.life.on(RequestEvent::AnswerFailed);
-        attempts.again(opened.flight).await?;
+        attempts.lifecycle.on(RequestEvent::AnswerFailed);
+        attempts.retry(opened.attempt).await?;
     }
 }
 
-/// Sends once, without a claim: the caller gave no key, so its own retry would be another call.
-async fn single(attempts: Attempts) -> Result<StoredAnswer, Refused> {
+/// Sends once without a claim: the client sent no key, so its own retry is a new request.
+async fn call_once(attempts: Attempts) -> Result<StoredAnswer, Refused> {
     let (result, _) = send_once(attempts, || true, || ()).await;
     result
 }
 
-async fn claimed(mut attempts: Attempts, key: IdempotencyKey, attempt: Attempt) -> Result<StoredAnswer, Refused> {
+async fn call_claimed(mut attempts: Attempts, key: IdempotencyKey, attempt: Attempt) -> Result<StoredAnswer, Refused> {
     let shared = attempts.shared.clone();
     let held = match claim::claim(&shared, &attempts.call, &key, attempt).await {
-        Claimed::Won(held) => held,
-        Claimed::Answer(kept) => {
-            attempts.life.on(RequestEvent::GiveUp);
-            return replay(kept, key);
+        ClaimResult::Won(held) => held,
+        ClaimResult::Answer(stored) => {
+            attempts.lifecycle.on(RequestEvent::GiveUp);
+            return replay(stored, key);
         }
-        Claimed::Refused(refused) => {
-            attempts.life.on(RequestEvent::GiveUp);
+        ClaimResult::Refused(refused) => {
+            attempts.lifecycle.on(RequestEvent::GiveUp);
             return Err(refused);
         }
     };
-    attempts.life.on(RequestEvent::ClaimHeld);
-    let workspace = attempts.call.caller.workspace.clone();
+    attempts.lifecycle.on(RequestEvent::ClaimHeld);
+    let workspace = attempts.call.auth.workspace.clone();
     let held = Arc::new(Mutex::new(held));
-    let asked = held.clone();
+    let checked = held.clone();
     let clock = shared.clock;
-    let may_send = move || lock(&asked).may_send(clock.now()) == MaySend::Now;
+    let may_send = move || lock(&checked).may_send(clock.now()) == MaySend::Now;
     let sent = held.clone();
-    let refused = move || lock(&sent).endpoint_refused();
-    let (result, state) = send_once(attempts, may_send, refused).await;
+    let on_refused = move || lock(&sent).endpoint_refused();
+    let (result, state) = send_once(attempts, may_send, on_refused).await;
     let outcome = match &result {
-        Ok(kept) => Outcome::Done(kept.clone()),
+        Ok(stored) => Outcome::Done(stored.clone()),
         Err(_) if state == RequestState::Refused => Outcome::NotSent,
         Err(_) => Outcome::Unknown,
     };
@@ -131,28 +131,28 @@
     result
 }
 
-/// The kept answer of an earlier attempt.
-fn replay(kept: StoredAnswer, key: IdempotencyKey) -> Result<StoredAnswer, Refused> {
-    match kept.body {
-        lifecycle::claims::Body::TooLarge(size) => Err(Refused::with(Cause::NotKept(key, size), Ran::Unknown)),
-        _ => Ok(kept),
+/// Returns the stored response of an earlier attempt.
+fn replay(stored: StoredAnswer, key: IdempotencyKey) -> Result<StoredAnswer, Refused> {
+    match stored.body {
+        lifecycle::claims::Body::TooLarge(size) => Err(Refused::new(Cause::AnswerNotStored(key, size), Ran::Unknown)),
+        _ => Ok(stored),
     }
 }
 
-/// Sends at most once, and tells in which state the request ended.
+/// Sends at most once, and returns the final state of the request.
 async fn send_once(
     mut attempts: Attempts,
     may_send: impl Fn() -> bool + Clone + Send + Sync + 'static,
-    refused: impl Fn() + Clone + Send + Sync + 'static,
+    on_refused: impl Fn() + Clone + Send + Sync + 'static,
 ) -> (Result<StoredAnswer, Refused>, RequestState) {
     let opened = attempts
-        .open(|shared, request, body, to, within| {
-            let (may_send, refused) = (may_send.clone(), refused.clone());
+        .open(|shared, request, body, to, timeout| {
+            let (may_send, on_refused) = (may_send.clone(), on_refused.clone());
             async move {
-                let reply = once(&shared, request, &body, to, within, may_send).await?;
+                let reply = send_unpooled(&shared, request, &body, to, timeout, may_send).await?;
                 if declined(&reply) {
-                    // Over a connection of its own, so that the refusal is of this very send.
-                    refused();
+                    // The connection is not shared, so the refusal belongs to this send.
+                    on_refused();
                 }
                 Ok(reply)
             }
@@ -160,45 +160,45 @@
         .await;
     let opened = match opened {
         Ok(opened) => opened,
-        Err(refused) => return (Err(refused), attempts.life.state()),
+        Err(refused) => return (Err(refused), attempts.lifecycle.state()),
     };
-    let Some(kept) = read(&attempts, opened.reply).await else {
-        attempts.life.on(RequestEvent::AnswerFailed);
-        let refused = Refused::with(Cause::Endpoint, attempts.life.ran());
-        return (Err(refused), attempts.life.state());
+    let Some(stored) = read(&attempts, opened.reply).await else {
+        attempts.lifecycle.on(RequestEvent::AnswerFailed);
+        let refused = Refused::new(Cause::EndpointFailed, attempts.lifecycle.ran());
+        return (Err(refused), attempts.lifecycle.state());
     };
-    attempts.life.on(RequestEvent::AnswerComplete);
-    let after = opened.flight.first_token(0);
+    attempts.lifecycle.on(RequestEvent::AnswerComplete);
+    let after = opened.attempt.first_token(0);
     attempts.permit.served(after, Tokens::default());
-    (Ok(kept), RequestState::Answered)
+    (Ok(stored), RequestState::Answered)
 }
 
-async fn once(
+async fn send_unpooled(
     shared: &Shared,
     request: http::Request,
     body: &[u8],
     to: std::net::SocketAddr,
-    within: Duration,
+    timeout: Duration,
     may_send: impl FnOnce() -> bool,
 ) -> Result<Reply, SendError> {
-    shared.client.send_once(to, request, body, within, may_send).await
+    shared.client.send_once(to, request, body, timeout, may_send).await
 }
 
-/// The whole answer, none if it is not whole.
+/// Reads the complete response; `None` if it is cut off or the deadline passes.
 async fn read(attempts: &Attempts, reply: Reply) -> Option<StoredAnswer> {
     let status = u16::from(reply.status());
     let content = reply.header("content-type").map(str::to_owned);
-    let left = attempts.call.left(&attempts.shared)?;
+    let remaining = attempts.call.remaining(&attempts.shared)?;
     let limit = attempts.shared.settings.limits.answer_bytes;
-    let body = http::timeout(left, reply.whole(limit)).await.ok()?.ok()?;
+    let body = http::timeout(remaining, reply.whole(limit)).await.ok()?.ok()?;
     Some(StoredAnswer {
         status,
         content,
-        body: whole_body(body),
+        body: stored_body(body),
     })
 }
 
-fn whole_body(body: Vec<u8>) -> lifecycle::claims::Body {
+fn stored_body(body: Vec<u8>) -> lifecycle::claims::Body {
     match String::from_utf8(body) {
         Ok(text) => lifecycle::claims::Body::Text(text),
         Err(err) => lifecycle::claims::Body::Bytes(err.into_bytes()),
--- a/crates/router/src/caller/stream.rs
+++ b/crates/router/src/caller/stream.rs
@@ -1,12 +1,13 @@
-//! Streams: numbered pieces passed on as they come, resumed after a break, ended by `[DONE]` or by an error event.
+//! Streams: numbered pieces are forwarded as they arrive, resumed after a connection failure, and ended by `[DONE]`
+//! or an error event.
 
-use super::attempt::{Attempts, Opened};
-use super::completion::Seen;
+use super::attempt::{Attempts, OpenedReply};
+use super::completion::HeadInfo;
 use super::refusal::{Cause, Refused};
 use super::transmit::send_pooled;
-use crate::control::Sighting;
-use crate::limits::Taken;
-use crate::pool::Flight;
+use crate::control::Observation;
+use crate::limits::LimitReservation;
+use crate::pool::EndpointAttempt;
 use admission::Tokens;
 use async_channel::Sender;
 use async_std::task;
@@ -21,24 +22,29 @@
 use std::time::Duration;
 use wire::headers;
 
-/// The data of the last event.
+/// Data of the last event.
 const DONE: &str = "[DONE]";
-/// Pieces that may wait for a slow caller before the engine is held up.
-const PIECES_AHEAD: usize = 64;
-/// Pieces between two looks at an engine's pace.
-const PACE_EVERY: u64 = 16;
-/// Longest silence between two pieces: a hundred and fifty times the 32 ms that are aimed at, so that an engine that
-/// merely serves others in between is not left.
-const STALL: Duration = Duration::from_secs(5);
-/// Times that one stream is resumed.
-const RESUMES: u32 = 3;
+/// Pieces buffered for a slow client before reading from the engine pauses.
+const PIECE_BUFFER: usize = 64;
+/// Pieces between two updates of an engine's pace.
+const PROGRESS_INTERVAL: u64 = 16;
+/// Maximum time between two pieces: 150 times the target of 32 ms, so that an engine that serves other requests in
+/// between is not abandoned.
+const STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of times a stream is resumed.
+const MAX_RESUMES: u32 = 3;
 
-/// Answers with a stream; what follows the head runs in a task of its own.
-pub async fn answer(mut attempts: Attempts, opened: Opened, seen: Seen, limit: Taken) -> Result<Response, Refused> {
+/// Responds with a stream. A task of its own forwards the pieces after the head.
+pub async fn respond(
+    mut attempts: Attempts,
+    opened: OpenedReply,
+    head_info: HeadInfo,
+    limit: LimitReservation,
+) -> Result<Response, Refused> {
     let mut assembler = StreamAssembler::new(attempts.call.id.clone());
     let head = on_head(&mut assembler, &opened.reply);
-    debug_assert_eq!(head, HeadVerdict::Accept, "the attempt has judged this head already");
-    // From here on only the weights that began the stream can go on with it.
+    debug_assert_eq!(head, HeadVerdict::Accept, "the attempt has accepted this head");
+    // Only the weights that began the stream can continue it.
     attempts.weights = opened
         .reply
         .header(headers::WEIGHTS)
@@ -48,18 +54,18 @@
     let pieces = opened
         .reply
         .pieces()
-        .map_err(|_| Refused::with(Cause::Endpoint, attempts.life.ran()))?;
-    let (sender, receiver) = async_channel::bounded(PIECES_AHEAD);
+        .map_err(|_| Refused::new(Cause::EndpointFailed, attempts.lifecycle.ran()))?;
+    let (sender, receiver) = async_channel::bounded(PIECE_BUFFER);
     let relay = Relay {
         attempts,
         assembler,
         sender,
-        seen,
+        head_info,
         limit,
         first_token: None,
         resumes: 0,
     };
-    task::spawn(relay.run(opened.flight, pieces));
+    task::spawn(relay.run(opened.attempt, pieces));
     let mut response = Response::new(StatusCode::Ok);
     let reader = Box::pin(receiver.map(Ok::<Vec<u8>, io::Error>)).into_async_read();
     response.set_body(Body::from_reader(async_std::io::BufReader::new(reader), None));
@@ -72,54 +78,54 @@
     assembler.on_head(reply.header(headers::REQUEST_ID), reply.header(headers::WEIGHTS))
 }
 
-/// One stream on its way from engines to its caller.
+/// Forwards one stream from engines to its client.
 struct Relay {
     attempts: Attempts,
     assembler: StreamAssembler,
     sender: Sender<Vec<u8>>,
-    seen: Seen,
-    limit: Taken,
+    head_info: HeadInfo,
+    limit: LimitReservation,
     first_token: Option<Duration>,
     resumes: u32,
 }
 
-/// Why pieces of one connection ended.
-enum End {
-    /// The end mark came.
-    Whole,
-    /// The connection or the order of pieces broke.
+/// Why forwarding from one connection ended.
+enum RelayEnd {
+    /// `[DONE]` arrived.
+    Complete,
+    /// The connection failed or the sequence of pieces was wrong.
     Broken,
-    /// The caller has gone.
-    Gone,
+    /// The client disconnected.
+    ClientGone,
     /// The deadline passed.
-    Late,
+    DeadlineExceeded,
 }
 
 impl Relay {
-    async fn run(mut self, mut flight: Flight, mut pieces: Pieces) {
+    async fn run(mut self, mut attempt: EndpointAttempt, mut pieces: Pieces) {
         loop {
-            let end = self.pass_on(&flight, &mut pieces).await;
+            let end = self.forward_pieces(&attempt, &mut pieces).await;
             pieces.close();
             match end {
-                End::Whole => return self.served(),
-                End::Gone => return self.gone(&flight),
-                End::Late => {
-                    self.attempts.cancel(&flight);
+                RelayEnd::Complete => return self.finish(),
+                RelayEnd::ClientGone => return self.client_gone(&attempt),
+                RelayEnd::DeadlineExceeded => {
+                    self.attempts.cancel(&attempt);
                     return self.fail(Cause::Deadline).await;
                 }
-                End::Broken => {}
+                RelayEnd::Broken => {}
             }
-            self.attempts.life.on(RequestEvent::AnswerFailed);
-            self.attempts.tell(&flight, Sighting::Broke);
-            let Some(next) = self.resume(flight).await else {
-                return self.fail(Cause::Endpoint).await;
+            self.attempts.lifecycle.on(RequestEvent::AnswerFailed);
+            self.attempts.report(&attempt, Observation::ConnectionLost);
+            let Some(next) = self.resume(attempt).await else {
+                return self.fail(Cause::EndpointFailed).await;
             };
-            (flight, pieces) = next;
+            (attempt, pieces) = next;
         }
     }
 
-    /// Passes pieces on until this connection gives no more.
-    async fn pass_on(&mut self, flight: &Flight, pieces: &mut Pieces) -> End {
+    /// Forwards pieces until the connection ends.
+    async fn forward_pieces(&mut self, attempt: &EndpointAttempt, pieces: &mut Pieces) -> RelayEnd {
         loop {
             let piece = match self.next(pieces).await {
                 Ok(piece) => piece,
@@ -127,106 +133,112 @@
             };
             if piece.data == DONE {
                 if !self.assembler.on_done() {
-                    return End::Broken;
+                    return RelayEnd::Broken;
                 }
                 let sent = self.sender.send(format!("data: {DONE}\n\n").into_bytes()).await;
-                return if sent.is_ok() { End::Whole } else { End::Gone };
+                return if sent.is_ok() {
+                    RelayEnd::Complete
+                } else {
+                    RelayEnd::ClientGone
+                };
             }
-            let Some(number) = piece.number else { return End::Broken };
+            let Some(number) = piece.number else {
+                return RelayEnd::Broken;
+            };
             match self.assembler.on_piece(number) {
                 Verdict::Deliver => {}
                 Verdict::Duplicate => continue,
-                Verdict::Gap | Verdict::Unexpected => return End::Broken,
+                Verdict::Gap | Verdict::Unexpected => return RelayEnd::Broken,
             }
-            self.note_first(flight);
-            self.attempts.life.on(RequestEvent::PartArrived);
-            if number % PACE_EVERY == PACE_EVERY - 1 {
-                flight.progress(number + 1);
+            self.record_first_token(attempt);
+            self.attempts.lifecycle.on(RequestEvent::PartArrived);
+            if number % PROGRESS_INTERVAL == PROGRESS_INTERVAL - 1 {
+                attempt.progress(number + 1);
             }
             if self.sender.send(encode(number, &piece.data)).await.is_err() {
-                return End::Gone;
+                return RelayEnd::ClientGone;
             }
         }
     }
 
-    /// The next piece, unless the caller goes, the deadline passes or the stream breaks first.
-    async fn next(&self, pieces: &mut Pieces) -> Result<Piece, End> {
-        let Some(left) = self.attempts.call.left(&self.attempts.shared) else {
-            return Err(End::Late);
+    /// Returns the next piece, unless the client disconnects, the deadline passes or the connection fails first.
+    async fn next(&self, pieces: &mut Pieces) -> Result<Piece, RelayEnd> {
+        let Some(remaining) = self.attempts.call.remaining(&self.attempts.shared) else {
+            return Err(RelayEnd::DeadlineExceeded);
         };
-        let wait = left.min(self.patience());
+        let wait = remaining.min(self.stall_timeout());
         let next = http::timeout(wait, pieces.next());
         let gone = self.attempts.call.conn.peer_gone();
         futures::pin_mut!(next, gone);
         match select(next, gone).await {
             Either::Left((Ok(Ok(Some(piece))), _)) => Ok(piece),
-            Either::Left((Ok(_), _)) => Err(End::Broken),
-            Either::Left((Err(_), _)) if wait < left => Err(End::Broken),
-            Either::Left((Err(_), _)) => Err(End::Late),
-            Either::Right(_) => Err(End::Gone),
+            Either::Left((Ok(_), _)) => Err(RelayEnd::Broken),
+            Either::Left((Err(_), _)) if wait < remaining => Err(RelayEnd::Broken),
+            Either::Left((Err(_), _)) => Err(RelayEnd::DeadlineExceeded),
+            Either::Right(_) => Err(RelayEnd::ClientGone),
         }
     }
 
-    /// How long an engine may be silent. Without a bound a stream from an engine that hangs would stay with it until
-    /// the caller's deadline; it is resumed elsewhere instead.
-    fn patience(&self) -> Duration {
+    /// How long an engine may send nothing. Without a bound a stream from a hung engine would wait until the client's
+    /// deadline; instead it is resumed elsewhere.
+    fn stall_timeout(&self) -> Duration {
         if self.first_token.is_some() {
-            return STALL;
+            return STALL_TIMEOUT;
         }
-        self.attempts.slow().max(STALL)
+        self.attempts.hedge_delay().max(STALL_TIMEOUT)
     }
 
-    fn note_first(&mut self, flight: &Flight) {
+    fn record_first_token(&mut self, attempt: &EndpointAttempt) {
         if self.first_token.is_some() {
             return;
         }
-        let after = flight.first_token(self.seen.uncached);
+        let after = attempt.first_token(self.head_info.uncached);
         self.attempts.shared.metrics.first_token.observe(after.as_secs_f64());
         self.first_token = Some(after);
     }
 
-    /// Goes on from the first piece that was not delivered, at another engine of the same weights if there is one.
-    async fn resume(&mut self, broken: Flight) -> Option<(Flight, Pieces)> {
+    /// Resumes from the first undelivered piece, at another engine with the same weights if there is one.
+    async fn resume(&mut self, broken: EndpointAttempt) -> Option<(EndpointAttempt, Pieces)> {
         let mut last = broken.key;
         drop(broken);
-        while self.resumes < RESUMES {
+        while self.resumes < MAX_RESUMES {
             self.resumes += 1;
             let from = match self.assembler.on_break() {
                 ConnectionEnd::Complete => return None,
                 ConnectionEnd::Restart => 0,
                 ConnectionEnd::Resume { from, .. } => from,
             };
-            let left = self.attempts.call.left(&self.attempts.shared)?;
-            let flight = self.attempts.place_again(last)?;
-            last = flight.key;
-            let request = self.attempts.resume_request(&flight, from, left);
+            let remaining = self.attempts.call.remaining(&self.attempts.shared)?;
+            let attempt = self.attempts.place_resume(last)?;
+            last = attempt.key;
+            let request = self.attempts.resume_request(&attempt, from, remaining);
             let shared = self.attempts.shared.clone();
             let body = self.attempts.call.body.clone();
-            self.attempts.life.on(RequestEvent::SendStarts);
-            let Ok(reply) = send_pooled(shared, request, body, flight.address, left).await else {
-                self.attempts.life.on(RequestEvent::SendFailed);
-                self.attempts.tell(&flight, Sighting::Broke);
+            self.attempts.lifecycle.on(RequestEvent::SendStarts);
+            let Ok(reply) = send_pooled(shared, request, body, attempt.address, remaining).await else {
+                self.attempts.lifecycle.on(RequestEvent::SendFailed);
+                self.attempts.report(&attempt, Observation::ConnectionLost);
                 continue;
             };
             if !reply.status().is_success() || on_head(&mut self.assembler, &reply) != HeadVerdict::Accept {
-                self.attempts.life.on(RequestEvent::SendFailed);
+                self.attempts.lifecycle.on(RequestEvent::SendFailed);
                 reply.close();
                 continue;
             }
-            self.attempts.life.on(RequestEvent::HeadArrived);
+            self.attempts.lifecycle.on(RequestEvent::HeadArrived);
             if let Ok(pieces) = reply.pieces() {
                 self.attempts.shared.metrics.resumed.inc();
-                return Some((flight, pieces));
+                return Some((attempt, pieces));
             }
-            self.attempts.life.on(RequestEvent::AnswerFailed);
+            self.attempts.lifecycle.on(RequestEvent::AnswerFailed);
         }
         None
     }
 
-    fn served(mut self) {
-        self.attempts.life.on(RequestEvent::AnswerComplete);
+    fn finish(mut self) {
+        self.attempts.lifecycle.on(RequestEvent::AnswerComplete);
         let tokens = Tokens {
-            uncached: self.seen.uncached,
+            uncached: self.head_info.uncached,
             output: self.assembler.resume_from(),
         };
         self.attempts
@@ -235,13 +247,13 @@
         self.limit.settle(tokens.uncached + tokens.output);
     }
 
-    fn gone(mut self, flight: &Flight) {
-        self.attempts.shared.metrics.callers_gone.inc();
-        self.attempts.cancel(flight);
-        self.attempts.life.on(RequestEvent::GiveUp);
+    fn client_gone(mut self, attempt: &EndpointAttempt) {
+        self.attempts.shared.metrics.clients_gone.inc();
+        self.attempts.cancel(attempt);
+        self.attempts.lifecycle.on(RequestEvent::GiveUp);
     }
 
-    /// Ends the stream with an explicit error event: without one a cut could be taken for the end.
+    /// Ends the stream with an error event: without one, a truncated stream could be taken for a complete one.
     async fn fail(mut self, cause: Cause) {
         let refused = self.attempts.give_up(cause);
         let code = refused.cause.code().to_string();
@@ -252,8 +264,8 @@
             .with_label_values(&["stream", code.as_str()])
             .inc();
         let body = refused.body(&self.attempts.call.id);
-        let data = serde_json::to_string(&body).expect("a refusal is always JSON");
-        // The caller may have gone as well.
+        let data = serde_json::to_string(&body).expect("a refusal serializes to JSON");
+        // Fails if the client has disconnected too.
         let _ = self
             .sender
             .send(format!("event: error\ndata: {data}\n\n").into_bytes())
--- a/crates/router/src/caller/transmit.rs
+++ b/crates/router/src/caller/transmit.rs
@@ -1,7 +1,7 @@
-//! Requests on their way to endpoints: headers, connections, cancelling.
+//! Sends requests to endpoints: headers, connections, cancellation.
 
 use super::attempt::Attempts;
-use crate::pool::Flight;
+use crate::pool::EndpointAttempt;
 use crate::shared::Shared;
 use async_std::task;
 use futures::future::{Either, select};
@@ -14,34 +14,37 @@
 use wire::caller::Ran;
 use wire::headers;
 
-/// Longest wait for an engine to take notice of a cancelled request.
-const CANCEL_WAIT: Duration = Duration::from_secs(2);
-/// Longest answer to that, bytes.
+/// Timeout of a cancel request.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum size of the response to a cancel request, bytes.
 const CANCEL_BYTES: u64 = 1024;
 
 impl Attempts {
-    /// Tells an engine that nobody waits for this request any more.
-    pub fn cancel(&self, flight: &Flight) {
+    /// Tells the engine that the request is cancelled. No effect for plain services.
+    pub fn cancel(&self, attempt: &EndpointAttempt) {
         if !self.is_completion() {
             return;
         }
         let client = self.shared.client.clone();
-        let (to, id) = (flight.address, self.call.id.clone());
+        let (to, id) = (attempt.address, self.call.id.clone());
         task::spawn(async move {
             let url = engine_url(to, "/v1/cancel", Some(&format!("request={id}")));
-            // An engine that cannot be reached has nothing left to cancel.
-            if let Ok(reply) = client.send(to, Request::new(Method::Post, url), &[], CANCEL_WAIT).await {
+            // An engine that cannot be reached has nothing to cancel.
+            if let Ok(reply) = client
+                .send(to, Request::new(Method::Post, url), &[], CANCEL_TIMEOUT)
+                .await
+            {
                 let _ = reply.whole(CANCEL_BYTES).await;
             }
         });
     }
 
-    pub(super) fn request(&self, flight: &Flight, left: Duration) -> Request {
+    pub(super) fn request(&self, attempt: &EndpointAttempt, remaining: Duration) -> Request {
         let call = &self.call;
-        let url = engine_url(flight.address, &call.path, call.query.as_deref());
+        let url = engine_url(attempt.address, &call.path, call.query.as_deref());
         let mut request = Request::new(call.method, url);
         request.insert_header(headers::REQUEST_ID, call.id.as_str());
-        request.insert_header(headers::DEADLINE_MS, left.as_millis().to_string());
+        request.insert_header(headers::DEADLINE_MS, remaining.as_millis().to_string());
         request.insert_header(headers::PRIORITY, call.priority.to_string());
         for name in ["content-type", headers::IDEMPOTENCY_KEY] {
             if let Some(value) = super::call::text(&call.head, name) {
@@ -49,16 +52,16 @@
             }
         }
         if self.is_completion() {
-            request.insert_header(headers::CACHE_SCOPE, call.caller.workspace.as_str());
+            request.insert_header(headers::CACHE_SCOPE, call.auth.workspace.as_str());
         }
         request
     }
 
-    /// The request that asks for the rest of a stream.
-    pub fn resume_request(&self, flight: &Flight, from: u64, left: Duration) -> Request {
-        let mut request = self.request(flight, left);
+    /// Creates the request for the rest of a stream, from piece `from` on.
+    pub fn resume_request(&self, attempt: &EndpointAttempt, from: u64, remaining: Duration) -> Request {
+        let mut request = self.request(attempt, remaining);
         request.insert_header(headers::RESUME_FROM, from.to_string());
-        // Other weights would go on with another text.
+        // Other weights would continue with a different text.
         if let Some(weights) = self.weights.first() {
             request.insert_header(headers::WEIGHTS, weights.as_str());
         }
@@ -66,14 +69,14 @@
     }
 }
 
-/// Whether a plain service refuses the call with its own word that it has not run, as a runner does that leaves.
+/// Whether a plain service refused the request and stated that it has not run, as a draining runner does.
 pub fn declined(reply: &Reply) -> bool {
-    let word = Ran::NotRun.to_string();
-    reply.status() == StatusCode::ServiceUnavailable && reply.header(headers::RAN) == Some(word.as_str())
+    let not_run = Ran::NotRun.to_string();
+    reply.status() == StatusCode::ServiceUnavailable && reply.header(headers::RAN) == Some(not_run.as_str())
 }
 
-/// The result of `work`, none if the caller goes first.
-pub async fn unless_gone<T>(conn: &Conn, work: impl Future<Output = T>) -> Option<T> {
+/// Returns the result of `work`, or `None` if the client disconnects first.
+pub async fn unless_disconnected<T>(conn: &Conn, work: impl Future<Output = T>) -> Option<T> {
     let gone = conn.peer_gone();
     futures::pin_mut!(work, gone);
     match select(work, gone).await {
@@ -82,19 +85,19 @@
     }
 }
 
-/// Sends over the pool of connections.
+/// Sends over a pooled connection.
 pub async fn send_pooled(
     shared: Arc<Shared>,
     request: Request,
     body: Vec<u8>,
     to: SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Reply, SendError> {
     let client: &Client = &shared.client;
-    client.send(to, request, &body, within).await
+    client.send(to, request, &body, timeout).await
 }
 
-/// The life of an endpoint, if its answer says so.
+/// The endpoint's incarnation, if the response states it.
 pub fn incarnation(reply: &Reply) -> Option<Incarnation> {
     let text = reply.header(headers::INCARNATION)?;
     text.parse().ok().map(Incarnation)
--- a/crates/router/src/control/adopt.rs
+++ b/crates/router/src/control/adopt.rs
@@ -1,6 +1,6 @@
-//! Which configuration is in force: the first after a start, and each newer one.
+//! Selects the configuration in force: at startup, and each newer one after that.
 
-use super::event::Configured;
+use super::event::AssembledConfig;
 use super::state::Control;
 use config::{Adopt, Document, EndpointRole};
 use control::health;
@@ -11,39 +11,39 @@
 use std::net::SocketAddr;
 
 impl Control {
-    /// The platform's configuration; it is the newest there is, but for what a peer heard a moment later.
-    pub(super) fn platform_offers(&mut self, configured: Configured) {
+    /// Handles the platform's configuration. It is the newest unless a peer received a newer one in the meantime.
+    pub(super) fn platform_config(&mut self, configured: AssembledConfig) {
         if self.startup.is_none() {
             self.adopt(configured);
             return;
         }
         let offer = offer(&configured);
-        self.offered.insert(self.shared.settings.vm.clone(), configured);
-        self.start_event(Event::Platform(offer));
+        self.candidates.insert(self.shared.settings.vm.clone(), configured);
+        self.startup_event(Event::Platform(offer));
     }
 
-    /// A peer's configuration.
-    pub(super) fn peer_offers(&mut self, peer: VmId, configured: Configured) {
+    /// Handles a peer's configuration.
+    pub(super) fn peer_config(&mut self, peer: VmId, configured: AssembledConfig) {
         if self.startup.is_none() {
             self.adopt(configured);
             return;
         }
         let offer = offer(&configured);
-        self.offered.insert(peer.clone(), configured);
-        self.start_event(Event::Peer(peer, Some(offer)));
+        self.candidates.insert(peer.clone(), configured);
+        self.startup_event(Event::Peer(peer, Some(offer)));
     }
 
-    /// Lets a start go on; without effect once a configuration is in force.
-    pub(super) fn start_event(&mut self, event: Event) {
+    /// Advances startup; no effect once a configuration is in force.
+    pub(super) fn startup_event(&mut self, event: Event) {
         let now = self.now();
         let Some(startup) = &mut self.startup else { return };
         match startup.on(event, now) {
             Start::NotReady(reason) => self.not_ready(reason),
             Start::With(offer) => {
-                let found = self.offered.values().find(|one| one.head.digest() == offer.digest);
+                let found = self.candidates.values().find(|one| one.head.digest() == offer.digest);
                 if let Some(configured) = found.cloned() {
                     self.startup = None;
-                    self.offered.clear();
+                    self.candidates.clear();
                     self.adopt(configured);
                 }
             }
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Puts a configuration in force unless it is older than the one that is.
-    fn adopt(&mut self, configured: Configured) {
+    /// Adopts a configuration if it is newer than the current one.
+    fn adopt(&mut self, configured: AssembledConfig) {
         let head = &configured.head;
         match self.revisions.offer(head.revision, head.digest()) {
             Adopt::Newer => {}
@@ -75,24 +75,24 @@
         let document = &configured.document;
         let ids = document.endpoints.keys().cloned().collect();
         self.weights.retain(|id, _| document.endpoints.contains_key(id));
-        self.reported.retain(|id, _| document.endpoints.contains_key(id));
-        let (wanted, addresses) = (self.wanted(document), addresses(document));
-        self.orders.configure(wanted, addresses);
+        self.reports.retain(|id, _| document.endpoints.contains_key(id));
+        let (assignments, addresses) = (self.assignments(document), addresses(document));
+        self.orders.configure(assignments, addresses);
         self.configured = Some(configured);
         let changes = self.health.on(health::Event::Configured(ids), self.now());
-        self.note(&changes);
+        self.log_changes(&changes);
         self.watch_endpoints();
         self.publish();
-        self.tell_peers_now();
+        self.publish_now_to_peers();
     }
 
-    /// What the engines of this failure domain are to serve.
-    fn wanted(&self, document: &Document) -> Vec<Assignment> {
+    /// The weights assigned to the engines of this failure domain.
+    fn assignments(&self, document: &Document) -> Vec<Assignment> {
         let own = document
             .endpoints
             .iter()
             .filter(|(_, spec)| spec.domain == self.shared.settings.domain);
-        let wanted = own.filter_map(|(id, spec)| {
+        let assignments = own.filter_map(|(id, spec)| {
             let EndpointRole::Model(model) = &spec.role else {
                 return None;
             };
@@ -103,24 +103,24 @@
                 weights,
             })
         });
-        wanted.collect()
+        assignments.collect()
     }
 
-    /// The engines of this failure domain as last reported.
+    /// The engines of this failure domain, as last reported.
     pub(super) fn runners(&self) -> Vec<orders::Runner> {
         let Some(configured) = &self.configured else {
             return Vec::new();
         };
         let endpoints = &configured.document.endpoints;
-        let near = |id: &EndpointId| {
+        let same_domain = |id: &EndpointId| {
             endpoints
                 .get(id)
                 .is_some_and(|spec| spec.domain == self.shared.settings.domain)
         };
         let runners = self
-            .reported
+            .reports
             .iter()
-            .filter(|(id, _)| near(id))
+            .filter(|(id, _)| same_domain(id))
             .filter_map(|(id, load)| {
                 Some(orders::Runner {
                     endpoint: id.clone(),
@@ -134,7 +134,7 @@
     }
 }
 
-fn offer(configured: &Configured) -> Offer {
+fn offer(configured: &AssembledConfig) -> Offer {
     Offer {
         revision: configured.head.revision,
         digest: configured.head.digest(),
--- a/crates/router/src/control/config_feed.rs
+++ b/crates/router/src/control/config_feed.rs
@@ -1,6 +1,6 @@
-//! Follows the configuration in the platform: one watch on the head, and a read of each section that changed.
+//! Follows the configuration in the platform: watches the head and reads each section that changed.
 
-use super::event::{Configured, Event};
+use super::event::{AssembledConfig, Event};
 use crate::shared::Shared;
 use ::control::following::Follow;
 use async_std::task;
@@ -12,19 +12,19 @@
 use std::time::Duration;
 use wire::platform::Entry;
 
-/// Pause after a failure, so that an outage is not made worse; spread by the router's own draw against herds.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Base delay after a failure, so that routers do not add load in an outage. A random addition spreads their retries.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 quick_error! {
-    /// Why a head could not be followed.
+    /// Why the configuration could not be read.
     #[derive(Debug)]
     enum FeedError {
-        /// The platform did not answer.
+        /// The platform call failed.
         Platform(err: store::PlatformError) {
             from()
             display("{err}")
         }
-        /// What was read does not make a document.
+        /// The texts are not a valid configuration.
         Assemble(err: config::AssembleError) {
             from()
             display("{err}")
@@ -32,18 +32,18 @@
     }
 }
 
-/// Sections read so far, by their key.
+/// Key and text of each section read so far.
 type Texts = BTreeMap<Section, (String, String)>;
 
-/// Runs until the control thread has gone.
+/// Runs until the control thread has ended.
 pub async fn run(shared: Arc<Shared>) {
     let mut version = Version(0);
     let mut texts = Texts::new();
     let mut failing = false;
     loop {
         match follow(&shared, version, &mut texts).await {
-            Ok(Some((newer, event))) => {
-                version = newer;
+            Ok(Some((latest, event))) => {
+                version = latest;
                 if let Some(event) = event
                     && shared.events.send(event).await.is_err()
                 {
@@ -59,20 +59,20 @@
             }
             Err(err) => {
                 if !failing {
-                    log::warn!("configuration cannot be followed: {err}");
+                    log::warn!("cannot read the configuration: {err}");
                 }
                 failing = true;
                 super::send(&shared, Event::ConfigFailed).await;
-                task::sleep(PAUSE + PAUSE.mul_f64(rand::random())).await;
+                task::sleep(RETRY_DELAY + RETRY_DELAY.mul_f64(rand::random())).await;
             }
         }
     }
 }
 
-/// A head newer than `version`, if there is one in time. Few routers of a domain watch; the others hear of a change from
-/// those, and read now and then in case they do not.
+/// Returns a head newer than `version`, if there is one in time. A few routers of a domain watch the head. The others
+/// receive changes from these, and also read the head periodically in case a change does not reach them.
 async fn next_head(shared: &Shared, version: Version) -> Result<Option<Entry>, FeedError> {
-    let follow = **shared.follow.load();
+    let follow = **shared.follow_mode.load();
     if let Follow::Read(every) = follow
         && version != Version(0)
     {
@@ -84,7 +84,7 @@
     Ok(shared.platform.watch(HEAD_KEY, version, wait).await?)
 }
 
-/// Waits for a head newer than `version`.
+/// Waits for a head newer than `version` and assembles its configuration.
 async fn follow(
     shared: &Shared,
     version: Version,
@@ -97,7 +97,7 @@
         return Ok(None);
     };
     let head = Head::read(&value)?;
-    // A peer was faster: its sections are here already, and need not be read again.
+    // This revision was already received from a peer; its sections need not be read.
     let in_force = shared.view.load().as_ref().map(|view| view.revision);
     if in_force >= Some(head.revision) {
         return Ok(Some((entry.version, None)));
@@ -117,6 +117,6 @@
         .iter()
         .map(|(section, (_, text))| (*section, text.clone()))
         .collect();
-    let configured = Configured::assemble(head, plain)?;
+    let configured = AssembledConfig::assemble(head, plain)?;
     Ok(Some((entry.version, Some(Event::Config(Box::new(configured))))))
 }
--- a/crates/router/src/control/endpoint_feed.rs
+++ b/crates/router/src/control/endpoint_feed.rs
@@ -1,6 +1,6 @@
-//! Reads load reports of endpoints.
+//! Polls the load reports of endpoints.
 
-use super::event::{Event, LoadSeen, Sighting};
+use super::event::{Event, Observation, ObservedLoad};
 use crate::shared::Shared;
 use async_std::task::{self, JoinHandle};
 use config::{EndpointRole, EndpointSpec};
@@ -11,42 +11,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a report is read. The placement experiment loses nothing at this period, and much at four times it.
-const EVERY: Duration = Duration::from_millis(500);
-/// Reports that a router reads a second at most: one is some 370 bytes, and control has 7 KB/s in all. A domain of 400
-/// engines and 22 routers has 36 for each of them, which are read more seldom then.
-const READS_A_SECOND: u32 = 16;
-/// Longest wait for a report.
-const WAIT: Duration = Duration::from_secs(2);
-/// Longest report, bytes.
+/// Interval between reads of a report. In the placement experiment this interval costs nothing, and four times it
+/// costs much.
+const READ_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of reports that a router reads per second: a report has about 370 bytes, and all control traffic
+/// has a budget of 7 KB/s. In a domain of 400 engines and 22 routers each router watches 36 endpoints, which are then
+/// read less often.
+const MAX_READS_PER_SECOND: u32 = 16;
+/// Timeout for reading a report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum size of a report, bytes.
 const REPORT_BYTES: u64 = 64 * 1024;
 
-/// One task for each endpoint that this router watches.
+/// Polling tasks, one for each watched endpoint.
 #[derive(Debug, Default)]
 pub struct Feeds {
     tasks: HashMap<EndpointId, (SocketAddr, JoinHandle<()>)>,
-    /// Time between two reads of one report.
+    /// Interval between reads of the same report.
     period: Duration,
 }
 
 impl Feeds {
-    /// Watches these endpoints, and no others.
+    /// Watches exactly these endpoints.
     pub fn follow(&mut self, shared: &Arc<Shared>, endpoints: &BTreeMap<EndpointId, EndpointSpec>) {
-        let wanted =
+        let is_current =
             |id: &EndpointId, address: SocketAddr| endpoints.get(id).is_some_and(|spec| spec.address == address);
         let watched = u32::try_from(endpoints.len()).unwrap_or(u32::MAX);
-        if every(watched) != self.period {
-            // All begin again, spread over the new period: those that sleep through an old, longer one would be late.
+        if read_period(watched) != self.period {
+            // Restarts all tasks, spread over the new interval: a task that sleeps through a longer old interval
+            // would be late.
             self.stop();
-            self.period = every(watched);
+            self.period = read_period(watched);
         }
-        let gone: Vec<EndpointId> = self
+        let removed: Vec<EndpointId> = self
             .tasks
             .iter()
-            .filter(|(id, (address, _))| !wanted(id, *address))
+            .filter(|(id, (address, _))| !is_current(id, *address))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in gone {
+        for id in removed {
             self.stop_one(&id);
         }
         for (id, spec) in endpoints {
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Watches none any more.
+    /// Stops all tasks.
     pub fn stop(&mut self) {
         for id in self.tasks.keys().cloned().collect::<Vec<_>>() {
             self.stop_one(&id);
@@ -71,79 +74,84 @@
     }
 }
 
-/// Reads one report of an endpoint that failed.
+/// Reads the report of a failed endpoint once.
 pub fn probe(shared: &Arc<Shared>, id: &EndpointId, spec: &EndpointSpec) {
     let (shared, id, spec) = (shared.clone(), id.clone(), spec.clone());
     task::spawn(async move {
-        let sighting = read(&shared, &spec).await;
-        let _ = shared.events.send(Event::Endpoint(id, sighting)).await;
+        let observation = read(&shared, &spec).await;
+        let _ = shared.events.send(Event::Endpoint(id, observation)).await;
     });
 }
 
 async fn run(shared: Arc<Shared>, id: EndpointId, spec: EndpointSpec, period: Duration) {
-    // Many routers start at once; without a draw they would all ask at the same moments.
+    // The random delay spreads the reads of routers that start at the same time.
     task::sleep(period.mul_f64(rand::random())).await;
     loop {
-        let sighting = read(&shared, &spec).await;
-        if shared.events.send(Event::Endpoint(id.clone(), sighting)).await.is_err() {
+        let observation = read(&shared, &spec).await;
+        if shared
+            .events
+            .send(Event::Endpoint(id.clone(), observation))
+            .await
+            .is_err()
+        {
             return;
         }
         task::sleep(period).await;
     }
 }
 
-/// Time between two reads of one report while so many are watched.
-fn every(watched: u32) -> Duration {
-    EVERY.max(Duration::from_secs(1) * watched / READS_A_SECOND)
+/// Interval between reads of the same report, given the number of watched endpoints.
+fn read_period(watched: u32) -> Duration {
+    READ_INTERVAL.max(Duration::from_secs(1) * watched / MAX_READS_PER_SECOND)
 }
 
-async fn read(shared: &Shared, spec: &EndpointSpec) -> Sighting {
-    let asked = shared.clock.now();
+async fn read(shared: &Shared, spec: &EndpointSpec) -> Observation {
+    let requested = shared.clock.now();
     let url = Url::parse(&format!("http://{}/v1/load", spec.address)).expect("a socket address makes a URL");
     let sent = shared
         .client
-        .send(spec.address, Request::new(Method::Get, url), &[], WAIT)
+        .send(spec.address, Request::new(Method::Get, url), &[], REPORT_TIMEOUT)
         .await;
     let reply = match sent {
         Ok(reply) => reply,
-        Err(SendError::NotSent(_)) => return Sighting::NotReached,
-        Err(SendError::Timeout(_) | SendError::Withheld) => return Sighting::Silent,
-        Err(SendError::NoAnswer) => return Sighting::Broke,
+        Err(SendError::NotSent(_)) => return Observation::ConnectFailed,
+        Err(SendError::Timeout(_) | SendError::Withheld) => return Observation::Timeout,
+        Err(SendError::NoAnswer) => return Observation::ConnectionLost,
     };
-    let Ok(Ok(body)) = http::timeout(WAIT, reply.whole(REPORT_BYTES)).await else {
-        return Sighting::Broke;
+    let Ok(Ok(body)) = http::timeout(REPORT_TIMEOUT, reply.whole(REPORT_BYTES)).await else {
+        return Observation::ConnectionLost;
     };
-    parse(&spec.role, &body, asked).map_or(Sighting::Broke, Sighting::Reported)
+    parse(&spec.role, &body, requested).map_or(Observation::ConnectionLost, Observation::Reported)
 }
 
-fn parse(role: &EndpointRole, body: &[u8], asked: Duration) -> Option<LoadSeen> {
+fn parse(role: &EndpointRole, body: &[u8], requested: Duration) -> Option<ObservedLoad> {
     match role {
         EndpointRole::Model(_) => {
             let load: wire::engine::Load = serde_json::from_slice(body).ok()?;
-            Some(LoadSeen {
+            Some(ObservedLoad {
                 own: true,
                 incarnation: load.incarnation,
                 model: Some(load.model),
                 weights: load.weights,
-                leaving: load.leaving,
+                draining: load.leaving,
                 running: load.running,
                 waiting: load.waiting,
                 prefill: load.prefill_tokens,
-                asked,
+                requested,
             })
         }
         EndpointRole::Service(_) => {
             let load: wire::service::Load = serde_json::from_slice(body).ok()?;
-            Some(LoadSeen {
+            Some(ObservedLoad {
                 own: true,
                 incarnation: load.incarnation,
                 model: None,
                 weights: None,
-                leaving: load.leaving,
+                draining: load.leaving,
                 running: load.running,
                 waiting: load.waiting,
                 prefill: 0,
-                asked,
+                requested,
             })
         }
     }
--- a/crates/router/src/control/endpoints.rs
+++ b/crates/router/src/control/endpoints.rs
@@ -1,7 +1,7 @@
-//! What is believed of endpoints, from the platform's list, their reports, and what traffic met.
+//! State of endpoints, derived from the platform's list, load reports and observations of requests.
 
 use super::endpoint_feed;
-use super::event::{LoadSeen, Sighting};
+use super::event::{Observation, ObservedLoad};
 use super::state::Control;
 use config::EndpointRole;
 use control::health::{self, Change, Listing};
@@ -11,14 +11,13 @@
 use std::collections::BTreeMap;
 use wire::platform::{VmList, VmState};
 
-/// Endpoints that a router watches at most beyond those of its own failure domain. At today's sizes a router knows the
-/// load of all endpoints; in a large fleet only that of its own domain, since reading 6,800 reports would cost more
-/// than the control budget of a node.
-const FAR_WATCHED: usize = 64;
+/// Largest fleet, in endpoints, in which a router also watches endpoints of other failure domains. In a larger fleet
+/// it reads only the load of its own domain, since reading 6,800 reports would exceed the control budget of a node.
+const REMOTE_WATCH_LIMIT: usize = 64;
 
 impl Control {
-    /// The platform's list names routers and endpoints alike.
-    pub(super) fn listed(&mut self, list: &VmList) {
+    /// Applies the platform's list, which contains routers and endpoints.
+    pub(super) fn vms_listed(&mut self, list: &VmList) {
         let listing = |state| match state {
             VmState::Live => Listing::Live,
             VmState::Leaving => Listing::Leaving,
@@ -27,50 +26,50 @@
         let listed: BTreeMap<EndpointId, Listing> = entries
             .map(|vm| (EndpointId::from(vm.id.as_str()), listing(vm.state)))
             .collect();
-        self.routers_listed(list);
+        self.update_listed_routers(list);
         self.health_event(health::Event::Listed(listed));
     }
 
-    /// Reads the reports of the endpoints that are this router's to watch.
+    /// Updates the set of endpoints whose reports this router reads.
     pub(super) fn watch_endpoints(&mut self) {
         let Some(configured) = &self.configured else { return };
-        let lasting = self.peering.membership.not_leaving();
+        let not_leaving = self.peering.membership.not_leaving();
         let own = &self.shared.settings;
         let all = &configured.document.endpoints;
-        let far_too = all.len() <= FAR_WATCHED;
+        let include_remote = all.len() <= REMOTE_WATCH_LIMIT;
         let mine = all.iter().filter(|(id, spec)| {
-            let near = spec.domain == own.domain;
-            (near || far_too) && rendezvous::watches(&own.vm, id, &lasting)
+            let same_domain = spec.domain == own.domain;
+            (same_domain || include_remote) && rendezvous::watches(&own.vm, id, &not_leaving)
         });
         let mine = mine.map(|(id, spec)| (id.clone(), spec.clone())).collect();
         self.feeds.follow(&self.shared, &mine);
     }
 
-    pub(super) fn sighted(&mut self, id: &EndpointId, sighting: Sighting) {
+    pub(super) fn observed(&mut self, id: &EndpointId, observation: Observation) {
         let endpoint = id.clone();
-        match sighting {
-            Sighting::Answered { incarnation, weights } => {
-                let changed = self.learn_weights(id, weights);
+        match observation {
+            Observation::Answered { incarnation, weights } => {
+                let changed = self.record_weights(id, weights);
                 self.health_event(health::Event::Replied { endpoint, incarnation });
                 if changed {
                     self.publish();
                 }
             }
-            Sighting::Leaves { incarnation } => self.leaves(id, incarnation),
-            Sighting::Reported(load) => self.reported(id, load),
-            Sighting::NotReached | Sighting::Broke => {
+            Observation::Draining { incarnation } => self.record_draining(id, incarnation),
+            Observation::Reported(load) => self.record_report(id, load),
+            Observation::ConnectFailed | Observation::ConnectionLost => {
                 let failure = health::Failure::Connection;
                 self.health_event(health::Event::Failed { endpoint, failure });
             }
-            Sighting::Silent => {
+            Observation::Timeout => {
                 let failure = health::Failure::Timeout;
                 self.health_event(health::Event::Failed { endpoint, failure });
             }
         }
     }
 
-    /// An endpoint's own word that it takes no new work is a report without a load.
-    fn leaves(&mut self, id: &EndpointId, incarnation: Option<ids::Incarnation>) {
+    /// A statement of an endpoint that it accepts no new requests is handled as a report without load.
+    fn record_draining(&mut self, id: &EndpointId, incarnation: Option<ids::Incarnation>) {
         let Some(incarnation) = incarnation.or(self.health.incarnation(id)) else {
             return;
         };
@@ -83,26 +82,26 @@
         }));
     }
 
-    pub(super) fn reported(&mut self, id: &EndpointId, mut load: LoadSeen) {
+    pub(super) fn record_report(&mut self, id: &EndpointId, mut load: ObservedLoad) {
         load.model = load.model.or_else(|| self.configured_model(id));
-        let loaded = self.loads_weights(id);
-        let changed = self.learn_weights(id, load.weights.clone());
+        let was_loading = self.is_loading(id);
+        let changed = self.record_weights(id, load.weights.clone());
         let report = Report {
             incarnation: load.incarnation,
             requests: load.running + load.waiting,
             prefill: load.prefill,
-            measured: load.asked,
+            measured: load.requested,
         };
         let health = health::Report {
             endpoint: id.clone(),
             incarnation: load.incarnation,
-            leaving: load.leaving,
+            leaving: load.draining,
             own: load.own,
-            at: load.asked,
+            at: load.requested,
         };
-        self.reported.insert(id.clone(), load);
+        self.reports.insert(id.clone(), load);
         self.health_event(health::Event::Report(health));
-        if changed || loaded != self.loads_weights(id) || self.incarnation_is_new(id) {
+        if changed || was_loading != self.is_loading(id) || self.incarnation_changed(id) {
             self.publish();
         }
         self.shared
@@ -110,7 +109,7 @@
             .with_member(id, |state, key| state.report(key, report));
     }
 
-    /// Peers' reports leave out the model that the configuration names.
+    /// The configured model of an endpoint; reports of peers do not contain it.
     fn configured_model(&self, id: &EndpointId) -> Option<ids::ModelId> {
         let spec = self.configured.as_ref()?.document.endpoints.get(id)?;
         match &spec.role {
@@ -119,21 +118,22 @@
         }
     }
 
-    /// Whether traffic does not know the endpoint's life yet; the first life of an endpoint is no change of health.
-    fn incarnation_is_new(&self, id: &EndpointId) -> bool {
+    /// Whether the published view has another incarnation. The first known incarnation of an endpoint causes no
+    /// health change.
+    fn incarnation_changed(&self, id: &EndpointId) -> bool {
         let view = self.shared.view.load();
-        let known = view.as_ref().map(|view| view.belief(id).incarnation);
+        let known = view.as_ref().map(|view| view.endpoint_state(id).incarnation);
         known != self.health.incarnation(id)
     }
 
-    /// An engine that loads weights serves nothing until it is done.
-    pub(super) fn loads_weights(&self, id: &EndpointId) -> bool {
-        self.reported
+    /// Whether the engine is loading weights; it serves no requests until it is done.
+    pub(super) fn is_loading(&self, id: &EndpointId) -> bool {
+        self.reports
             .get(id)
             .is_some_and(|load| load.model.is_some() && load.weights.is_none())
     }
 
-    fn learn_weights(&mut self, id: &EndpointId, weights: Option<WeightsVersion>) -> bool {
+    fn record_weights(&mut self, id: &EndpointId, weights: Option<WeightsVersion>) -> bool {
         let Some(weights) = weights else { return false };
         self.weights.insert(id.clone(), weights.clone()).as_ref() != Some(&weights)
     }
@@ -143,12 +143,12 @@
         if changes.is_empty() {
             return;
         }
-        self.note(&changes);
+        self.log_changes(&changes);
         self.publish();
-        self.tell_peers_now();
+        self.publish_now_to_peers();
     }
 
-    pub(super) fn note(&self, changes: &[Change]) {
+    pub(super) fn log_changes(&self, changes: &[Change]) {
         for change in changes {
             match change {
                 Change::State { endpoint, state } => {
--- a/crates/router/src/control/event.rs
+++ b/crates/router/src/control/event.rs
@@ -1,4 +1,4 @@
-//! What the control thread hears.
+//! Events of the control thread.
 
 use config::{AssembleError, Document, Head, Section, assemble};
 use ids::{EndpointId, Incarnation, ModelId, VmId, WeightsVersion};
@@ -6,103 +6,103 @@
 use std::time::Duration;
 use wire::platform::VmList;
 
-/// One event for the control thread.
+/// An event for the control thread.
 #[derive(Debug)]
 pub enum Event {
     /// A configuration was read from the platform.
-    Config(Box<Configured>),
-    /// The platform answered that there is no configuration.
+    Config(Box<AssembledConfig>),
+    /// The platform has no configuration.
     ConfigEmpty,
-    /// The platform did not answer when it was asked for the configuration.
+    /// The configuration could not be read from the platform.
     ConfigFailed,
     /// A configuration was read from this peer.
-    PeerConfig(VmId, Box<Configured>),
+    PeerConfig(VmId, Box<AssembledConfig>),
     /// A peer has no configuration, or it could not be read.
     PeerConfigFailed(VmId),
-    /// A peer said something.
+    /// An event of a peer connection.
     Peer(peers::Event),
-    /// How crowded endpoints have been, in thousandths, as a peer knows.
+    /// Endpoint pressures from a peer, in thousandths.
     Pressures(Vec<(u64, u32)>),
     /// The platform's list of VMs.
     Vms(VmList),
-    /// Traffic or a feed met an endpoint.
-    Endpoint(EndpointId, Sighting),
-    /// A call of the order holder had this outcome.
+    /// A request or a polling task observed an endpoint.
+    Endpoint(EndpointId, Observation),
+    /// A step of the order holder finished.
     Orders(control::orders::Event),
-    /// Time passed.
+    /// Periodic tick.
     Tick,
-    /// Shutdown has begun: this router is leaving.
+    /// Shutdown has begun.
     Leave,
-    /// The process ends.
+    /// The process exits.
     Stop,
 }
 
-/// A configuration with the texts it was made of, which peers may ask for.
+/// A configuration with its source texts, which peers may request.
 #[derive(Debug, Clone)]
-pub struct Configured {
+pub struct AssembledConfig {
     /// The head.
     pub head: Head,
     /// The sections' texts.
     pub texts: BTreeMap<Section, String>,
-    /// The document.
+    /// The assembled document.
     pub document: Document,
 }
 
-impl Configured {
-    /// Puts a configuration together.
+impl AssembledConfig {
+    /// Assembles a configuration.
     ///
     /// # Errors
-    /// A text is missing, is not the one that the head names, or the whole contradicts itself.
+    /// A text is missing, does not match the digest in the head, or the document is inconsistent.
     pub fn assemble(head: Head, texts: BTreeMap<Section, String>) -> Result<Self, AssembleError> {
         let document = assemble(&head, &texts)?;
         Ok(Self { head, texts, document })
     }
 }
 
-/// What was seen of an endpoint.
+/// An observation of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Sighting {
-    /// It answered a call.
+pub enum Observation {
+    /// It responded to a request.
     Answered {
-        /// Its life, if it said so.
+        /// Its incarnation, if stated.
         incarnation: Option<Incarnation>,
-        /// The weights that served, if it said so.
+        /// The weights that served, if stated.
         weights: Option<WeightsVersion>,
     },
-    /// It refused a call since it takes no new work.
-    Leaves {
-        /// Its life, if it said so.
+    /// It refused a request because it is draining.
+    Draining {
+        /// Its incarnation, if stated.
         incarnation: Option<Incarnation>,
     },
     /// It reported its load.
-    Reported(LoadSeen),
-    /// No connection could be made.
-    NotReached,
-    /// The connection broke before a whole answer.
-    Broke,
-    /// No answer came in time.
-    Silent,
+    Reported(ObservedLoad),
+    /// The connection could not be established.
+    ConnectFailed,
+    /// The connection failed before the response was complete.
+    ConnectionLost,
+    /// No response arrived in time.
+    Timeout,
 }
 
-/// A load report as read.
+/// A load report.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LoadSeen {
-    /// Whether this router read it itself, not a peer.
+pub struct ObservedLoad {
+    /// Whether this router read it directly rather than received it from a peer.
     pub own: bool,
-    /// The life that reported.
+    /// The incarnation that reported.
     pub incarnation: Incarnation,
-    /// The model an engine serves, absent for plain services and in a peer's word.
+    /// The model that an engine serves; absent for plain services and in reports of peers.
     pub model: Option<ModelId>,
-    /// The weights it serves, absent for plain services and while an engine loads.
+    /// The weights it serves; absent for plain services and while an engine loads weights.
     pub weights: Option<WeightsVersion>,
-    /// Whether it takes no new work.
-    pub leaving: bool,
+    /// Whether it is draining.
+    pub draining: bool,
     /// Requests running.
     pub running: u32,
-    /// Requests waiting inside.
+    /// Requests queued in the endpoint.
     pub waiting: u32,
-    /// Prompt tokens still to be prefilled.
+    /// Prompt tokens waiting for prefill.
     pub prefill: u64,
-    /// When it was asked for.
-    pub asked: Duration,
+    /// When the report was requested.
+    pub requested: Duration,
 }
--- a/crates/router/src/control/fetching.rs
+++ b/crates/router/src/control/fetching.rs
@@ -1,6 +1,6 @@
-//! Configurations that peers have and this router has not.
+//! Fetches newer configurations from peers.
 
-use super::event::{Configured, Event};
+use super::event::{AssembledConfig, Event};
 use super::state::Control;
 use crate::shared::Shared;
 use async_std::task;
@@ -11,9 +11,9 @@
 use std::collections::BTreeMap;
 
 impl Control {
-    /// A peer has a newer configuration: it is read from there, so that a router that is cut from the platform has it
-    /// as well.
-    pub(super) fn offer(&mut self, from: Member, revision: Revision, digest: Digest) {
+    /// A peer offers a newer configuration. It is fetched from there, so that a router that is partitioned from the
+    /// platform gets it too.
+    pub(super) fn fetch_offer(&mut self, from: Member, revision: Revision, digest: Digest) {
         if !matches!(self.revisions.weigh(revision, digest), config::Adopt::Newer) {
             return;
         }
@@ -26,8 +26,8 @@
         task::spawn(async move { fetch(&shared, &fetcher, from, known).await });
     }
 
-    /// A fetch has ended; the same revision may be asked for again if it failed.
-    pub(super) fn fetched(&mut self, peer: &VmId) {
+    /// A fetch ended; the same revision may be fetched again if it failed.
+    pub(super) fn fetch_ended(&mut self, peer: &VmId) {
         self.peering.fetching.retain(|(id, _)| id != peer);
     }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Reads a peer's configuration, but for the sections that are known already.
+/// Fetches a peer's configuration, except for the sections that are known already.
 async fn fetch(shared: &Shared, fetcher: &Fetcher, from: Member, known: BTreeMap<Digest, String>) {
     let event = match read(fetcher, &from, known).await {
         Ok(Some(configured)) => Event::PeerConfig(from.id, Box::new(configured)),
@@ -50,7 +50,7 @@
     fetcher: &Fetcher,
     from: &Member,
     known: BTreeMap<Digest, String>,
-) -> Result<Option<Configured>, PeerError> {
+) -> Result<Option<AssembledConfig>, PeerError> {
     let Some(head) = fetcher.head(from).await?.and_then(|text| Head::read(&text).ok()) else {
         return Ok(None);
     };
@@ -60,9 +60,9 @@
             Some(text) => Some(text.clone()),
             None => fetcher.section(from, named.digest).await?,
         };
-        // The peer has gone on to a newer revision in between, and will offer that.
+        // The peer adopted a newer revision in the meantime, which it will offer too.
         let Some(text) = text else { return Ok(None) };
         texts.insert(*section, text);
     }
-    Ok(Configured::assemble(head, texts).ok())
+    Ok(AssembledConfig::assemble(head, texts).ok())
 }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control thread: all state that is agreed or believed changes here, one event at a time.
+//! The control thread owns the configuration, membership and endpoint health, and handles one event at a time.
 
 mod adopt;
 mod config_feed;
@@ -11,7 +11,7 @@
 mod telling;
 mod vm_feed;
 
-pub use event::{Event, Sighting};
+pub use event::{Event, Observation};
 
 use crate::shared::Shared;
 use ::control::membership::Member;
@@ -25,14 +25,14 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Events that may wait for the control thread; traffic drops its sightings beyond that.
-pub const EVENTS: usize = 4096;
-/// How often waiting jobs are looked after: one that cannot be in time any more is answered at most that late.
-const JOBS_TICK: Duration = Duration::from_millis(50);
-/// How often probes, heartbeats and leases are looked after; membership needs a look every half second.
+/// Capacity of the event queue; request tasks drop observations if it is full.
+pub const EVENT_CAPACITY: usize = 4096;
+/// Tick of pools with waiting jobs: a job that can no longer meet its deadline is refused at most this late.
+const POOL_TICK: Duration = Duration::from_millis(50);
+/// Tick of probes, heartbeats and leases; membership needs a tick every half second.
 const TICK: Duration = Duration::from_millis(200);
 
-/// Starts the control thread and the tasks that feed it.
+/// Starts the control thread and the tasks that send it events.
 pub fn start(shared: &Arc<Shared>, events: Receiver<Event>, peers: TcpListener) -> std::io::Result<JoinHandle<()>> {
     let peering = join(shared, peers)?;
     task::spawn(config_feed::run(shared.clone()));
@@ -44,27 +44,27 @@
         .spawn(move || task::block_on(run(shared, peering, events)))
 }
 
-/// Takes a place among the peers.
+/// Starts listening for peers.
 fn join(shared: &Arc<Shared>, listener: TcpListener) -> std::io::Result<Peering> {
     let own = Member {
         id: shared.settings.vm.clone(),
         address: listener.local_addr()?,
         domain: shared.settings.domain.clone(),
     };
-    let (sender, heard) = async_channel::bounded(EVENTS);
+    let (sender, received) = async_channel::bounded(EVENT_CAPACITY);
     let mut peers = Peers::new(own.clone(), sender);
     peers.listen(listener);
-    task::spawn(hear(shared.clone(), heard));
+    task::spawn(forward_peer_events(shared.clone(), received));
     Ok(Peering::new(own, peers, shared.clock.now()))
 }
 
-async fn hear(shared: Arc<Shared>, heard: Receiver<peers::Event>) {
-    while let Ok(event) = heard.recv().await {
+async fn forward_peer_events(shared: Arc<Shared>, received: Receiver<peers::Event>) {
+    while let Ok(event) = received.recv().await {
         send(&shared, Event::Peer(event)).await;
     }
 }
 
-/// Hands an event to the control thread; after its end nobody needs it.
+/// Sends an event to the control thread; ignored once the thread has ended.
 pub async fn send(shared: &Shared, event: Event) {
     let _ = shared.events.send(event).await;
 }
@@ -81,8 +81,8 @@
 async fn tick(shared: Arc<Shared>) {
     let mut last = shared.clock.now();
     loop {
-        // An idle router wakes up seldom: its control must cost next to nothing.
-        task::sleep(if shared.pools.waiting() { JOBS_TICK } else { TICK }).await;
+        // A longer sleep without waiting jobs keeps the CPU use of an idle router near zero.
+        task::sleep(if shared.pools.waiting() { POOL_TICK } else { TICK }).await;
         shared.pools.tick();
         let now = shared.clock.now();
         if now.saturating_sub(last) < TICK {
--- a/crates/router/src/control/peering.rs
+++ b/crates/router/src/control/peering.rs
@@ -1,6 +1,6 @@
-//! This router among its peers: who is live, what is told, what is heard.
+//! Membership and messages among routers.
 
-use super::event::{Event, LoadSeen};
+use super::event::{Event, ObservedLoad};
 use super::state::Control;
 use super::telling::PREFILL_UNIT;
 use async_std::task;
@@ -13,30 +13,30 @@
 use std::time::Duration;
 use wire::platform::{VmList, VmState};
 
-/// How often peers' view of this router is renewed; heartbeats take what they find.
-const PUBLISH_EVERY: Duration = Duration::from_millis(500);
-/// How often the seeds of the settings count as listed while the platform does not answer.
-const SEEDS_EVERY: Duration = Duration::from_secs(10);
+/// Interval at which the state that heartbeats carry to peers is updated.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which the seeds of the settings are added as listed routers while the platform does not respond.
+const SEED_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What belongs to this router's place among its peers.
+/// Membership, peer connections and the state published to peers.
 pub struct Peering {
     pub(super) membership: Membership,
     pub(super) peers: Peers,
     links: Vec<Link>,
     pub(super) offered: Option<Arc<Offered>>,
     pub(super) leaving: bool,
-    /// Whether a peer was asked for pressures.
-    hinted: bool,
-    published: Duration,
-    seeded: Option<Duration>,
-    /// Routers in the platform's last list.
-    listed: Option<u32>,
-    /// Revisions that are being read from peers.
+    /// Whether pressures were requested from a peer.
+    pressures_requested: bool,
+    last_publish: Duration,
+    last_seeding: Option<Duration>,
+    /// Number of routers in the platform's last list that are not leaving.
+    listed_routers: Option<u32>,
+    /// Revisions that are being fetched from peers.
     pub(super) fetching: BTreeSet<(VmId, Revision)>,
 }
 
 impl Peering {
-    /// This router alone.
+    /// Creates a membership of this router alone.
     pub fn new(own: Member, peers: Peers, now: Duration) -> Self {
         Self {
             membership: Membership::new(own, now),
@@ -44,15 +44,15 @@
             links: Vec::new(),
             offered: None,
             leaving: false,
-            hinted: false,
-            published: Duration::ZERO,
-            seeded: None,
-            listed: None,
+            pressures_requested: false,
+            last_publish: Duration::ZERO,
+            last_seeding: None,
+            listed_routers: None,
             fetching: BTreeSet::new(),
         }
     }
 
-    /// Ends all links.
+    /// Closes all links.
     pub fn stop(&mut self) {
         self.peers.stop();
     }
@@ -60,15 +60,15 @@
 
 impl Control {
     pub(super) fn peering_tick(&mut self) {
-        self.list_seeds();
+        self.add_seeds();
         self.member_event(membership::Event::Tick);
         let now = self.now();
-        if now.saturating_sub(self.peering.published) >= PUBLISH_EVERY {
-            self.peering.published = now;
-            self.relink();
-            let state = self.state_for_peers();
+        if now.saturating_sub(self.peering.last_publish) >= PUBLISH_INTERVAL {
+            self.peering.last_publish = now;
+            self.update_links();
+            let state = self.peer_state();
             self.peering.peers.publish(state);
-            self.shared.seen.store(Arc::new(self.peering.peers.seen()));
+            self.shared.recent_peers.store(Arc::new(self.peering.peers.seen()));
             let domains = self.peering.membership.roster(now).counts;
             self.shared.domains.store(Arc::new(domains));
         }
@@ -76,11 +76,12 @@
 
     pub(super) fn peering_leave(&mut self) {
         self.peering.leaving = true;
-        self.tell_peers_now();
+        self.publish_now_to_peers();
     }
 
-    /// The platform's list names routers and endpoints alike; what is no endpoint is a router.
-    pub(super) fn routers_listed(&mut self, list: &VmList) {
+    /// Updates the routers from the platform's list, which contains routers and endpoints: each VM that is not an
+    /// endpoint is a router.
+    pub(super) fn update_listed_routers(&mut self, list: &VmList) {
         let Some(configured) = &self.configured else { return };
         let endpoints = &configured.document.endpoints;
         let routers = list.vms.iter().filter(|vm| !endpoints.contains_key(vm.id.as_str()));
@@ -98,19 +99,19 @@
             })
             .collect();
         let live = listed.iter().filter(|one| !one.leaving).count();
-        self.peering.listed = u32::try_from(live).ok().filter(|count| *count > 0);
+        self.peering.listed_routers = u32::try_from(live).ok().filter(|count| *count > 0);
         self.member_event(membership::Event::Listed(listed));
     }
 
-    /// What a peer said.
+    /// Handles an event of a peer.
     pub(super) fn peer_event(&mut self, event: peers::Event) {
         match event {
             peers::Event::Heard { from, leaving, routers } => {
-                self.ask_pressures(from.clone());
+                self.request_pressures(from.clone());
                 self.member_event(membership::Event::Heartbeat { from, leaving, routers });
             }
             peers::Event::Roster(roster) => self.member_event(membership::Event::Roster(roster)),
-            peers::Event::Offer { from, revision, digest } => self.offer(from, revision, digest),
+            peers::Event::Offer { from, revision, digest } => self.fetch_offer(from, revision, digest),
             peers::Event::Loads { reports, .. } => {
                 for report in reports {
                     self.peer_report(report);
@@ -118,7 +119,7 @@
             }
             peers::Event::Unwatched { .. } => {}
             peers::Event::Silent(peer) => {
-                self.start_event(control::startup::Event::PeerFailed(peer));
+                self.startup_event(control::startup::Event::PeerFailed(peer));
             }
         }
     }
@@ -135,64 +136,64 @@
             log::info!(live = live; "live routers of the failure domain changed");
             self.shared.metrics.routers.set(live as i64);
             self.watch_endpoints();
-            self.relink();
+            self.update_links();
         }
         self.share_limits();
     }
 
-    /// Splits the limits of workspaces between all live routers.
+    /// Divides the limits of workspaces among all live routers.
     fn share_limits(&mut self) {
         let now = self.now();
         let total = self.peering.membership.total();
-        self.shares.observe(total, self.peering.listed, now);
-        // Routers do not tell each other where a workspace's requests arrive: the balancer spreads them evenly.
+        self.shares.observe(total, self.peering.listed_routers, now);
+        // Demand is not exchanged between routers: the balancer spreads a workspace's requests evenly.
         if let Some(share) = self.shares.share(0.0, 0.0) {
             self.shared.limits.set_share(share, now);
         }
     }
 
-    fn relink(&mut self) {
+    fn update_links(&mut self) {
         let links = self.peering.membership.links();
         if links != self.peering.links {
             self.peering.peers.set_links(&links);
             self.peering.links = links;
         }
         let own = &self.shared.settings;
-        let lasting = self.peering.membership.not_leaving();
-        let candidate = !self.peering.leaving && rendezvous::is_candidate(&own.vm, &own.domain, &lasting);
+        let not_leaving = self.peering.membership.not_leaving();
+        let candidate = !self.peering.leaving && rendezvous::is_candidate(&own.vm, &own.domain, &not_leaving);
         self.orders.on(orders::Event::Candidate(candidate));
         let follow = following::follow(&own.vm, &own.domain, self.peering.membership.live());
-        self.shared.follow.store(Arc::new(follow));
+        self.shared.follow_mode.store(Arc::new(follow));
     }
 
-    /// A router that starts asks the first peer it hears how crowded endpoints have been: until its own reports tell,
-    /// it would rank them unlike the others and miss a tenth more blocks.
-    fn ask_pressures(&mut self, peer: Member) {
-        if self.peering.hinted {
+    /// A router that starts requests endpoint pressures from the first peer that sends a heartbeat. Until it has
+    /// reports of its own, it would rank endpoints differently from its peers and miss a tenth more cache blocks.
+    fn request_pressures(&mut self, peer: Member) {
+        if self.peering.pressures_requested {
             return;
         }
-        self.peering.hinted = true;
+        self.peering.pressures_requested = true;
         let fetcher = self.peering.peers.fetcher();
         let shared = self.shared.clone();
         task::spawn(async move {
-            // Nothing breaks without the hint.
+            // Pressures only improve placement; a failed request is ignored.
             if let Ok(pressures) = fetcher.pressures(&peer).await {
                 super::send(&shared, Event::Pressures(pressures)).await;
             }
         });
     }
 
-    /// While the platform is out of reach, peers are found by the addresses in the settings.
-    fn list_seeds(&mut self) {
+    /// Adds the routers from the settings while the platform is unreachable.
+    fn add_seeds(&mut self) {
         let now = self.now();
         let due = self
             .peering
-            .seeded
-            .is_none_or(|last| now.saturating_sub(last) >= SEEDS_EVERY);
-        if self.peering.listed.is_some() || !due {
+            .last_seeding
+            .is_none_or(|last| now.saturating_sub(last) >= SEED_INTERVAL);
+        if self.peering.listed_routers.is_some() || !due {
             return;
         }
-        self.peering.seeded = Some(now);
+        self.peering.last_seeding = Some(now);
         let seeds = self.shared.settings.seeds.iter();
         let listed = seeds.map(|seed| Listed {
             member: Member {
@@ -207,19 +208,19 @@
     }
 
     fn peer_report(&mut self, report: LoadReport) {
-        let load = LoadSeen {
+        let load = ObservedLoad {
             own: false,
             incarnation: report.incarnation,
             model: None,
             weights: report.weights,
-            leaving: report.leaving,
+            draining: report.leaving,
             running: report.running,
             waiting: report.waiting,
             prefill: u64::from(report.prefill) * PREFILL_UNIT,
-            asked: self.now(),
+            requested: self.now(),
         };
         if self.health.incarnation(&report.endpoint).is_some() || self.is_configured(&report.endpoint) {
-            self.reported(&report.endpoint, load);
+            self.record_report(&report.endpoint, load);
         }
     }
 
--- a/crates/router/src/control/state.rs
+++ b/crates/router/src/control/state.rs
@@ -1,12 +1,12 @@
-//! The control thread's state: what there is, which event goes where, and what traffic is told.
+//! State of the control thread, event dispatch, and the views it publishes to request tasks.
 
 use super::endpoint_feed::Feeds;
-use super::event::{Configured, Event, LoadSeen};
+use super::event::{AssembledConfig, Event, ObservedLoad};
 use super::peering::Peering;
 use crate::orders::Orders;
-use crate::pool::Around;
+use crate::pool::RouterContext;
 use crate::shared::Shared;
-use crate::view::{Believed, Standing, View};
+use crate::view::{Availability, EndpointState, View};
 use admission::ShareView;
 use config::Revisions;
 use control::health::{EndpointHealth, HealthState};
@@ -23,12 +23,12 @@
     pub(super) shared: Arc<Shared>,
     pub(super) revisions: Revisions,
     pub(super) startup: Option<Startup>,
-    /// Configurations read from peers while none is in force.
-    pub(super) offered: BTreeMap<VmId, Configured>,
-    pub(super) configured: Option<Configured>,
+    /// Configurations offered during startup, by the router that provided them.
+    pub(super) candidates: BTreeMap<VmId, AssembledConfig>,
+    pub(super) configured: Option<AssembledConfig>,
     pub(super) health: EndpointHealth,
     pub(super) weights: HashMap<EndpointId, WeightsVersion>,
-    pub(super) reported: HashMap<EndpointId, LoadSeen>,
+    pub(super) reports: HashMap<EndpointId, ObservedLoad>,
     pub(super) feeds: Feeds,
     pub(super) shares: ShareView,
     pub(super) orders: Orders,
@@ -36,18 +36,18 @@
 }
 
 impl Control {
-    /// Knows nothing yet.
+    /// Creates the state without a configuration.
     pub fn new(shared: Arc<Shared>, peering: Peering) -> Self {
         let seeds: Vec<VmId> = shared.settings.seeds.iter().map(|seed| seed.vm.clone()).collect();
         Self {
             orders: Orders::new(shared.clone()),
             startup: Some(Startup::new(&seeds, shared.clock.now())),
-            offered: BTreeMap::new(),
+            candidates: BTreeMap::new(),
             revisions: Revisions::default(),
             configured: None,
             health: EndpointHealth::default(),
             weights: HashMap::new(),
-            reported: HashMap::new(),
+            reports: HashMap::new(),
             feeds: Feeds::default(),
             shares: ShareView::new(1),
             peering,
@@ -55,27 +55,27 @@
         }
     }
 
-    /// Takes one event; breaks at the end.
+    /// Handles one event; breaks on [`Event::Stop`].
     pub fn on(&mut self, event: Event) -> ControlFlow<()> {
         match event {
-            Event::Config(configured) => self.platform_offers(*configured),
-            Event::ConfigEmpty => self.start_event(control::startup::Event::PlatformEmpty),
-            Event::ConfigFailed => self.start_event(control::startup::Event::PlatformFailed),
+            Event::Config(configured) => self.platform_config(*configured),
+            Event::ConfigEmpty => self.startup_event(control::startup::Event::PlatformEmpty),
+            Event::ConfigFailed => self.startup_event(control::startup::Event::PlatformFailed),
             Event::PeerConfig(peer, configured) => {
-                self.fetched(&peer);
-                self.peer_offers(peer, *configured);
+                self.fetch_ended(&peer);
+                self.peer_config(peer, *configured);
             }
             Event::PeerConfigFailed(peer) => {
-                self.fetched(&peer);
-                self.start_event(control::startup::Event::PeerFailed(peer));
+                self.fetch_ended(&peer);
+                self.startup_event(control::startup::Event::PeerFailed(peer));
             }
             Event::Peer(event) => self.peer_event(event),
-            Event::Pressures(pressures) => self.shared.pools.assume(&pressures),
-            Event::Vms(list) => self.listed(&list),
-            Event::Endpoint(id, sighting) => self.sighted(&id, sighting),
+            Event::Pressures(pressures) => self.shared.pools.seed_pressures(&pressures),
+            Event::Vms(list) => self.vms_listed(&list),
+            Event::Endpoint(id, observation) => self.observed(&id, observation),
             Event::Orders(event) => self.orders.on(event),
             Event::Tick => self.tick(),
-            Event::Leave => self.leave(),
+            Event::Leave => self.start_leaving(),
             Event::Stop => {
                 self.feeds.stop();
                 self.peering.stop();
@@ -86,15 +86,15 @@
     }
 
     fn tick(&mut self) {
-        self.start_event(control::startup::Event::Tick);
+        self.startup_event(control::startup::Event::Tick);
         self.peering_tick();
         self.probe_endpoints();
         self.orders.on(orders::Event::Tick);
         let fence = self.orders.fence();
         if fence.is_some() {
-            // Only who gives orders needs to look at all runners.
+            // Only the lease holder needs the state of all runners.
             let runners = self.runners();
-            self.orders.runners(runners);
+            self.orders.set_runners(runners);
         }
         let fence = fence.unwrap_or_default();
         self.shared
@@ -103,54 +103,58 @@
             .set(i64::try_from(fence.0).unwrap_or(i64::MAX));
     }
 
-    /// Gives up what others can take over, while requests in flight go on.
-    fn leave(&mut self) {
+    /// Starts shutdown: gives up the order lease and announces to peers that this router is leaving. Requests in
+    /// flight continue.
+    fn start_leaving(&mut self) {
         self.orders.on(orders::Event::Stop);
         self.peering_leave();
     }
 
-    /// Replaces what traffic reads.
+    /// Publishes a new view to request tasks.
     pub(super) fn publish(&self) {
         let Some(configured) = &self.configured else { return };
         let document = &configured.document;
-        let believed = document.endpoints.keys().map(|id| (id.clone(), self.believed(id)));
-        let view = View::new(self.revisions.current(), document.clone(), believed.collect());
+        let states = document
+            .endpoints
+            .keys()
+            .map(|id| (id.clone(), self.endpoint_state(id)));
+        let view = View::new(self.revisions.current(), document.clone(), states.collect());
         let view = Arc::new(view);
-        let around = Around {
+        let router = RouterContext {
             domain: &self.shared.settings.domain,
             routers: self.peering.membership.total(),
         };
-        self.shared.pools.apply(&view, &around, self.shared.clock);
+        self.shared.pools.apply(&view, &router, self.shared.clock);
         self.shared.view.store(Some(view.clone()));
-        // Last: whoever reads that an endpoint is out must be able to rely on it.
-        self.count(&view);
+        // Metrics are updated last: once they show an endpoint as unavailable, it gets no new requests.
+        self.count_endpoints(&view);
     }
 
-    fn believed(&self, id: &EndpointId) -> Believed {
-        let standing = match self.health.state(id) {
-            _ if self.loads_weights(id) => Standing::Out,
-            HealthState::Live => Standing::Live,
-            HealthState::Suspected => Standing::Suspected,
-            HealthState::Leaving | HealthState::Dead => Standing::Out,
+    fn endpoint_state(&self, id: &EndpointId) -> EndpointState {
+        let availability = match self.health.state(id) {
+            _ if self.is_loading(id) => Availability::Unavailable,
+            HealthState::Live => Availability::Live,
+            HealthState::Suspected => Availability::Suspected,
+            HealthState::Leaving | HealthState::Dead => Availability::Unavailable,
         };
-        Believed {
-            standing,
+        EndpointState {
+            availability,
             incarnation: self.health.incarnation(id).unwrap_or_default(),
             weights: self.weights.get(id).cloned(),
         }
     }
 
-    fn count(&self, view: &View) {
-        let standings = [
-            ("live", Standing::Live),
-            ("suspected", Standing::Suspected),
-            ("out", Standing::Out),
+    fn count_endpoints(&self, view: &View) {
+        let availabilities = [
+            ("live", Availability::Live),
+            ("suspected", Availability::Suspected),
+            ("out", Availability::Unavailable),
         ];
-        for (name, standing) in standings {
+        for (name, availability) in availabilities {
             let count = view
-                .believed
+                .endpoint_states
                 .values()
-                .filter(|believed| believed.standing == standing)
+                .filter(|state| state.availability == availability)
                 .count();
             self.shared
                 .metrics
--- a/crates/router/src/control/telling.rs
+++ b/crates/router/src/control/telling.rs
@@ -1,4 +1,4 @@
-//! What this router tells its peers.
+//! State that this router publishes to its peers.
 
 use super::state::Control;
 use control::rendezvous;
@@ -6,18 +6,18 @@
 use peers::{LoadReport, Offered, Published};
 use std::sync::Arc;
 
-/// Thousands of prompt tokens, the unit of a load report between routers.
+/// Unit of prompt tokens in a load report between routers.
 pub(super) const PREFILL_UNIT: u64 = 1_000;
 
 impl Control {
-    /// Tells peers at once what cannot wait for the next heartbeat.
-    pub(super) fn tell_peers_now(&mut self) {
-        let state = self.state_for_peers();
+    /// Sends state to peers that must not wait for the next heartbeat.
+    pub(super) fn publish_now_to_peers(&mut self) {
+        let state = self.peer_state();
         self.peering.peers.publish_now(state);
     }
 
-    pub(super) fn state_for_peers(&mut self) -> Published {
-        self.renew_offer();
+    pub(super) fn peer_state(&mut self) -> Published {
+        self.update_offer();
         let peering = &self.peering;
         let membership = &peering.membership;
         Published {
@@ -26,12 +26,12 @@
             membership: membership.digest(),
             roster: membership.roster(self.now()),
             config: peering.offered.clone(),
-            loads: self.loads_for_peers(),
+            loads: self.own_loads(),
             pressures: self.shared.pools.pressures(),
         }
     }
 
-    fn renew_offer(&mut self) {
+    fn update_offer(&mut self) {
         let Some(configured) = &self.configured else { return };
         let digest = configured.head.digest();
         if self
@@ -52,17 +52,18 @@
         }));
     }
 
-    /// Loads of the endpoints that this router reads first, for the others.
-    fn loads_for_peers(&self) -> Vec<LoadReport> {
+    /// Load reports that this router has to forward to its peers: those of the endpoints that it is responsible for
+    /// reading.
+    fn own_loads(&self) -> Vec<LoadReport> {
         let own = &self.shared.settings.vm;
-        let lasting = self.peering.membership.not_leaving();
-        let read = self.reported.iter().filter(|(_, load)| load.own);
-        let mine = read.filter(|(id, _)| rendezvous::forwards_load(own, id, &lasting));
+        let not_leaving = self.peering.membership.not_leaving();
+        let read = self.reports.iter().filter(|(_, load)| load.own);
+        let mine = read.filter(|(id, _)| rendezvous::forwards_load(own, id, &not_leaving));
         let reports = mine.map(|(id, load)| LoadReport {
             endpoint: id.clone(),
             incarnation: load.incarnation,
             weights: load.weights.clone(),
-            leaving: load.leaving,
+            leaving: load.draining,
             running: load.running,
             waiting: load.waiting,
             prefill: u32::try_from(load.prefill.div_ceil(PREFILL_UNIT)).unwrap_or(u32::MAX),
--- a/crates/router/src/control/vm_feed.rs
+++ b/crates/router/src/control/vm_feed.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's list of live and leaving VMs.
+//! Polls the platform's list of live and leaving VMs.
 
 use super::Event;
 use crate::shared::Shared;
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the list is read: an endpoint must get no new work within 3 s of the list's word, and one read may fail.
-const EVERY: Duration = Duration::from_millis(1_400);
+/// Read interval: an endpoint must get no new requests within 3 s of being listed as leaving, and one read may fail.
+const READ_INTERVAL: Duration = Duration::from_millis(1_400);
 
-/// Runs until the control thread has gone.
+/// Runs until the control thread has ended.
 pub async fn run(shared: Arc<Shared>) {
     loop {
         if let Ok(list) = shared.platform.vms().await
@@ -18,6 +18,6 @@
         {
             return;
         }
-        task::sleep(EVERY).await;
+        task::sleep(READ_INTERVAL).await;
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,7 +1,7 @@
-//! The router: sockets and timers round the core.
+//! The router: sockets and timers around the core crates.
 //!
-//! Traffic tasks read one immutable [`View`] at a time and share a [`Pool`] for each model and service. One control
-//! thread owns all state that is agreed or believed (revision, membership, endpoint health) and publishes views.
+//! Request tasks read one immutable [`View`] at a time and share a [`Pool`] for each model and service. One control
+//! thread owns the configuration revision, membership and endpoint health, and publishes views.
 
 mod caller;
 mod control;
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,6 +1,6 @@
-//! Limits of workspaces over all routers: this router grants its share of each.
+//! Rate limits of workspaces. Each router grants its share of each limit.
 
-use crate::caller::Caller;
+use crate::caller::AuthContext;
 use crate::caller::{Cause, Refused};
 use admission::{LimitDecision, Limits, Share, ShareLimiter};
 use clock::Clock;
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The limiters of all workspaces that have limits.
+/// The rate limiters of all workspaces that have limits.
 #[derive(Debug)]
 pub struct WorkspaceLimits {
     inner: Arc<Mutex<Inner>>,
@@ -22,9 +22,9 @@
     limiters: HashMap<WorkspaceId, (Limits, ShareLimiter)>,
 }
 
-/// A request counted under its workspace's limits; the estimate stands until it is settled.
+/// A request counted against its workspace's limits with its estimated tokens, until it is settled.
 #[derive(Debug)]
-pub struct Taken {
+pub struct LimitReservation {
     inner: Arc<Mutex<Inner>>,
     workspace: WorkspaceId,
     estimated: u64,
@@ -32,7 +32,7 @@
 }
 
 impl WorkspaceLimits {
-    /// Limits of which this router grants all, until it hears of others.
+    /// Creates limits with a share of 1: this router grants all until it learns of other routers.
     pub fn new(clock: Clock) -> Self {
         let inner = Inner {
             share: Share { target: 1.0, even: 1.0 },
@@ -44,7 +44,7 @@
         }
     }
 
-    /// This router's share of each limit has changed.
+    /// Sets this router's share of each limit.
     pub fn set_share(&self, share: Share, now: Duration) {
         let mut inner = lock(&self.inner);
         inner.share = share;
@@ -53,43 +53,43 @@
         }
     }
 
-    /// Counts a request of about `tokens`, or refuses it.
-    pub fn take(&self, caller: &Caller, tokens: u64, now: Duration) -> Result<Taken, Refused> {
-        let taken = Taken {
+    /// Counts a request with an estimate of `tokens`, or refuses it.
+    pub fn try_acquire(&self, auth: &AuthContext, tokens: u64, now: Duration) -> Result<LimitReservation, Refused> {
+        let reservation = LimitReservation {
             inner: self.inner.clone(),
-            workspace: caller.workspace.clone(),
+            workspace: auth.workspace.clone(),
             estimated: tokens,
             clock: self.clock,
         };
-        let spec = &caller.spec.limits;
+        let spec = &auth.spec.limits;
         let limits = Limits {
             requests: spec.requests_per_second,
             tokens: spec.tokens_per_second,
         };
         if limits == Limits::default() {
-            return Ok(taken);
+            return Ok(reservation);
         }
         let mut inner = lock(&self.inner);
         let share = inner.share;
-        let limiter = inner.limiters.entry(caller.workspace.clone());
+        let limiter = inner.limiters.entry(auth.workspace.clone());
         let (known, limiter) = limiter.or_insert_with(|| (limits, ShareLimiter::new(limits, share.target, now)));
         if *known != limits {
             *known = limits;
             limiter.set_limits(limits, now);
         }
         match limiter.try_acquire(tokens, now) {
-            LimitDecision::Granted => Ok(taken),
-            LimitDecision::Denied(after) => {
+            LimitDecision::Granted => Ok(reservation),
+            LimitDecision::Denied(delay) => {
                 let mut refused = Refused::not_run(Cause::Limit);
-                refused.retry_after = after;
+                refused.retry_after = delay;
                 Err(refused)
             }
         }
     }
 }
 
-impl Taken {
-    /// Corrects the estimate by what was counted.
+impl LimitReservation {
+    /// Replaces the estimate by the actual number of tokens.
     pub fn settle(self, counted: u64) {
         let now = self.clock.now();
         let mut inner = lock(&self.inner);
--- a/crates/router/src/metrics/mod.rs
+++ b/crates/router/src/metrics/mod.rs
@@ -1,11 +1,11 @@
-//! Counters, as prometheus shows them.
+//! Prometheus metrics.
 
 use prometheus::{Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 
-/// Bounds of the first-token histogram, seconds; the target is 1.2 s for 95 in 100.
+/// Bucket bounds of the first-token histogram, seconds; the target is 1.2 s for 95 in 100.
 const FIRST_TOKEN_BOUNDS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 2.0, 5.0, 10.0];
 
-/// All counters of a router.
+/// All metrics of a router.
 pub struct Metrics {
     registry: Registry,
     /// Requests by kind (`completion`, `service`) and outcome (`ok`, or a refusal's code).
@@ -16,33 +16,33 @@
     pub first_token: Histogram,
     /// Prompt tokens sent to engines.
     pub prompt_tokens: IntCounter,
-    /// Prompt tokens engines found in their cache.
+    /// Prompt tokens found in engines' caches.
     pub cached_tokens: IntCounter,
     /// Placements by reason.
     pub placements: IntCounterVec,
-    /// Attempts after the first, by why.
+    /// Attempts after the first, by reason.
     pub retries: IntCounterVec,
-    /// Streams resumed after a break.
+    /// Streams resumed after a connection failure.
     pub resumed: IntCounter,
-    /// Callers that went away before the end.
-    pub callers_gone: IntCounter,
+    /// Clients that disconnected before their response was complete.
+    pub clients_gone: IntCounter,
     /// Calls to the platform by outcome.
     pub platform: IntCounterVec,
-    /// Revision in force.
+    /// Configuration revision in force.
     pub revision: IntGauge,
     /// Live routers of the failure domain.
     pub routers: IntGauge,
-    /// Fencing number under which this router gives orders to engines, 0 if it does not.
+    /// Fencing number of this router's orders to engines, 0 if it does not hold the order lease.
     pub fence: IntGauge,
-    /// Endpoints by standing.
+    /// Endpoints by availability.
     pub endpoints: prometheus::IntGaugeVec,
 }
 
 impl Metrics {
-    /// Registers all counters at zero.
+    /// Registers all metrics at zero.
     ///
     /// # Panics
-    /// If two counters have one name, which every start would show.
+    /// If two metrics have the same name. Every start would show this.
     pub fn new() -> Self {
         let registry = Registry::new_custom(Some("apricotfork".to_owned()), None).expect("a valid prefix");
         let counters = |name: &str, help: &str, labels: &[&str]| {
@@ -65,11 +65,15 @@
         registry.register(Box::new(revision.clone())).expect("a name used once");
         let routers = IntGauge::new("live_routers", "Live routers of the failure domain").expect("a valid gauge");
         registry.register(Box::new(routers.clone())).expect("a name used once");
-        let fence =
-            IntGauge::new("order_fence", "Fencing number of this router's orders, 0 without").expect("a valid gauge");
+        let fence = IntGauge::new(
+            "order_fence",
+            "Fencing number of this router's orders, 0 without the order lease",
+        )
+        .expect("a valid gauge");
         registry.register(Box::new(fence.clone())).expect("a name used once");
-        let endpoints = prometheus::IntGaugeVec::new(Opts::new("endpoints", "Endpoints by standing"), &["standing"])
-            .expect("a valid gauge");
+        let endpoints =
+            prometheus::IntGaugeVec::new(Opts::new("endpoints", "Endpoints by availability"), &["standing"])
+                .expect("a valid gauge");
         registry
             .register(Box::new(endpoints.clone()))
             .expect("a name used once");
@@ -80,8 +84,11 @@
             cached_tokens: counter("cached_tokens_total", "Prompt tokens found in engines' caches"),
             placements: counters("placements_total", "Placements by reason", &["reason"]),
             retries: counters("retries_total", "Attempts after the first", &["why"]),
-            resumed: counter("streams_resumed_total", "Streams resumed after a break"),
-            callers_gone: counter("callers_gone_total", "Callers that went away before the end"),
+            resumed: counter("streams_resumed_total", "Streams resumed after a connection failure"),
+            clients_gone: counter(
+                "callers_gone_total",
+                "Clients that disconnected before their response was complete",
+            ),
             platform: counters("platform_calls_total", "Calls to the platform by outcome", &["outcome"]),
             first_token,
             revision,
@@ -92,10 +99,10 @@
         }
     }
 
-    /// All counters as text.
+    /// Renders all metrics in the text format.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // Writing to a vector cannot fail; a counter that cannot be shown is left out.
+        // Writing to a vector cannot fail; a metric that cannot be encoded is omitted.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
--- a/crates/router/src/operator/mod.rs
+++ b/crates/router/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! What operators meet, on an address of its own: metrics, health, readiness, status.
+//! The operator API, on its own address: metrics, health, readiness, status.
 
 use crate::pool::PoolStatus;
 use crate::shared::Shared;
@@ -8,16 +8,16 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What a running router says of itself.
+/// Status of a running router.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// Its VM.
     pub vm: VmId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Whether callers should be sent here.
+    /// Whether clients should be sent here.
     pub ready: bool,
-    /// Whether it takes no new requests any more.
+    /// Whether it refuses new requests.
     pub draining: bool,
     /// Configuration revision in force, absent before the first.
     pub revision: Option<Revision>,
@@ -27,13 +27,13 @@
     pub in_flight: usize,
     /// Pools by target.
     pub pools: Vec<NamedPool>,
-    /// Other routers as last heard.
+    /// Other routers, as last received.
     pub peers: Vec<PeerStatus>,
-    /// Other failure domains as last heard of.
+    /// Other failure domains, as last received.
     pub domains: Vec<DomainCount>,
 }
 
-/// Another router as last heard.
+/// Status of another router, as last received.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
     /// Its VM.
@@ -42,7 +42,7 @@
     pub domain: DomainId,
     /// The revision it had in force.
     pub revision: Option<Revision>,
-    /// Seconds since it was heard.
+    /// Seconds since its last heartbeat.
     pub age: u64,
 }
 
@@ -55,8 +55,8 @@
     pub state: PoolStatus,
 }
 
-/// Answers one request of an operator.
-pub async fn answer(shared: Arc<Shared>, request: Request, _: Conn) -> Response {
+/// Handles one request of an operator.
+pub async fn handle(shared: Arc<Shared>, request: Request, _: Conn) -> Response {
     if request.method() != Method::Get {
         return Response::new(StatusCode::MethodNotAllowed);
     }
@@ -65,7 +65,7 @@
         "/readyz" => ready(&shared),
         "/metrics" => text(StatusCode::Ok, "text/plain; version=0.0.4", shared.metrics.render()),
         "/status" => {
-            let body = serde_json::to_vec(&status(&shared)).expect("a status is always JSON");
+            let body = serde_json::to_vec(&status(&shared)).expect("a status serializes to JSON");
             text(StatusCode::Ok, "application/json", body)
         }
         _ => Response::new(StatusCode::NotFound),
@@ -76,17 +76,17 @@
     if shared.ready() {
         return text(StatusCode::Ok, "text/plain", b"ready\n".to_vec());
     }
-    let why = match shared.view.load().is_some() {
+    let reason = match shared.view.load().is_some() {
         true => "shutting down\n".to_owned(),
         false => format!("no configuration yet: {}\n", shared.not_ready.load()),
     };
-    text(StatusCode::ServiceUnavailable, "text/plain", why.into_bytes())
+    text(StatusCode::ServiceUnavailable, "text/plain", reason.into_bytes())
 }
 
 fn status(shared: &Shared) -> Status {
     let pools = shared.pools.status().into_iter();
-    let seen = shared.seen.load();
-    let peers = seen.iter().map(|peer| PeerStatus {
+    let recent = shared.recent_peers.load();
+    let peers = recent.iter().map(|peer| PeerStatus {
         vm: peer.member.id.clone(),
         domain: peer.member.domain.clone(),
         revision: peer.revision,
--- a/crates/router/src/orders/engine_calls.rs
+++ b/crates/router/src/orders/engine_calls.rs
@@ -1,4 +1,4 @@
-//! Orders on their way to engines.
+//! Sends orders to engines.
 
 use crate::shared::Shared;
 use control::orders::{Event, ORDER_CALL_TIMEOUT};
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use wire::engine::Order;
 
-/// Longest answer of an engine to an order, bytes.
+/// Maximum size of an engine's response to an order, bytes.
 const ANSWER_BYTES: u64 = 64 * 1024;
 
-/// Sends an order once, if `may_send` still holds when the connection stands.
+/// Sends an order at most once, if `may_send` is still true once the connection is established.
 pub async fn send(
     shared: &Shared,
     endpoint: EndpointId,
@@ -21,7 +21,7 @@
     let url = Url::parse(&format!("http://{to}/v1/orders")).expect("a socket address makes a URL");
     let mut request = Request::new(Method::Post, url);
     request.insert_header("content-type", "application/json");
-    let body = serde_json::to_vec(order).expect("an order is always JSON");
+    let body = serde_json::to_vec(order).expect("an order serializes to JSON");
     let sent = shared
         .client
         .send_once(to, request, &body, ORDER_CALL_TIMEOUT, may_send)
--- a/crates/router/src/orders/mod.rs
+++ b/crates/router/src/orders/mod.rs
@@ -1,7 +1,7 @@
-//! Carries out what the order holder of this failure domain wants: calls to the platform, orders to engines.
+//! Executes the steps of this failure domain's order holder: calls to the platform, orders to engines.
 //!
-//! The holder itself is a machine of the `control` crate and changes on the control thread only. Each step runs as a
-//! task of its own and sends its outcome back as an event, so that a slow platform holds up nothing.
+//! The holder is a state machine of the `control` crate and changes on the control thread only. Each step runs as a
+//! task of its own and returns its outcome as an event, so that a slow platform does not block the control thread.
 
 mod engine_calls;
 mod platform_calls;
@@ -18,7 +18,7 @@
 
 use platform_calls::Keys;
 
-/// The part of this router in giving orders.
+/// This router's order holder and its calls in progress.
 pub struct Orders {
     shared: Arc<Shared>,
     holder: Arc<Mutex<OrderHolder>>,
@@ -28,7 +28,7 @@
 }
 
 impl Orders {
-    /// Takes no part yet.
+    /// Creates a holder without a lease or assignments.
     pub fn new(shared: Arc<Shared>) -> Self {
         let keys = Arc::new(Keys::new(&shared.settings.domain));
         Self {
@@ -40,18 +40,18 @@
         }
     }
 
-    /// What runners are to serve, and where they listen.
-    pub fn configure(&mut self, wanted: Vec<Assignment>, addresses: BTreeMap<EndpointId, SocketAddr>) {
+    /// Sets the weights assigned to runners, and the addresses of the runners.
+    pub fn configure(&mut self, assignments: Vec<Assignment>, addresses: BTreeMap<EndpointId, SocketAddr>) {
         self.addresses = addresses;
-        self.on(orders::Event::Assignments(wanted));
+        self.on(orders::Event::Assignments(assignments));
     }
 
-    /// Runners as last reported.
-    pub fn runners(&mut self, runners: Vec<Runner>) {
+    /// Updates the last reported state of runners.
+    pub fn set_runners(&mut self, runners: Vec<Runner>) {
         self.on(orders::Event::Runners(runners));
     }
 
-    /// Takes an event of the holder.
+    /// Handles an event of the order holder.
     pub fn on(&mut self, event: orders::Event) {
         let steps = lock(&self.holder).on(event, self.shared.clock.now());
         for step in steps {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The lease under which orders are given, if this router holds it.
+    /// The fencing number of the order lease, if this router holds it.
     pub fn fence(&self) -> Option<Fence> {
         lock(&self.holder).fence()
     }
@@ -67,7 +67,7 @@
     fn carry_out(&mut self, step: Step) {
         match step {
             Step::Abandon => self.abandon(),
-            Step::Report(blocked) => log::warn!("order not given: {blocked}"),
+            Step::Report(blocked) => log::warn!("order not sent: {blocked}"),
             Step::Send { endpoint, order } => self.send(endpoint, order),
             step => {
                 let (shared, keys) = (self.shared.clone(), self.keys.clone());
@@ -84,11 +84,11 @@
         let Some(to) = self.addresses.get(&endpoint).copied() else {
             return;
         };
-        log::info!(endpoint = endpoint.as_str(), fence = order.fence.0; "order given");
+        log::info!(endpoint = endpoint.as_str(), fence = order.fence.0; "sending order");
         let (shared, holder) = (self.shared.clone(), self.holder.clone());
         let clock = self.shared.clock;
-        let asked = endpoint.clone();
-        let may_send = move || lock(&holder).may_send(&asked, clock.now());
+        let checked = endpoint.clone();
+        let may_send = move || lock(&holder).may_send(&checked, clock.now());
         let (call, handle) = abortable(async move {
             let event = engine_calls::send(&shared, endpoint, to, &order, may_send).await;
             send(&shared, Event::Orders(event)).await;
