--- a/crates/router/src/orders/platform_calls.rs
+++ b/crates/router/src/orders/platform_calls.rs
@@ -1,4 +1,4 @@
-//! The holder's calls to the platform.
+//! The order holder's calls to the platform.
 
 use crate::shared::Shared;
 use control::orders::{Event, LOAD_SLOTS, SlotState, Step};
@@ -8,27 +8,27 @@
 use store::{PlatformError, Written};
 use wire::platform::{Entry, Put};
 
-/// Value of a slot that nobody uses.
+/// Value of an unused slot.
 const FREE: &str = "free";
 
-/// Names of the keys, and the versions that slots had when they were read.
+/// Keys of the holder and slots, and the slot versions as last read.
 pub struct Keys {
     holder: String,
-    seen: Mutex<Seen>,
+    slots: Mutex<SlotVersions>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
+struct SlotVersions {
     fence: Fence,
     versions: [Version; LOAD_SLOTS],
 }
 
 impl Keys {
-    /// The keys of a failure domain; slots are shared by all.
+    /// The keys of a failure domain; slots are shared by all failure domains.
     pub fn new(domain: &DomainId) -> Self {
         Self {
             holder: format!("orders/{domain}/holder"),
-            seen: Mutex::default(),
+            slots: Mutex::default(),
         }
     }
 
@@ -36,23 +36,23 @@
         format!("orders/slots/{index}")
     }
 
-    fn lock(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, SlotVersions> {
+        self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Carries out a step that calls the platform; `None` for steps whose outcome nobody waits for.
+/// Executes a step that calls the platform; `None` for steps whose outcome is not needed.
 pub async fn carry_out(shared: &Shared, keys: &Keys, step: Step) -> Option<Event> {
     let outcome = match step {
-        Step::ReadHolder => look(shared, keys).await,
-        Step::RequestLease(ttl) => ask(shared, ttl).await,
+        Step::ReadHolder => read_holder(shared, keys).await,
+        Step::RequestLease(ttl) => request_lease(shared, ttl).await,
         Step::Renew(id) => renew(shared, id).await,
         Step::Claim(id) => claim(shared, keys, id).await,
         Step::ReadSlots(fence) => read_slots(shared, keys, fence).await,
         Step::TakeSlot { slot, lease } => return Some(take_slot(shared, keys, slot, lease).await),
         Step::FreeSlot(slot) => return free_slot(shared, keys, slot).await,
         Step::Revoke(id) => {
-            // A lease that is not given back lapses by itself.
+            // A lease that is not revoked expires on its own.
             let _ = shared.platform.revoke(id.0).await;
             return None;
         }
@@ -61,40 +61,40 @@
     Some(outcome.unwrap_or(Event::PlatformFailed))
 }
 
-async fn look(shared: &Shared, keys: &Keys) -> Result<Event, PlatformError> {
+async fn read_holder(shared: &Shared, keys: &Keys) -> Result<Event, PlatformError> {
     let entry = shared.platform.get(&keys.holder).await?;
     let held = entry.is_some_and(|entry| entry.value.is_some());
     Ok(if held { Event::HeldByOther } else { Event::HolderAbsent })
 }
 
-async fn ask(shared: &Shared, ttl: Duration) -> Result<Event, PlatformError> {
-    let asked = shared.clock.now();
+async fn request_lease(shared: &Shared, ttl: Duration) -> Result<Event, PlatformError> {
+    let requested = shared.clock.now();
     let lease = shared.platform.grant(ttl).await?;
     Ok(Event::Granted {
         id: Fence(lease.id),
         ttl: Duration::from_millis(lease.ttl_ms),
-        requested: asked,
+        requested,
     })
 }
 
 async fn renew(shared: &Shared, id: Fence) -> Result<Event, PlatformError> {
-    let asked = shared.clock.now();
+    let requested = shared.clock.now();
     let renewed = shared.platform.renew(id.0).await?;
     Ok(match renewed {
         Some(lease) => Event::Granted {
             id,
             ttl: Duration::from_millis(lease.ttl_ms),
-            requested: asked,
+            requested,
         },
         None => Event::Lapsed(id),
     })
 }
 
-/// Reads before it writes: an earlier claim of this lease may have taken effect without an answer.
+/// Reads before writing: an earlier claim with this lease may have taken effect although its response was lost.
 async fn claim(shared: &Shared, keys: &Keys, id: Fence) -> Result<Event, PlatformError> {
     let entry = shared.platform.get(&keys.holder).await?;
     if let Some(value) = entry.as_ref().and_then(|entry| entry.value.as_deref()) {
-        return Ok(judge(value, id));
+        return Ok(claim_outcome(value, id));
     }
     let expect = entry.map_or(Version(0), |entry| entry.version);
     let put = Put {
@@ -105,11 +105,11 @@
     };
     Ok(match shared.platform.put(&put).await? {
         Written::Done(_) => Event::Claimed(id),
-        Written::Conflict(entry) => judge(entry.value.as_deref().unwrap_or_default(), id),
+        Written::Conflict(entry) => claim_outcome(entry.value.as_deref().unwrap_or_default(), id),
     })
 }
 
-fn judge(value: &str, id: Fence) -> Event {
+fn claim_outcome(value: &str, id: Fence) -> Event {
     if value == id.to_string() {
         Event::Claimed(id)
     } else {
@@ -118,18 +118,18 @@
 }
 
 async fn read_slots(shared: &Shared, keys: &Keys, fence: Fence) -> Result<Event, PlatformError> {
-    let mut seen = [SlotState::Free; LOAD_SLOTS];
+    let mut states = [SlotState::Free; LOAD_SLOTS];
     let mut versions = [Version(0); LOAD_SLOTS];
     for slot in 0..LOAD_SLOTS {
         let entry = shared.platform.get(&Keys::slot(slot)).await?;
         versions[slot] = entry.as_ref().map_or(Version(0), |entry| entry.version);
-        seen[slot] = slot_seen(entry.as_ref(), fence);
+        states[slot] = slot_state(entry.as_ref(), fence);
     }
-    *keys.lock() = Seen { fence, versions };
-    Ok(Event::Slots(seen))
+    *keys.lock() = SlotVersions { fence, versions };
+    Ok(Event::Slots(states))
 }
 
-fn slot_seen(entry: Option<&Entry>, fence: Fence) -> SlotState {
+fn slot_state(entry: Option<&Entry>, fence: Fence) -> SlotState {
     let Some(entry) = entry else {
         return SlotState::Free;
     };
@@ -142,7 +142,8 @@
     }
 }
 
-/// Expects the slot as it was read: one that was used and lapsed since must be waited for again.
+/// Expects the slot version that was read: a slot that was used since, and whose lease expired, must be waited for
+/// again.
 async fn take_slot(shared: &Shared, keys: &Keys, slot: usize, lease: Fence) -> Event {
     let expect = keys.lock().versions[slot];
     let put = Put {
@@ -157,7 +158,7 @@
     }
 }
 
-/// `None` if the platform did not answer; the holder asks again.
+/// Frees a slot; `None` if the platform did not respond, in which case the holder tries again.
 async fn free_slot(shared: &Shared, keys: &Keys, slot: usize) -> Option<Event> {
     let own = keys.lock().fence.to_string();
     let entry = shared.platform.get(&Keys::slot(slot)).await.ok()?;
--- a/crates/router/src/pool/flight.rs
+++ b/crates/router/src/pool/flight.rs
@@ -1,4 +1,4 @@
-//! One attempt at one endpoint.
+//! An attempt to run a request at one endpoint.
 
 use super::Pool;
 use super::member::Member;
@@ -9,15 +9,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One attempt at one endpoint; counted there until dropped.
+/// An attempt at one endpoint; counts as in flight there until dropped.
 #[derive(Debug)]
-pub struct Flight {
+pub struct EndpointAttempt {
     pool: Arc<Pool>,
     /// The endpoint's key.
     pub key: EndpointKey,
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
     /// Why it was chosen.
     pub reason: Reason,
@@ -25,7 +25,7 @@
     ticket: Ticket,
 }
 
-impl Flight {
+impl EndpointAttempt {
     pub(super) fn new(pool: Arc<Pool>, member: &Member, ticket: Ticket, reason: Reason, placed: Duration) -> Self {
         Self {
             pool,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The first token came; `uncached` prompt tokens were computed for it. Returns the time since the placement.
+    /// Records the first token, for which `uncached` prompt tokens were computed. Returns the time since placement.
     pub fn first_token(&self, uncached: u64) -> Duration {
         let now = self.pool.clock.now();
         let after = now.saturating_sub(self.placed);
@@ -48,25 +48,25 @@
         after
     }
 
-    /// So far this many tokens were generated: shows how fast the endpoint is.
+    /// Records the number of tokens generated so far, from which the endpoint's speed is estimated.
     pub fn progress(&self, generated: u64) {
         let now = self.pool.clock.now();
         self.pool
             .change(|state| state.loads.record_progress(self.key, self.ticket, generated, now));
     }
 
-    /// What came of the attempt, for the endpoint's limit.
+    /// Adjusts the endpoint's limit by the outcome of the attempt.
     pub fn observe(&self, sample: Sample) {
         let now = self.pool.clock.now();
         self.pool.change(|state| {
             if let Some(index) = state.position(self.key) {
                 state.members[index].limit.observe(sample, now);
-                state.fit(now);
+                state.update_capacity(now);
             }
         });
     }
 
-    /// The answer showed how much of the prompt was cached, and by which life of the endpoint.
+    /// Records how much of the prompt was cached in this incarnation of the endpoint.
     pub fn learn(&self, incarnation: Incarnation, chain: &PrefixChain, cached: usize) {
         let now = self.pool.clock.now();
         self.pool
@@ -74,7 +74,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for EndpointAttempt {
     fn drop(&mut self) {
         self.pool.change(|state| {
             state.loads.record_end(self.key, self.ticket);
--- a/crates/router/src/pool/member.rs
+++ b/crates/router/src/pool/member.rs
@@ -1,26 +1,26 @@
 //! One endpoint of a pool.
 
-use super::state::{Around, Wish};
-use crate::view::Believed;
+use super::state::{PickContext, RouterContext};
+use crate::view::EndpointState;
 use admission::EndpointLimit;
 use config::EndpointSpec;
 use ids::{EndpointId, Incarnation};
 use placement::EndpointKey;
 use std::net::SocketAddr;
 
-/// One endpoint of a pool, as this router sees it.
+/// An endpoint of a pool with its load from this router.
 #[derive(Debug)]
 pub struct Member {
     pub(super) key: EndpointKey,
     pub(super) id: EndpointId,
     pub(super) address: SocketAddr,
-    pub(super) near: bool,
-    pub(super) believed: Believed,
-    /// Adapts below this router's share of the slots; the sum over a pool is its capacity.
+    pub(super) same_domain: bool,
+    pub(super) state: EndpointState,
+    /// Adaptive limit, at most this router's share of the slots; the sum over a pool is its capacity.
     pub(super) limit: EndpointLimit,
-    /// What the endpoint runs at most, whoever sends it.
+    /// Maximum number of requests the endpoint runs, over all routers.
     pub(super) slots: u32,
-    beyond: u32,
+    over_limit: u32,
 }
 
 impl Member {
@@ -29,55 +29,56 @@
             key: EndpointKey::from(id),
             id: id.clone(),
             address: spec.address,
-            near: false,
-            believed: Believed::default(),
+            same_domain: false,
+            state: EndpointState::default(),
             limit: EndpointLimit::new(spec.slots),
             slots: spec.slots,
-            beyond: 0,
+            over_limit: 0,
         }
     }
 
-    /// Takes over configuration and belief; true if this is another life than before. The first life that is heard of
-    /// is no other one: what answers showed before the first load report holds.
-    pub(super) fn update(&mut self, spec: &EndpointSpec, believed: Believed, around: &Around<'_>) -> bool {
-        let known = self.believed.incarnation != Incarnation::default();
-        let reborn = known && believed.incarnation != self.believed.incarnation;
+    /// Applies configuration and state. Returns whether the endpoint restarted. The first known incarnation is no
+    /// restart, so state learned from responses before the first load report is kept.
+    pub(super) fn update(&mut self, spec: &EndpointSpec, state: EndpointState, router: &RouterContext<'_>) -> bool {
+        let known = self.state.incarnation != Incarnation::default();
+        let restarted = known && state.incarnation != self.state.incarnation;
         self.address = spec.address;
-        self.near = spec.domain == *around.domain;
-        self.believed = believed;
+        self.same_domain = spec.domain == *router.domain;
+        self.state = state;
         self.slots = spec.slots;
-        self.limit.set_slots(spec.slots.div_ceil(around.routers.max(1)));
-        reborn
+        self.limit.set_slots(spec.slots.div_ceil(router.routers.max(1)));
+        restarted
     }
 
-    /// Whether a request may go here. An endpoint of unknown weights may: its answer names those that served.
-    pub(super) fn fits(&self, wish: &Wish<'_>) -> bool {
-        if wish.avoid.contains(&self.key) {
+    /// Whether the request may be placed here. An endpoint with unknown weights is accepted: its response names the
+    /// weights that served.
+    pub(super) fn accepts(&self, context: &PickContext<'_>) -> bool {
+        if context.excluded.contains(&self.key) {
             return false;
         }
-        match (wish.weights.is_empty(), &self.believed.weights) {
-            (false, Some(served)) => wish.weights.contains(served),
+        match (context.weights.is_empty(), &self.state.weights) {
+            (false, Some(served)) => context.weights.contains(served),
             _ => true,
         }
     }
 
-    /// Requests of this router running here.
+    /// Requests of this router in flight here.
     pub(super) fn running(&self) -> u32 {
-        self.limit.in_flight() + self.beyond
+        self.limit.in_flight() + self.over_limit
     }
 
     pub(super) fn start(&mut self) {
         if !self.limit.start() {
-            self.beyond += 1;
+            self.over_limit += 1;
         }
     }
 
     pub(super) fn end(&mut self) {
-        if self.beyond > 0 {
-            self.beyond -= 1;
+        if self.over_limit > 0 {
+            self.over_limit -= 1;
             return;
         }
-        // An endpoint that left the configuration and came back in between has forgotten its earlier requests.
+        // An endpoint that was removed from the configuration and added again does not count its earlier requests.
         if self.limit.in_flight() > 0 {
             self.limit.end();
         }
--- a/crates/router/src/pool/mod.rs
+++ b/crates/router/src/pool/mod.rs
@@ -1,7 +1,7 @@
-//! One model's engines or one service's runners, as traffic uses them: who starts, where, and what came of it.
+//! Pools: the engines of one model or the runners of one service, with admission, placement and load.
 //!
-//! The decisions are made by the `admission` and `placement` crates; this module holds their state behind one
-//! lock, which is never held across an await, and lets tasks wait for their turn.
+//! The decisions are made by the `admission` and `placement` crates. This module holds their state behind one lock,
+//! which is never held across an await, and lets tasks wait for a slot.
 
 mod flight;
 mod member;
@@ -16,11 +16,11 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-pub use flight::Flight;
+pub use flight::EndpointAttempt;
 pub use permit::Permit;
-pub use state::{Around, PoolStatus, Wish};
+pub use state::{PickContext, PoolStatus, RouterContext};
 
-use permit::{Turn, Waiting};
+use permit::{QueueOutcome, QueuePlace};
 use state::State;
 
 /// All pools by target.
@@ -35,31 +35,31 @@
         lock(&self.pools).get(target).cloned()
     }
 
-    /// Takes over a new view: pools and members come and go, what was learnt of the others stays.
-    pub fn apply(&self, view: &View, around: &Around<'_>, clock: Clock) {
+    /// Applies a new view: adds and removes pools and members, and keeps the learned state of the others.
+    pub fn apply(&self, view: &View, router: &RouterContext<'_>, clock: Clock) {
         let mut pools = lock(&self.pools);
-        pools.retain(|target, _| view.targets().any(|wanted| wanted == target));
+        pools.retain(|target, _| view.targets().any(|known| known == target));
         for target in view.targets() {
             let pool = pools
                 .entry(target.clone())
                 .or_insert_with(|| Arc::new(Pool::new(clock)));
-            pool.change(|state| state.apply(view, target, around, clock.now()));
+            pool.change(|state| state.apply(view, target, router, clock.now()));
         }
     }
 
-    /// Lets expired and startable jobs of all pools go on; called several times a second.
+    /// Starts or expires waiting jobs of all pools; called several times a second.
     pub fn tick(&self) {
         for pool in self.all() {
             pool.change(|_| ());
         }
     }
 
-    /// Whether any job waits for its turn.
+    /// Whether any job is waiting.
     pub fn waiting(&self) -> bool {
         self.all().iter().any(|pool| !lock(&pool.state).waiters.is_empty())
     }
 
-    /// State of each pool for operators.
+    /// Status of each pool for operators.
     pub fn status(&self) -> Vec<(Target, PoolStatus)> {
         let pools = lock(&self.pools);
         let mut list: Vec<_> = pools
@@ -70,26 +70,26 @@
         list
     }
 
-    /// How crowded endpoints have been, in thousandths, for routers that start.
+    /// Endpoint pressures in thousandths, for routers that start.
     pub fn pressures(&self) -> Vec<(u64, u32)> {
         let pools = self.all();
         pools.iter().flat_map(|pool| lock(&pool.state).pressures()).collect()
     }
 
-    /// Starts from what another router knew of how crowded endpoints have been.
-    pub fn assume(&self, pressures: &[(u64, u32)]) {
+    /// Sets the initial endpoint pressures from those of another router.
+    pub fn seed_pressures(&self, pressures: &[(u64, u32)]) {
         for pool in self.all() {
-            pool.change(|state| state.assume(pressures));
+            pool.change(|state| state.seed_pressures(pressures));
         }
     }
 
-    /// Applies `act` to each pool that has `endpoint` as member.
-    pub fn with_member(&self, endpoint: &ids::EndpointId, act: impl Fn(&mut State, placement::EndpointKey)) {
+    /// Calls `apply` for each pool that has `endpoint` as a member.
+    pub fn with_member(&self, endpoint: &ids::EndpointId, apply: impl Fn(&mut State, placement::EndpointKey)) {
         let key = placement::EndpointKey::from(endpoint);
         for pool in self.all() {
             pool.change(|state| {
                 if state.has(key) {
-                    act(state, key);
+                    apply(state, key);
                 }
             });
         }
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Waits for a slot of the pool. Dropping the future gives up the place in the queue.
+    /// Waits for a slot of the pool. Dropping the future removes the job from the queue.
     ///
     /// # Errors
     /// The job is refused and has not run.
@@ -128,37 +128,37 @@
                 Offer::Wait(ticket) => {
                     let (sender, receiver) = oneshot::channel();
                     state.waiters.insert(ticket, sender);
-                    (Waiting::new(self.clone(), ticket), receiver)
+                    (QueuePlace::new(self.clone(), ticket), receiver)
                 }
             }
         };
         let (mut place, receiver) = waiting;
-        // The sender lives in the pool until it has spoken, so an error cannot happen before the pool's end.
-        let turn = receiver.await.unwrap_or(Turn::Refused(Refusal {
+        // The pool keeps the sender until it sends an outcome, so receiving fails only if the pool is gone.
+        let outcome = receiver.await.unwrap_or(QueueOutcome::Refused(Refusal {
             reason: admission::Reason::NoCapacity,
             retry_after: None,
         }));
-        place.spoken();
-        match turn {
-            Turn::Start(permit) => Ok(permit),
-            Turn::Refused(refusal) => Err(refusal),
+        place.disarm();
+        match outcome {
+            QueueOutcome::Start(permit) => Ok(permit),
+            QueueOutcome::Refused(refusal) => Err(refusal),
         }
     }
 
-    /// Blocks of `chain` that the best endpoint is expected to have, for the job's cost estimate.
+    /// Blocks of `chain` expected to be cached at the best endpoint, for the cost estimate of the job.
     pub fn expected_blocks(&self, chain: &PrefixChain) -> usize {
         lock(&self.state).expected_blocks(chain, self.clock.now())
     }
 
-    /// Changes the state, then lets jobs start or expire.
-    fn change<T>(self: &Arc<Self>, act: impl FnOnce(&mut State) -> T) -> T {
+    /// Changes the state, then starts or expires waiting jobs.
+    fn change<T>(self: &Arc<Self>, apply: impl FnOnce(&mut State) -> T) -> T {
         let mut state = lock(&self.state);
-        let result = act(&mut state);
-        let turns = state.turns(self, self.clock.now());
+        let result = apply(&mut state);
+        let outcomes = state.advance_queue(self, self.clock.now());
         drop(state);
-        for (sender, turn) in turns {
-            // A waiter that has gone gives its permit back by dropping it, which needs the lock: so it is free here.
-            let _ = sender.send(turn);
+        for (sender, outcome) in outcomes {
+            // If the receiver is gone, the permit is dropped here, which takes the lock: it must be released first.
+            let _ = sender.send(outcome);
         }
         result
     }
--- a/crates/router/src/pool/permit.rs
+++ b/crates/router/src/pool/permit.rs
@@ -1,30 +1,30 @@
-//! A place in the queue, and the slot it becomes.
+//! Places in a pool's queue, and the slots granted to them.
 
-use super::state::{State, Wish};
-use super::{Flight, Pool, lock};
+use super::state::{PickContext, State};
+use super::{EndpointAttempt, Pool, lock};
 use admission::{
     Attempt, Failure, HedgeDecision, Outcome, Refusal, RetryDecision, Ticket, Tokens, decide_hedge, decide_retry,
 };
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a waiter is told.
+/// Outcome of waiting in the queue.
 #[derive(Debug)]
-pub enum Turn {
-    /// It holds a slot now.
+pub enum QueueOutcome {
+    /// A slot was granted.
     Start(Permit),
-    /// It is refused and has not run.
+    /// The job is refused and has not run.
     Refused(Refusal),
 }
 
-/// A place in the queue; leaves it when dropped before its turn.
+/// A place in the queue; removed when dropped before an outcome is received.
 #[derive(Debug)]
-pub struct Waiting {
+pub struct QueuePlace {
     pool: Arc<Pool>,
     ticket: Option<Ticket>,
 }
 
-impl Waiting {
+impl QueuePlace {
     pub(super) fn new(pool: Arc<Pool>, ticket: Ticket) -> Self {
         Self {
             pool,
@@ -32,17 +32,18 @@
         }
     }
 
-    /// The pool has answered: the ticket belongs to the permit now, or has ended.
-    pub(super) fn spoken(&mut self) {
+    /// Keeps the drop from cancelling the ticket: the outcome was received, so the ticket belongs to the permit or
+    /// has ended.
+    pub(super) fn disarm(&mut self) {
         self.ticket = None;
     }
 }
 
-impl Drop for Waiting {
+impl Drop for QueuePlace {
     fn drop(&mut self) {
         let Some(ticket) = self.ticket else { return };
         self.pool.change(|state| {
-            // If the turn is already on its way, the dropped receiver makes the pool drop the permit instead.
+            // If the outcome has been sent already, the dropped receiver drops the permit instead.
             if state.waiters.remove(&ticket).is_some() {
                 state.admission.cancel(ticket);
             }
@@ -50,7 +51,7 @@
     }
 }
 
-/// A slot of the pool; free again when dropped.
+/// A slot of the pool; released when dropped.
 #[derive(Debug)]
 pub struct Permit {
     pool: Arc<Pool>,
@@ -65,13 +66,13 @@
         }
     }
 
-    /// Chooses an endpoint, none if no endpoint can take the request.
-    pub fn place(&self, wish: &Wish<'_>) -> Option<Flight> {
+    /// Chooses an endpoint; `None` if none is available.
+    pub fn place(&self, context: &PickContext<'_>) -> Option<EndpointAttempt> {
         let now = self.pool.clock.now();
-        self.pool.change(|state| state.place(&self.pool, wish, now))
+        self.pool.change(|state| state.place(&self.pool, context, now))
     }
 
-    /// Decides whether a failed attempt is tried elsewhere.
+    /// Decides whether a failed attempt is retried.
     pub fn retry(&self, count: u32, repeatable: bool, deadline: Duration, failure: Failure) -> RetryDecision {
         let now = self.pool.clock.now();
         let mut state = lock(&self.pool.state);
@@ -79,22 +80,22 @@
         decide_retry(&attempt, failure, &mut state.budget, now)
     }
 
-    /// Expected time to first token of a request with this many uncached prompt tokens.
+    /// Expected time to first token of a request with `uncached` prompt tokens.
     pub fn expected_first_token(&self, uncached: u64) -> Duration {
         let state = lock(&self.pool.state);
         let seconds = state.admission.service_model().first_token(uncached);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
-    /// Decides whether an attempt that has waited for `slow` gets a second one beside it.
-    pub fn hedge(&self, count: u32, deadline: Duration, slow: Duration) -> HedgeDecision {
+    /// Decides whether an attempt that has waited for `delay` gets a hedge.
+    pub fn hedge(&self, count: u32, deadline: Duration, delay: Duration) -> HedgeDecision {
         let now = self.pool.clock.now();
         let mut state = lock(&self.pool.state);
         let attempt = attempt(&state, count, true, deadline);
-        decide_hedge(&attempt, slow, slow, &mut state.budget, now)
+        decide_hedge(&attempt, delay, delay, &mut state.budget, now)
     }
 
-    /// The whole answer was given; the slot is free.
+    /// Records a complete response and releases the slot.
     pub fn served(mut self, first_token: Duration, tokens: Tokens) {
         self.finish(Outcome::Served { first_token, tokens });
     }
@@ -107,7 +108,7 @@
                 state.budget.success();
             }
             let finished = state.admission.finish(ticket, outcome, now);
-            debug_assert!(finished.is_ok(), "a permit's ticket runs until it is finished");
+            debug_assert!(finished.is_ok(), "a permit's ticket is running until it is finished");
         });
     }
 }
--- a/crates/router/src/pool/state.rs
+++ b/crates/router/src/pool/state.rs
@@ -1,9 +1,9 @@
-//! The state of a pool, changed under its lock only.
+//! State of a pool, changed only under the pool's lock.
 
 use super::member::Member;
-use super::permit::{Permit, Turn};
-use super::{Flight, Pool};
-use crate::view::{Standing, Target, View};
+use super::permit::{Permit, QueueOutcome};
+use super::{EndpointAttempt, Pool};
+use crate::view::{Availability, Target, View};
 use admission::{Admission, Next, RetryBudget, Settings, Ticket};
 use futures::channel::oneshot;
 use ids::{DomainId, WeightsVersion};
@@ -13,56 +13,57 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Prompt tokens a second that a runner prefills until answers tell: the order of a mid-size model on one card.
-const FIRST_RATE: f64 = 20_000.0;
-/// Unit of pressures between routers.
+/// Prefill rate assumed until it is measured, tokens per second: typical of a mid-size model on one card.
+const INITIAL_PREFILL_RATE: f64 = 20_000.0;
+/// Scale of pressures sent between routers.
 const THOUSANDTHS: f64 = 1000.0;
-/// Tokens of a cache block.
+/// Tokens per cache block.
 const BLOCK_TOKENS: u64 = 1024;
 
-/// A pool's members, queue and what was learnt.
+/// Members, queue, load and cache state of a pool.
 #[derive(Debug)]
 pub struct State {
     pub(super) admission: Admission,
     pub(super) placer: Placer,
     pub(super) loads: LoadView,
     pub(super) members: Vec<Member>,
-    pub(super) waiters: HashMap<Ticket, oneshot::Sender<Turn>>,
+    pub(super) waiters: HashMap<Ticket, oneshot::Sender<QueueOutcome>>,
     pub(super) budget: RetryBudget,
 }
 
-/// A pool as operators see it.
+/// Status of a pool for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolStatus {
-    /// Jobs that wait.
+    /// Waiting jobs.
     pub waiting: u64,
     /// Jobs that hold a slot.
     pub running: u64,
-    /// Endpoints that get work, and all.
+    /// Available endpoints, and all endpoints.
     pub endpoints: (usize, usize),
-    /// Sum of the endpoints' limits as this router sees them.
+    /// Sum of the endpoints' limits at this router.
     pub capacity: u32,
 }
 
-/// What surrounds a pool.
+/// This router's failure domain and the number of routers.
 #[derive(Debug, Clone, Copy)]
-pub struct Around<'a> {
+pub struct RouterContext<'a> {
     /// This router's failure domain.
     pub domain: &'a DomainId,
-    /// Live routers, this one among them. Each admits its share of the slots; with the whole at each of 14 routers
-    /// nothing was answered in time at twice the load the endpoints can take (experiment of the placement crate).
+    /// Live routers, including this one. Each admits its share of the slots: when each of 14 routers admitted to all
+    /// slots, no request was answered in time at twice the load that the endpoints can serve (experiment of the
+    /// placement crate).
     pub routers: u32,
 }
 
-/// Where a request may go.
+/// Constraints on the choice of an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Wish<'a> {
-    /// Its prompt; empty for plain services.
+pub struct PickContext<'a> {
+    /// Prefix chain of the prompt; empty for plain services.
     pub chain: &'a PrefixChain,
-    /// Weights that may serve it, the preferred ones first; empty for plain services.
+    /// Weights that may serve the request, preferred first; empty for plain services.
     pub weights: &'a [WeightsVersion],
-    /// Endpoints that failed it already.
-    pub avoid: &'a [EndpointKey],
+    /// Endpoints that already failed the request.
+    pub excluded: &'a [EndpointKey],
 }
 
 impl State {
@@ -70,21 +71,21 @@
         Self {
             admission: Admission::new(Settings::default()),
             placer: Placer::builder().build(),
-            loads: LoadView::new(FIRST_RATE),
+            loads: LoadView::new(INITIAL_PREFILL_RATE),
             members: Vec::new(),
             waiters: HashMap::new(),
             budget: RetryBudget::default(),
         }
     }
 
-    /// Takes over members and beliefs of a view.
-    pub(super) fn apply(&mut self, view: &View, target: &Target, around: &Around<'_>, now: Duration) {
+    /// Applies the members and endpoint states of a view.
+    pub(super) fn apply(&mut self, view: &View, target: &Target, router: &RouterContext<'_>, now: Duration) {
         let mut old: HashMap<EndpointKey, Member> = self.members.drain(..).map(|member| (member.key, member)).collect();
         for (id, spec) in view.members(target) {
             let known = old.remove(&EndpointKey::from(id));
             let mut member = known.unwrap_or_else(|| Member::new(id, spec));
-            if member.update(spec, view.belief(id), around) {
-                // A new life is empty: what was believed of the one before would send requests to a cold cache.
+            if member.update(spec, view.endpoint_state(id), router) {
+                // The cache of a new incarnation is empty: the old entries would send requests to a cold cache.
                 self.placer.forget(member.key);
                 self.loads.forget(member.key);
             }
@@ -95,14 +96,14 @@
             self.loads.forget(key);
         }
         self.members.sort_by_key(|member| member.key);
-        self.fit(now);
+        self.update_capacity(now);
     }
 
     pub(super) fn has(&self, key: EndpointKey) -> bool {
         self.position(key).is_some()
     }
 
-    /// An endpoint reported its load.
+    /// Records a load report.
     pub fn report(&mut self, key: EndpointKey, report: Report) {
         self.loads.record_report(key, report);
     }
@@ -114,7 +115,7 @@
             .collect()
     }
 
-    pub(super) fn assume(&mut self, pressures: &[(u64, u32)]) {
+    pub(super) fn seed_pressures(&mut self, pressures: &[(u64, u32)]) {
         for (key, pressure) in pressures {
             let key = EndpointKey(*key);
             if self.has(key) {
@@ -127,53 +128,58 @@
         self.members.binary_search_by_key(&key, |member| member.key).ok()
     }
 
-    /// Keeps admission's capacity at the sum of the endpoints' limits.
-    pub(super) fn fit(&mut self, now: Duration) {
+    /// Sets admission's capacity to the sum of the endpoints' limits.
+    pub(super) fn update_capacity(&mut self, now: Duration) {
         let live = self
             .members
             .iter()
-            .filter(|member| member.believed.standing != Standing::Out);
+            .filter(|member| member.state.availability != Availability::Unavailable);
         let capacity = live.map(|member| member.limit.limit()).sum();
         self.admission.set_capacity(capacity, now);
     }
 
     pub(super) fn expected_blocks(&mut self, chain: &PrefixChain, now: Duration) -> usize {
-        let wish = Wish {
+        let context = PickContext {
             chain,
             weights: &[],
-            avoid: &[],
+            excluded: &[],
         };
-        match self.choose(&wish, now) {
+        match self.choose(&context, now) {
             Some((_, pick)) => pick.cached,
             None => 0,
         }
     }
 
-    /// Chooses an endpoint and counts the request in there.
-    pub(super) fn place(&mut self, pool: &Arc<Pool>, wish: &Wish<'_>, now: Duration) -> Option<Flight> {
-        let (index, pick) = self.choose(wish, now)?;
-        let missing = wish.chain.blocks().len().saturating_sub(pick.cached) as u64 * BLOCK_TOKENS;
+    /// Chooses an endpoint and counts the request as in flight there.
+    pub(super) fn place(
+        &mut self,
+        pool: &Arc<Pool>,
+        context: &PickContext<'_>,
+        now: Duration,
+    ) -> Option<EndpointAttempt> {
+        let (index, pick) = self.choose(context, now)?;
+        let uncached = context.chain.blocks().len().saturating_sub(pick.cached) as u64 * BLOCK_TOKENS;
         let member = &mut self.members[index];
-        // Admission bounds the pool; one endpoint may run more than its limit where its cache is worth it.
+        // Admission limits the pool as a whole; one endpoint may exceed its limit if its cache makes that worthwhile.
         member.start();
         let ticket = self
             .loads
-            .record_placement(member.key, member.believed.incarnation, missing, now);
-        Some(Flight::new(pool.clone(), member, ticket, pick.reason, now))
+            .record_placement(member.key, member.state.incarnation, uncached, now);
+        Some(EndpointAttempt::new(pool.clone(), member, ticket, pick.reason, now))
     }
 
-    fn choose(&mut self, wish: &Wish<'_>, now: Duration) -> Option<(usize, Pick)> {
-        let preferred = Wish {
-            weights: wish.weights.get(..1).unwrap_or_default(),
-            ..*wish
+    fn choose(&mut self, context: &PickContext<'_>, now: Duration) -> Option<(usize, Pick)> {
+        let preferred = PickContext {
+            weights: context.weights.get(..1).unwrap_or_default(),
+            ..*context
         };
-        let live = self.candidates(&preferred, Standing::Live, now);
-        if let Some(choice) = self.choose_with_room(wish, &live, now) {
+        let live = self.candidates(&preferred, Availability::Live, now);
+        if let Some(choice) = self.choose_with_room(context, &live, now) {
             return Some(choice);
         }
-        for standing in [Standing::Live, Standing::Suspected] {
-            let open = self.candidates(wish, standing, now);
-            if let Some(choice) = self.choose_with_room(wish, &open, now) {
+        for availability in [Availability::Live, Availability::Suspected] {
+            let available = self.candidates(context, availability, now);
+            if let Some(choice) = self.choose_with_room(context, &available, now) {
                 return Some(choice);
             }
         }
@@ -182,21 +188,28 @@
 
     fn choose_with_room(
         &mut self,
-        wish: &Wish<'_>,
-        open: &[(usize, Candidate)],
+        context: &PickContext<'_>,
+        available: &[(usize, Candidate)],
         now: Duration,
     ) -> Option<(usize, Pick)> {
-        let candidates: Vec<Candidate> = open.iter().map(|(_, candidate)| *candidate).collect();
-        match self.placer.choose(wish.chain, &candidates, now, rand::random()) {
-            Choice::At(pick) => Some((open[pick.index].0, pick)),
+        let candidates: Vec<Candidate> = available.iter().map(|(_, candidate)| *candidate).collect();
+        match self.placer.choose(context.chain, &candidates, now, rand::random()) {
+            Choice::At(pick) => Some((available[pick.index].0, pick)),
             Choice::Full => None,
         }
     }
 
-    fn candidates(&self, wish: &Wish<'_>, standing: Standing, now: Duration) -> Vec<(usize, Candidate)> {
+    fn candidates(
+        &self,
+        context: &PickContext<'_>,
+        availability: Availability,
+        now: Duration,
+    ) -> Vec<(usize, Candidate)> {
         let members = self.members.iter().enumerate();
-        let open = members.filter(|(_, member)| member.believed.standing == standing && member.fits(wish));
-        open.map(|(index, member)| (index, self.candidate(member, now)))
+        let available =
+            members.filter(|(_, member)| member.state.availability == availability && member.accepts(context));
+        available
+            .map(|(index, member)| (index, self.candidate(member, now)))
             .collect()
     }
 
@@ -204,8 +217,8 @@
         let estimate = self.loads.estimate(member.key, now);
         Candidate {
             endpoint: member.key,
-            incarnation: member.believed.incarnation,
-            same_domain: member.near,
+            incarnation: member.state.incarnation,
+            same_domain: member.same_domain,
             in_flight: member.running(),
             limit: member.slots,
             queued: estimate.queued,
@@ -214,17 +227,21 @@
         }
     }
 
-    /// Jobs whose turn has come, with the waiters to tell.
-    pub(super) fn turns(&mut self, pool: &Arc<Pool>, now: Duration) -> Vec<(oneshot::Sender<Turn>, Turn)> {
-        let mut turns = Vec::new();
+    /// Dequeues jobs that can start or have expired, with the channels to their waiting tasks.
+    pub(super) fn advance_queue(
+        &mut self,
+        pool: &Arc<Pool>,
+        now: Duration,
+    ) -> Vec<(oneshot::Sender<QueueOutcome>, QueueOutcome)> {
+        let mut outcomes = Vec::new();
         loop {
-            let (ticket, turn) = match self.admission.next(now) {
-                Next::Start(ticket) => (ticket, Turn::Start(Permit::new(pool.clone(), ticket))),
-                Next::Expired(ticket, refusal) => (ticket, Turn::Refused(refusal)),
-                Next::Wait => return turns,
+            let (ticket, outcome) = match self.admission.next(now) {
+                Next::Start(ticket) => (ticket, QueueOutcome::Start(Permit::new(pool.clone(), ticket))),
+                Next::Expired(ticket, refusal) => (ticket, QueueOutcome::Refused(refusal)),
+                Next::Wait => return outcomes,
             };
             let sender = self.waiters.remove(&ticket).expect("each queued ticket has a waiter");
-            turns.push((sender, turn));
+            outcomes.push((sender, outcome));
         }
     }
 
@@ -233,7 +250,7 @@
         let live = self
             .members
             .iter()
-            .filter(|member| member.believed.standing != Standing::Out);
+            .filter(|member| member.state.availability != Availability::Unavailable);
         PoolStatus {
             waiting: counts.waiting,
             running: counts.running,
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -1,4 +1,4 @@
-//! A router's life: start, serve, notice, drain, end.
+//! Runs a router from start to shutdown.
 
 use crate::control::{self, Event};
 use crate::settings::Settings;
@@ -17,34 +17,34 @@
 use std::time::Duration;
 use store::Platform;
 
-/// Connections of operators open at once.
+/// Maximum number of open operator connections.
 const OPERATOR_CONNECTIONS: usize = 64;
-/// How often the end of what is left is looked for.
+/// Interval at which the shutdown checks for results that are still being stored.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
 quick_error! {
-    /// Why a router ended otherwise than by a clean shutdown.
+    /// Why a router did not shut down cleanly.
     #[derive(Debug)]
     pub enum RunError {
-        /// An address cannot be listened on.
+        /// Listening on an address failed.
         Listen(address: SocketAddr, err: std::io::Error) {
             display("cannot listen on {address}: {err}")
         }
-        /// The control thread cannot be started.
+        /// The control thread could not be started.
         Thread(err: std::io::Error) {
             display("cannot start the control thread: {err}")
         }
-        /// Requests were cut, by a second signal or at the end of the grace period.
+        /// Requests in flight were aborted, by a second signal or at the end of the grace period.
         Cut(requests: usize) {
             display("{requests} requests in flight were cut")
         }
     }
 }
 
-/// Where a router listens.
+/// Addresses on which a router listens.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// For callers.
+    /// For clients.
     pub callers: SocketAddr,
     /// For operators.
     pub operators: SocketAddr,
@@ -52,8 +52,8 @@
     pub peers: SocketAddr,
 }
 
-/// Runs a router. `started` is told its addresses once it listens. `signal` resolves at each signal to stop: the
-/// first begins a graceful shutdown, the second ends it at once.
+/// Runs a router. Calls `started` with its addresses once it listens. Each future of `signal` resolves at a signal to
+/// stop: the first signal begins a graceful shutdown, the second ends it at once.
 pub async fn run<F, Fut>(settings: Settings, started: impl FnOnce(Addresses), signal: F) -> Result<(), RunError>
 where
     F: Fn() -> Fut,
@@ -66,7 +66,7 @@
         settings.platform.addresses.clone(),
         Duration::from_millis(settings.platform.timeout_ms),
     );
-    let (events, received) = async_channel::bounded(control::EVENTS);
+    let (events, received) = async_channel::bounded(control::EVENT_CAPACITY);
     let shared = Shared::new(settings, platform, events);
     let peers_address = local(&peers, shared.settings.peers);
     let thread = control::start(&shared, received, peers).map_err(RunError::Thread)?;
@@ -78,11 +78,11 @@
     serve_callers(&shared, callers);
     serve_operators(&shared, operators);
     signal().await;
-    let ended = shut_down(&shared, signal()).await;
+    let result = shut_down(&shared, signal()).await;
     let _ = shared.events.send(Event::Stop).await;
-    // The control thread ends at the event; a panic in it was logged when it happened.
+    // The control thread ends at this event; a panic in it has been logged already.
     let _ = thread.join();
-    ended
+    result
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, RunError> {
@@ -91,8 +91,8 @@
         .map_err(|err| RunError::Listen(address, err))
 }
 
-fn local(listener: &TcpListener, wanted: SocketAddr) -> SocketAddr {
-    listener.local_addr().unwrap_or(wanted)
+fn local(listener: &TcpListener, configured: SocketAddr) -> SocketAddr {
+    listener.local_addr().unwrap_or(configured)
 }
 
 fn serve_callers(shared: &Arc<Shared>, listener: TcpListener) {
@@ -103,8 +103,8 @@
         idle: Duration::from_millis(settings.idle_ms),
     };
     let state = shared.clone();
-    let answer = move |request, conn| caller::answer(state.clone(), request, conn);
-    task::spawn(serve(listener, limits, shared.serving.clone(), answer));
+    let handler = move |request, conn| caller::handle(state.clone(), request, conn);
+    task::spawn(serve(listener, limits, shared.serving.clone(), handler));
 }
 
 fn serve_operators(shared: &Arc<Shared>, listener: TcpListener) {
@@ -115,11 +115,12 @@
         idle: head,
     };
     let state = shared.clone();
-    let answer = move |request, conn| operator::answer(state.clone(), request, conn);
-    task::spawn(serve(listener, limits, Serving::default(), answer));
+    let handler = move |request, conn| operator::handle(state.clone(), request, conn);
+    task::spawn(serve(listener, limits, Serving::default(), handler));
 }
 
-/// Unready first, so that the balancer sends nothing new; then no new requests; then the end of those in flight.
+/// Shuts down in three phases: reports that it is not ready, so that the balancer sends no new requests; refuses new
+/// requests; waits for those in flight.
 async fn shut_down(shared: &Arc<Shared>, second: impl Future<Output = ()>) -> Result<(), RunError> {
     let settings = &shared.settings.shutdown;
     shared.stopping.store(true, Ordering::SeqCst);
@@ -133,14 +134,14 @@
         timeout(grace, finished(shared)).await.is_ok()
     };
     futures::pin_mut!(graceful, second);
-    let whole = matches!(select(graceful, second).await, Either::Left((true, _)));
-    let left = shared.serving.in_flight();
-    if whole || left == 0 {
+    let completed = matches!(select(graceful, second).await, Either::Left((true, _)));
+    let remaining = shared.serving.in_flight();
+    if completed || remaining == 0 {
         log::info!("stopped");
         return Ok(());
     }
-    log::error!(cut = left; "stopped with requests in flight");
-    Err(RunError::Cut(left))
+    log::error!(cut = remaining; "stopped with requests in flight");
+    Err(RunError::Cut(remaining))
 }
 
 async fn finished(shared: &Shared) {
--- a/crates/router/src/settings/checks.rs
+++ b/crates/router/src/settings/checks.rs
@@ -1,31 +1,31 @@
-//! Reads settings and reports every error with its JSON path.
+//! Parses settings and reports each error with its JSON path.
 
 use super::Settings;
 use derive_more::Display;
 use std::net::SocketAddr;
 
-/// Times above this are taken for a mistake in the unit: one day, milliseconds.
-const LONGEST_MS: u64 = 86_400_000;
+/// Longer times are rejected as a mistake in the unit: one day, milliseconds.
+const MAX_MS: u64 = 86_400_000;
 /// Accepted log levels.
 const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
-/// What is wrong with the settings, and where.
+/// An error in the settings, with its location.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 #[display("{path}: {kind}")]
 pub struct SettingsProblem {
     /// JSON path, such as `limits.body_ms`.
     pub path: String,
-    /// What is wrong there.
+    /// The kind of error.
     pub kind: SettingsProblemKind,
 }
 
-/// What is wrong.
+/// Kind of an error in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum SettingsProblemKind {
-    /// Not JSON, an unknown or missing field, or a value of another type; the library's explanation.
+    /// Not JSON, an unknown or missing field, or a value of another type; the parser's message.
     #[display("{_0}")]
-    Shape(String),
-    /// A text that may not be empty.
+    Parse(String),
+    /// A string that must not be empty.
     #[display("must not be empty")]
     Empty,
     /// A number that must be at least 1.
@@ -34,10 +34,10 @@
     /// More than a day.
     #[display("{_0} ms is more than a day; times are in milliseconds")]
     TooLong(u64),
-    /// The same address twice.
+    /// The address is used twice.
     #[display("is the same address as {_0}")]
     SameAddress(&'static str),
-    /// A value that contradicts another.
+    /// A value that contradicts another one.
     #[display("must not be longer than {_0}")]
     LongerThan(&'static str),
     /// Not a log level.
@@ -45,19 +45,19 @@
     Level,
 }
 
-/// Reads and checks settings. Errors of shape hide contradictions, since nothing can be compared yet.
+/// Parses and checks settings. Contradictions between fields are reported only if parsing succeeds.
 ///
 /// # Errors
-/// Everything that is wrong, in the order of the fields.
+/// All errors, in the order of the fields.
 pub fn read_settings(text: &str) -> Result<Settings, Vec<SettingsProblem>> {
     let mut reader = serde_json::Deserializer::from_str(text);
     let settings: Settings = serde_path_to_error::deserialize(&mut reader).map_err(|err| {
         let path = err.path().to_string();
-        vec![problem(&path, SettingsProblemKind::Shape(err.into_inner().to_string()))]
+        vec![problem(&path, SettingsProblemKind::Parse(err.into_inner().to_string()))]
     })?;
     reader
         .end()
-        .map_err(|err| vec![problem(".", SettingsProblemKind::Shape(err.to_string()))])?;
+        .map_err(|err| vec![problem(".", SettingsProblemKind::Parse(err.to_string()))])?;
     let problems = check(&settings);
     if problems.is_empty() {
         Ok(settings)
@@ -113,11 +113,11 @@
         ("shutdown.notice_ms", settings.shutdown.notice_ms, 0),
         ("shutdown.grace_ms", settings.shutdown.grace_ms, 1),
     ];
-    for (path, value, least) in times {
-        if value < least {
+    for (path, value, minimum) in times {
+        if value < minimum {
             problems.push(problem(path, SettingsProblemKind::Zero));
         }
-        if value > LONGEST_MS {
+        if value > MAX_MS {
             problems.push(problem(path, SettingsProblemKind::TooLong(value)));
         }
     }
--- a/crates/router/src/settings/mod.rs
+++ b/crates/router/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one router, read from a JSON file and checked before anything starts.
+//! Settings of one router, parsed from a JSON file and checked before the router starts.
 
 mod checks;
 
@@ -9,7 +9,7 @@
 
 pub use checks::{SettingsProblem, read_settings};
 
-/// Settings of one router. Times are whole milliseconds in fields that end in `_ms`, sizes are bytes.
+/// Settings of one router. Fields that end in `_ms` are integer milliseconds, sizes are bytes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -17,18 +17,18 @@
     pub vm: VmId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Where callers connect.
+    /// Listen address for clients.
     pub callers: SocketAddr,
-    /// Where operators read metrics, health and status.
+    /// Listen address for metrics, health and status.
     pub operators: SocketAddr,
-    /// Where other routers connect.
+    /// Listen address for other routers.
     pub peers: SocketAddr,
-    /// Routers to ask for a configuration while the platform is out of reach.
+    /// Routers that provide a configuration while the platform is unreachable.
     #[serde(default)]
     pub seeds: Vec<SeedSettings>,
     /// The platform's key-value service.
     pub platform: PlatformSettings,
-    /// Limits towards callers.
+    /// Limits on clients.
     #[serde(default)]
     pub limits: LimitSettings,
     /// Graceful shutdown.
@@ -39,7 +39,7 @@
     pub log: LogSettings,
 }
 
-/// Another router, as found without the platform.
+/// Another router with a fixed address, used without the platform.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SeedSettings {
@@ -47,7 +47,7 @@
     pub vm: VmId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Where it listens for routers.
+    /// Its listen address for other routers.
     pub address: SocketAddr,
 }
 
@@ -55,56 +55,57 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Its addresses, tried in turn.
+    /// Its addresses, tried in order.
     pub addresses: Vec<SocketAddr>,
-    /// Longest wait for one answer.
+    /// Timeout of one request.
     #[serde(default = "default_platform_timeout")]
     pub timeout_ms: u64,
-    /// How long one watch waits for a change.
+    /// How long a watch waits for a change.
     #[serde(default = "default_watch")]
     pub watch_ms: u64,
 }
 
-/// Limits towards callers.
+/// Limits on clients.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Connections open at once.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Longest body, bytes.
+    /// Maximum size of a request body, bytes.
     pub body_bytes: u64,
-    /// Bodies of all requests in flight together, bytes.
+    /// Maximum total size of the bodies of all requests in flight, bytes.
     pub held_bytes: u64,
-    /// Longest answer of an endpoint that is not streamed, bytes.
+    /// Maximum size of an endpoint's response that is not streamed, bytes.
     pub answer_bytes: u64,
-    /// Longest wait for a request's head.
+    /// Timeout for reading a request head.
     pub head_ms: u64,
-    /// How long a connection that has served is kept without a next request. Longer than balancers and callers keep
-    /// theirs: whoever closes second meets a call that is already on its way.
+    /// How long an idle connection is kept open. Longer than the idle timeouts of balancers and clients, so that they
+    /// close first: otherwise a new request may arrive on a connection that the router is closing.
     pub idle_ms: u64,
-    /// Longest wait for a request's body.
+    /// Timeout for reading a request body.
     pub body_ms: u64,
-    /// Deadline of a request that states none, and the longest it may state.
+    /// Default and maximum deadline of a request.
     pub request_ms: u64,
 }
 
-/// Graceful shutdown: first unready but serving, then draining, then the end.
+/// Graceful shutdown: the router first reports that it is not ready but still serves, then drains, then exits.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ShutdownSettings {
-    /// How long the router goes on accepting, so that the balancer sees that it is not ready.
+    /// How long the router still accepts requests while it reports that it is not ready, so that the balancer
+    /// notices.
     pub notice_ms: u64,
-    /// Longest wait for requests in flight after that.
+    /// Timeout for requests in flight after that.
     pub grace_ms: u64,
 }
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// For people.
+    /// Human-readable text.
     Text,
 }
 
@@ -112,7 +113,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// How lines look.
+    /// Format of log lines.
     pub format: LogFormat,
     /// `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
@@ -160,7 +161,7 @@
 }
 
 impl LimitSettings {
-    /// Longest time a request may take.
+    /// Maximum duration of a request.
     pub fn request(&self) -> Duration {
         Duration::from_millis(self.request_ms)
     }
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,6 +1,6 @@
-//! What all tasks of a router share.
+//! State shared by all tasks of a router.
 
-use crate::caller::Budget;
+use crate::caller::BodyBudget;
 use crate::control::Event;
 use crate::limits::WorkspaceLimits;
 use crate::metrics::Metrics;
@@ -22,39 +22,39 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use store::Platform;
 
-/// Shared by all tasks; published state is replaced whole, never changed in place.
+/// State shared by all tasks; published values are replaced as a whole, never changed in place.
 pub struct Shared {
-    /// Settings of this router.
+    /// The router's settings.
     pub settings: Settings,
-    /// Monotonic time.
+    /// Monotonic clock.
     pub clock: Clock,
-    /// The state in force, absent until a configuration was found.
+    /// The view in force, absent until a configuration is adopted.
     pub view: ArcSwapOption<View>,
     /// Admission, placement and load of each pool.
     pub pools: Pools,
-    /// Connections to endpoints.
+    /// Client for connections to endpoints.
     pub client: Client,
-    /// The platform.
+    /// Client of the platform.
     pub platform: Platform,
-    /// Counters.
+    /// Metrics.
     pub metrics: Metrics,
-    /// State of the callers' server.
+    /// State of the client-facing server.
     pub serving: Serving,
-    /// To the control thread.
+    /// Event queue of the control thread.
     pub events: Sender<Event>,
-    /// Memory for bodies in flight.
-    pub bodies: Budget,
-    /// Limits of workspaces.
+    /// Memory budget for the bodies of requests in flight.
+    pub bodies: BodyBudget,
+    /// Rate limits of workspaces.
     pub limits: WorkspaceLimits,
-    /// The lease under which claims are written.
+    /// The lease that claims are attached to.
     pub claim_lease: async_std::sync::Mutex<ClaimLease>,
-    /// Results of claimed calls that are still to be written down.
+    /// Number of background tasks that store or release claims.
     pub settling: AtomicUsize,
-    /// What this router asks of the platform to follow the configuration.
-    pub follow: ArcSwap<Follow>,
-    /// Peers as last heard.
-    pub seen: ArcSwap<Vec<SeenPeer>>,
-    /// Other failure domains as last heard of.
+    /// How this router follows the configuration.
+    pub follow_mode: ArcSwap<Follow>,
+    /// Peers with their last heartbeats.
+    pub recent_peers: ArcSwap<Vec<SeenPeer>>,
+    /// Router counts of the other failure domains, as last received.
     pub domains: ArcSwap<Vec<DomainCount>>,
     /// Why no configuration is in force yet.
     pub not_ready: ArcSwap<NotReady>,
@@ -65,14 +65,14 @@
 }
 
 impl Shared {
-    /// The state of a router that has just started.
+    /// Creates the state of a router that has just started.
     pub fn new(settings: Settings, platform: Platform, events: Sender<Event>) -> Arc<Self> {
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let clock = Clock::start();
         Arc::new(Self {
             settings,
             clock,
-            bodies: Budget::default(),
+            bodies: BodyBudget::default(),
             limits: WorkspaceLimits::new(clock),
             claim_lease: async_std::sync::Mutex::default(),
             settling: AtomicUsize::new(0),
@@ -83,8 +83,8 @@
             metrics: Metrics::new(),
             serving: Serving::default(),
             events,
-            follow: ArcSwap::from_pointee(Follow::Watch),
-            seen: ArcSwap::default(),
+            follow_mode: ArcSwap::from_pointee(Follow::Watch),
+            recent_peers: ArcSwap::default(),
             domains: ArcSwap::default(),
             not_ready: ArcSwap::from_pointee(NotReady::Waiting),
             stopping: AtomicBool::new(false),
@@ -93,13 +93,13 @@
         })
     }
 
-    /// A request id that no other router and no earlier life of this one has given.
+    /// Returns a request id that no other router and no earlier incarnation of this one has used.
     pub fn next_request(&self) -> RequestId {
         let number = self.requests.fetch_add(1, Ordering::Relaxed);
         RequestId::from(format!("{}-{:x}-{number:x}", self.settings.vm, self.started_ms))
     }
 
-    /// Whether callers should be sent here.
+    /// Whether clients should be sent here.
     pub fn ready(&self) -> bool {
         self.view.load().is_some() && !self.stopping.load(Ordering::SeqCst)
     }
--- a/crates/router/src/view/health.rs
+++ b/crates/router/src/view/health.rs
@@ -1,26 +1,26 @@
-//! What traffic may believe of one endpoint.
+//! Published state of one endpoint.
 
 use ids::{Incarnation, WeightsVersion};
 
-/// Whether an endpoint gets work.
+/// Whether an endpoint gets requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Standing {
-    /// It gets work.
+pub enum Availability {
+    /// It gets requests.
     #[default]
     Live,
-    /// It failed lately and gets work only if no live one is left.
+    /// It failed recently and gets requests only if no live endpoint is available.
     Suspected,
-    /// It gets no new work.
-    Out,
+    /// It gets no new requests.
+    Unavailable,
 }
 
-/// What is believed of one endpoint.
+/// Published state of one endpoint.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Believed {
-    /// Whether it gets work.
-    pub standing: Standing,
-    /// Its life, 0 if it has not been heard of.
+pub struct EndpointState {
+    /// Whether it gets requests.
+    pub availability: Availability,
+    /// Its incarnation, 0 if unknown.
     pub incarnation: Incarnation,
-    /// The weights it serves, absent if it has not been heard of.
+    /// The weights it serves, absent if unknown.
     pub weights: Option<WeightsVersion>,
 }
--- a/crates/router/src/view/mod.rs
+++ b/crates/router/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! What traffic needs to know, as one immutable value that the control thread replaces.
+//! The state that request tasks read: an immutable value that the control thread replaces.
 
 mod health;
 
@@ -7,22 +7,22 @@
 use ids::{Digest, EndpointId, ModelId, Revision, ServiceId, WorkspaceId};
 use std::collections::{BTreeMap, HashMap};
 
-pub use health::{Believed, Standing};
+pub use health::{Availability, EndpointState};
 
-/// One consistent state of configuration and belief.
+/// A consistent snapshot of configuration and endpoint states.
 #[derive(Debug, Clone)]
 pub struct View {
     /// Revision in force.
     pub revision: Revision,
     /// The document of that revision.
     pub document: Document,
-    /// What is believed of each endpoint.
-    pub believed: HashMap<EndpointId, Believed>,
+    /// State of each endpoint.
+    pub endpoint_states: HashMap<EndpointId, EndpointState>,
     keys: HashMap<Digest, WorkspaceId>,
     members: BTreeMap<Target, Vec<EndpointId>>,
 }
 
-/// What a request is for: the pool that serves it.
+/// What a request addresses; each target has a pool.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 pub enum Target {
     /// Engines of a model.
@@ -34,8 +34,8 @@
 }
 
 impl View {
-    /// A view of `document`; an endpoint that nothing is believed of counts as live.
-    pub fn new(revision: Revision, document: Document, believed: HashMap<EndpointId, Believed>) -> Self {
+    /// Creates a view of `document`; an endpoint without a state counts as live.
+    pub fn new(revision: Revision, document: Document, endpoint_states: HashMap<EndpointId, EndpointState>) -> Self {
         let mut keys = HashMap::new();
         for (id, workspace) in &document.workspaces {
             keys.extend(workspace.keys.iter().map(|key| (*key, id.clone())));
@@ -47,13 +47,13 @@
         Self {
             revision,
             document,
-            believed,
+            endpoint_states,
             keys,
             members,
         }
     }
 
-    /// The workspace whose key this is.
+    /// The workspace that this key belongs to.
     pub fn workspace(&self, key: &str) -> Option<(&WorkspaceId, &WorkspaceSpec)> {
         let id = self.keys.get(&Digest::of(key.as_bytes()))?;
         let spec = self.document.workspaces.get(id)?;
@@ -66,14 +66,14 @@
         ids.filter_map(|id| self.document.endpoints.get_key_value(id))
     }
 
-    /// All pools.
+    /// The targets of all pools.
     pub fn targets(&self) -> impl Iterator<Item = &Target> {
         self.members.keys()
     }
 
-    /// What is believed of `endpoint`.
-    pub fn belief(&self, endpoint: &EndpointId) -> Believed {
-        self.believed.get(endpoint).cloned().unwrap_or_default()
+    /// State of `endpoint`.
+    pub fn endpoint_state(&self, endpoint: &EndpointId) -> EndpointState {
+        self.endpoint_states.get(endpoint).cloned().unwrap_or_default()
     }
 
     /// The operation of `service` whose path is the longest prefix of `path`.
@@ -87,7 +87,7 @@
     }
 }
 
-/// The pool an endpoint belongs to.
+/// The target of an endpoint's role.
 pub fn target(role: &EndpointRole) -> Target {
     match role {
         EndpointRole::Model(model) => Target::Model(model.clone()),
@@ -95,7 +95,7 @@
     }
 }
 
-/// Whether `path` is `prefix` or stands below it; `/fans` does not cover `/fansite`.
+/// Whether `path` equals `prefix` or is below it; `/fans` does not cover `/fansite`.
 fn is_below(path: &str, prefix: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
