--- a/crates/router/src/caller/call.rs
+++ b/crates/router/src/client/call.rs
@@ -1,7 +1,7 @@
 //! One request with its body, read before it is admitted.
 
 use super::auth::AuthContext;
-use super::held::BodyReservation;
+use super::body_budget::BodyReservation;
 use super::refusal::{Cause, Refused};
 use crate::shared::Shared;
 use http::timeout;
--- a/crates/router/src/caller/mod.rs
+++ b/crates/router/src/client/mod.rs
@@ -2,11 +2,11 @@
 
 mod attempt;
 mod auth;
+mod body_budget;
 mod call;
 mod claim;
 mod completion;
 mod hedge;
-mod held;
 mod models;
 mod refusal;
 mod service;
@@ -20,7 +20,7 @@
 use wire::headers;
 
 pub use auth::AuthContext;
-pub use held::BodyBudget;
+pub use body_budget::BodyBudget;
 pub use refusal::{Cause, Refused};
 
 /// Path prefix of plain services.
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -7,8 +7,8 @@
 mod event;
 mod fetching;
 mod peering;
+mod publishing;
 mod state;
-mod telling;
 mod vm_feed;
 
 pub use event::{Event, Observation};
--- a/crates/router/src/control/peering.rs
+++ b/crates/router/src/control/peering.rs
@@ -1,8 +1,8 @@
 //! Membership and messages among routers.
 
 use super::event::{Event, ObservedLoad};
+use super::publishing::PREFILL_UNIT;
 use super::state::Control;
-use super::telling::PREFILL_UNIT;
 use async_std::task;
 use control::membership::{self, Change, Link, Listed, Member, Membership};
 use control::{following, orders, rendezvous};
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -3,7 +3,7 @@
 //! Request tasks read one immutable [`View`] at a time and share a [`Pool`] for each model and service. One control
 //! thread owns the configuration revision, membership and endpoint health, and publishes views.
 
-mod caller;
+mod client;
 mod control;
 mod limits;
 mod metrics;
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,7 +1,7 @@
 //! Rate limits of workspaces. Each router grants its share of each limit.
 
-use crate::caller::AuthContext;
-use crate::caller::{Cause, Refused};
+use crate::client::AuthContext;
+use crate::client::{Cause, Refused};
 use admission::{LimitDecision, Limits, Share, ShareLimiter};
 use clock::Clock;
 use ids::WorkspaceId;
--- a/crates/router/src/pool/mod.rs
+++ b/crates/router/src/pool/mod.rs
@@ -3,7 +3,7 @@
 //! The decisions are made by the `admission` and `placement` crates. This module holds their state behind one lock,
 //! which is never held across an await, and lets tasks wait for a slot.
 
-mod flight;
+mod attempt;
 mod member;
 mod permit;
 mod state;
@@ -16,7 +16,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-pub use flight::EndpointAttempt;
+pub use attempt::EndpointAttempt;
 pub use permit::Permit;
 pub use state::{PickContext, PoolStatus, RouterContext};
 
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -3,7 +3,7 @@
 use crate::control::{self, Event};
 use crate::settings::Settings;
 use crate::shared::Shared;
-use crate::{caller, operator};
+use crate::{client, operator};
 use async_std::future::timeout;
 use async_std::net::TcpListener;
 use async_std::task;
@@ -103,7 +103,7 @@
         idle: Duration::from_millis(settings.idle_ms),
     };
     let state = shared.clone();
-    let handler = move |request, conn| caller::handle(state.clone(), request, conn);
+    let handler = move |request, conn| client::handle(state.clone(), request, conn);
     task::spawn(serve(listener, limits, shared.serving.clone(), handler));
 }
 
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,6 +1,6 @@
 //! State shared by all tasks of a router.
 
-use crate::caller::BodyBudget;
+use crate::client::BodyBudget;
 use crate::control::Event;
 use crate::limits::WorkspaceLimits;
 use crate::metrics::Metrics;
