--- a/crates/router/src/control/peering.rs
+++ b/crates/router/src/control/peering.rs
@@ -68,7 +68,9 @@
             self.update_links();
             let state = self.peer_state();
             self.peering.peers.publish(state);
-            self.shared.recent_peers.store(Arc::new(self.peering.peers.recent_peers()));
+            self.shared
+                .recent_peers
+                .store(Arc::new(self.peering.peers.recent_peers()));
             let domains = self.peering.membership.roster(now).counts;
             self.shared.domains.store(Arc::new(domains));
         }
