--- a/crates/gateway/src/serve/wait.rs
+++ b/crates/gateway/src/serve/wait.rs
@@ -20,7 +20,7 @@
 
 /// Waits until `future` completes, the client closes its connection, or the time is over.
 pub(super) async fn wait<T>(conn: &Conn, within: Duration, future: impl Future<Output = T>) -> WaitOutcome<T> {
-    let gone = pin!(conn.peer_gone());
+    let gone = pin!(conn.peer_closed());
     let future = pin!(future);
     match timeout(within, select(future, gone)).await {
         Ok(Either::Left((done, _))) => WaitOutcome::Done(done),
--- a/crates/http/src/conn.rs
+++ b/crates/http/src/conn.rs
@@ -85,7 +85,7 @@
     /// async-h1 notices that a caller has gone only at its next write, so a stream that is silent while an
     /// engine prefills would keep that engine busy for nobody. Call this only after the request's body was read
     /// whole. Never resolves if the peer sends more bytes first: then it is still there.
-    pub async fn peer_gone(&self) {
+    pub async fn peer_closed(&self) {
         let mut byte = [0];
         match self.stream.peek(&mut byte).await {
             Ok(0) | Err(_) => {}
--- a/crates/router/src/caller/stream.rs
+++ b/crates/router/src/caller/stream.rs
@@ -156,7 +156,7 @@
         };
         let wait = left.min(self.patience());
         let next = http::timeout(wait, pieces.next());
-        let gone = self.attempts.call.conn.peer_gone();
+        let gone = self.attempts.call.conn.peer_closed();
         futures::pin_mut!(next, gone);
         match select(next, gone).await {
             Either::Left((Ok(Ok(Some(piece))), _)) => Ok(piece),
--- a/crates/router/src/caller/transmit.rs
+++ b/crates/router/src/caller/transmit.rs
@@ -74,7 +74,7 @@
 
 /// The result of `work`, none if the caller goes first.
 pub async fn unless_gone<T>(conn: &Conn, work: impl Future<Output = T>) -> Option<T> {
-    let gone = conn.peer_gone();
+    let gone = conn.peer_closed();
     futures::pin_mut!(work, gone);
     match select(work, gone).await {
         Either::Left((result, _)) => Some(result),
