--- a/crates/gateway/src/connections/call.rs
+++ b/crates/gateway/src/connections/call.rs
@@ -72,10 +72,10 @@
 /// after its load list is out of date and after orders of another lease holder.
 async fn send(source: Source, address: SocketAddr, call: &Call, headers: &Headers) -> Result<Called, ExchangeError> {
     let conn = source.conn().clone();
-    conn.reset_at_end(true);
+    conn.reset_on_drop(true);
     let called = call.send(source, address, headers, MAX_RESPONSE_BYTES).await?;
     // The peer has received the whole call. A reset could now abort its own use of the connection.
-    conn.reset_at_end(false);
+    conn.reset_on_drop(false);
     Ok(called)
 }
 
--- a/crates/http/src/conn.rs
+++ b/crates/http/src/conn.rs
@@ -62,7 +62,7 @@
     ///
     /// After an ordinary end the kernel goes on sending what the peer has not acknowledged, so that a request may still arrive
     /// long after its sender gave it up. After a reset nothing more of it is sent.
-    pub fn reset_at_end(&self, reset: bool) {
+    pub fn reset_on_drop(&self, reset: bool) {
         // Fails only if the connection has failed already, which sends nothing more either.
         let _ = SockRef::from(&self.stream).set_linger(reset.then_some(Duration::ZERO));
     }
