--- a/crates/http/src/conn.rs
+++ b/crates/http/src/conn.rs
@@ -48,7 +48,7 @@
     ///
     /// async-h1 drains the rest of a body after the answer. A caller that never stops sending would keep the
     /// connection's task busy for ever; after a body was refused as too large nothing more is read.
-    pub fn shut_reads(&self) {
+    pub fn disable_reads(&self) {
         self.shared.reads_shut.store(true, Ordering::Relaxed);
     }
 
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -265,6 +265,6 @@
 async fn refuse(source: &mut Body, conn: &Conn, limit: u64) -> ReadError {
     // If the caller breaks off meanwhile, there is nobody left to refuse.
     let _ = async_std::io::copy(&mut source.take(DISCARD_BYTES), &mut async_std::io::sink()).await;
-    conn.shut_reads();
+    conn.disable_reads();
     ReadError::TooLarge(limit)
 }
--- a/crates/router/src/caller/call.rs
+++ b/crates/router/src/caller/call.rs
@@ -86,7 +86,7 @@
     let declared = request.len().map_or(limits.body_bytes, |length| length as u64);
     let held = shared.bodies.take(declared.min(limits.body_bytes), limits.held_bytes);
     held.ok_or_else(|| {
-        conn.shut_reads();
+        conn.disable_reads();
         Refused::not_run(Cause::Memory).retry_after(MEMORY_MS)
     })
 }
@@ -99,7 +99,7 @@
         Ok(Ok(body)) => Ok(body),
         Ok(Err(ReadError::TooLarge(limit))) => Err(Refused::not_run(Cause::TooLarge(limit))),
         Ok(Err(ReadError::Io(_) | ReadError::Short)) | Err(_) => {
-            conn.shut_reads();
+            conn.disable_reads();
             Err(Refused::not_run(Cause::BodyBroke))
         }
     }
