--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -228,7 +228,7 @@
 
 /// Closes a connection so that the client receives the response that was written.
 async fn linger(conn: &Conn, source: &mut Source) {
-    conn.finish();
+    conn.shutdown_write();
     let drained = async {
         while source.fill().await.is_ok_and(|count| count > 0) {
             source.discard();
--- a/crates/http/src/conn.rs
+++ b/crates/http/src/conn.rs
@@ -75,7 +75,7 @@
     }
 
     /// Closes the writing side; the peer sees the end after all that was written.
-    pub fn finish(&self) {
+    pub fn shutdown_write(&self) {
         // The peer may have closed first; there is nothing left to do then.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
