--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -17,7 +17,9 @@
 use dispatch::site::ClientLimits;
 use futures::future::{Either, select};
 use http::Conn;
-use http::raw::{BodyReader, Framing, HeadError, RawBodyError, RequestHead, Source, request_framing, watch_peer};
+use http::raw::{
+    BodyReader, Framing, HeadError, RawBodyError, RequestHead, Source, request_framing, set_socket_options,
+};
 use std::pin::pin;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -118,7 +120,7 @@
 }
 
 async fn serve_connection(shared: &Arc<Shared>, stream: TcpStream) {
-    watch_peer(&stream);
+    set_socket_options(&stream);
     let conn = Conn::new(stream);
     let mut source = Source::new(conn.clone());
     loop {
--- a/crates/http/src/raw/exchange.rs
+++ b/crates/http/src/raw/exchange.rs
@@ -69,12 +69,12 @@
     let Ok(Ok(stream)) = connected else {
         return Err(ExchangeError::NotSent);
     };
-    watch_peer(&stream);
+    set_socket_options(&stream);
     Ok(Source::new(Conn::new(stream)))
 }
 
 /// Sets what a connection needs to notice a silent peer; without these options it only notices later, by its time limits.
-pub fn watch_peer(stream: &TcpStream) {
+pub fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
 }
