--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -17,7 +17,7 @@
 pub use conn::Conn;
 pub use progress::progressing;
 pub use reply::{BodyError, Reply};
-pub use server::{Limits, ReadError, Serving, read_body, serve};
+pub use server::{Limits, ReadError, ServerState, read_body, serve};
 pub use sse::{Piece, PieceError, Pieces};
 pub use timeout::{Elapsed, timeout};
 
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -34,7 +34,7 @@
 
 /// The state of one server; clones share it.
 #[derive(Debug, Clone, Default)]
-pub struct Serving {
+pub struct ServerState {
     shared: Arc<Shared>,
 }
 
@@ -45,7 +45,7 @@
     draining: AtomicBool,
 }
 
-impl Serving {
+impl ServerState {
     /// Requests being answered.
     pub fn in_flight(&self) -> usize {
         self.shared.in_flight.load(Ordering::SeqCst)
@@ -92,7 +92,7 @@
 
 /// Answers requests on `listener` until `serving` drains. A request counts as in flight until the last byte of
 /// its answer is written.
-pub async fn serve<F, Fut>(listener: TcpListener, limits: Limits, serving: Serving, answer: F)
+pub async fn serve<F, Fut>(listener: TcpListener, limits: Limits, serving: ServerState, answer: F)
 where
     F: Fn(Request, Conn) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Response> + Send + 'static,
@@ -118,7 +118,7 @@
     }
 }
 
-async fn connection<F, Fut>(stream: TcpStream, limits: Limits, serving: &Serving, answer: F)
+async fn connection<F, Fut>(stream: TcpStream, limits: Limits, serving: &ServerState, answer: F)
 where
     F: Fn(Request, Conn) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Response> + Send + 'static,
@@ -166,7 +166,7 @@
 /// Counts a connection's request as in flight from its head to the last byte of its answer, also when the
 /// connection's task ends in between.
 struct Busy<'a> {
-    serving: &'a Serving,
+    serving: &'a ServerState,
     conn: Conn,
     flag: AtomicBool,
     begun: AtomicU64,
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -8,7 +8,7 @@
 use async_std::net::TcpListener;
 use async_std::task;
 use futures::future::{Either, select};
-use http::{Limits, Serving, serve};
+use http::{Limits, ServerState, serve};
 use quick_error::quick_error;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -116,7 +116,7 @@
     };
     let state = shared.clone();
     let answer = move |request, conn| operator::answer(state.clone(), request, conn);
-    task::spawn(serve(listener, limits, Serving::default(), answer));
+    task::spawn(serve(listener, limits, ServerState::default(), answer));
 }
 
 /// Unready first, so that the balancer sends nothing new; then no new requests; then the end of those in flight.
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -14,7 +14,7 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use async_channel::Sender;
 use clock::Clock;
-use http::{Client, Serving};
+use http::{Client, ServerState};
 use ids::RequestId;
 use lifecycle::claims::ClaimLease;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     /// Counters.
     pub metrics: Metrics,
     /// State of the callers' server.
-    pub serving: Serving,
+    pub serving: ServerState,
     /// To the control thread.
     pub events: Sender<Event>,
     /// Memory for bodies in flight.
@@ -81,7 +81,7 @@
             client: Client::new(),
             platform,
             metrics: Metrics::new(),
-            serving: Serving::default(),
+            serving: ServerState::default(),
             events,
             follow: ArcSwap::from_pointee(Follow::Watch),
             seen: ArcSwap::default(),
