--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use client::{Client, SendError};
 pub use conn::Conn;
-pub use progress::progressing;
+pub use progress::progress_timeout;
 pub use reply::{BodyError, Reply};
 pub use server::{Limits, ReadError, ServerState, read_body, serve};
 pub use sse::{Piece, PieceError, Pieces};
--- a/crates/http/src/progress.rs
+++ b/crates/http/src/progress.rs
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 /// The time was over and nothing had arrived, or the transfer stalled.
-pub async fn progressing<F: Future>(
+pub async fn progress_timeout<F: Future>(
     within: Duration,
     received: impl Fn() -> u64,
     future: F,
--- a/crates/http/tests/progress.rs
+++ b/crates/http/tests/progress.rs
@@ -1,7 +1,7 @@
 //! Transfers that take longer than their time limit.
 
 use async_std::task::{block_on, sleep};
-use http::{Elapsed, progressing};
+use http::{Elapsed, progress_timeout};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
         }
         sleep(Duration::from_millis(case.whole - now)).await;
     };
-    progressing(WITHIN, || received.load(Ordering::Relaxed), transfer).await
+    progress_timeout(WITHIN, || received.load(Ordering::Relaxed), transfer).await
 }
 
 /// A limit on the whole of a transfer gives up what still arrives, and a transfer without any limit keeps a silent peer for ever.
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -12,7 +12,7 @@
 use dispatch::prefixes::PartKey;
 use futures::StreamExt;
 use futures::future::BoxFuture;
-use http::progressing;
+use http::progress_timeout;
 use ids::{ModelId, Revision, ServiceId, VmId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -378,7 +378,7 @@
         call: impl Future<Output = Result<T, RpcError>>,
     ) -> Result<T, PeerError> {
         let before = self.received();
-        let answered = progressing(within, || self.received(), call).await;
+        let answered = progress_timeout(within, || self.received(), call).await;
         Ok(answered.map_err(|_| PeerError::Late(self.received() - before))??)
     }
 }
--- a/crates/store/src/items/client.rs
+++ b/crates/store/src/items/client.rs
@@ -2,7 +2,7 @@
 
 use super::{Call, Changes, Codec, Committed, Granted, Item, ItemsError, Page, Position, Transaction, Watched};
 use async_std::sync::Mutex;
-use http::progressing;
+use http::progress_timeout;
 use http::raw::{Headers, Source, connect};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -154,7 +154,7 @@
         let conn = source.conn().clone();
         let before = conn.received();
         let sent = call.send(source, self.address, &headers, ANSWER_BYTES);
-        match progressing(left(until), || conn.received(), sent).await {
+        match progress_timeout(left(until), || conn.received(), sent).await {
             Ok(Ok(called)) => {
                 *kept = called.kept;
                 Ok(Answer {
