--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -29,7 +29,7 @@
             display("the connection closed before an answer")
         }
         /// The caller of `send_once` no longer wanted it once the connection stood; nothing was sent.
-        Withheld {
+        Cancelled {
             display("the request was withheld")
         }
         /// The time was over; `sent` tells whether bytes had left by then.
@@ -42,7 +42,7 @@
 impl SendError {
     /// Whether no byte of the request can have reached the peer.
     pub fn not_sent(&self) -> bool {
-        matches!(self, Self::NotSent(_) | Self::Withheld | Self::Timeout(false))
+        matches!(self, Self::NotSent(_) | Self::Cancelled | Self::Timeout(false))
     }
 }
 
@@ -98,7 +98,7 @@
         let until = Instant::now() + within;
         let conn = open(to, until).await?;
         if !may_send() {
-            return Err(SendError::Withheld);
+            return Err(SendError::Cancelled);
         }
         self.exchange(&conn, to, with_body(request, body), until).await
     }
--- a/crates/http/tests/traps.rs
+++ b/crates/http/tests/traps.rs
@@ -149,7 +149,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let to = listener.local_addr().expect("an address");
         let withheld = Client::new().send_once(to, request(to), b"{}", WAIT, || false).await;
-        assert!(matches!(withheld, Err(SendError::Withheld)));
+        assert!(matches!(withheld, Err(SendError::Cancelled)));
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes).await.expect("the end of the connection");
--- a/crates/router/src/control/endpoint_feed.rs
+++ b/crates/router/src/control/endpoint_feed.rs
@@ -107,7 +107,7 @@
     let reply = match sent {
         Ok(reply) => reply,
         Err(SendError::NotSent(_)) => return Sighting::NotReached,
-        Err(SendError::Timeout(_) | SendError::Withheld) => return Sighting::Silent,
+        Err(SendError::Timeout(_) | SendError::Cancelled) => return Sighting::Silent,
         Err(SendError::NoAnswer) => return Sighting::Broke,
     };
     let Ok(Ok(body)) = http::timeout(WAIT, reply.whole(REPORT_BYTES)).await else {
--- a/crates/router/src/orders/engine_calls.rs
+++ b/crates/router/src/orders/engine_calls.rs
@@ -28,7 +28,7 @@
         .await;
     let reply = match sent {
         Ok(reply) => reply,
-        Err(SendError::NotSent(_) | SendError::Withheld) => return Event::Refused(endpoint),
+        Err(SendError::NotSent(_) | SendError::Cancelled) => return Event::Refused(endpoint),
         Err(_) => return Event::NoAnswer(endpoint),
     };
     let status = reply.status();
