--- a/crates/apricotfork/tests/shutdown.rs
+++ b/crates/apricotfork/tests/shutdown.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use async_std::task;
-use http::{Client, Method, Pieces, Request, StatusCode, Url};
+use http::{Client, EventStream, Method, Request, StatusCode, Url};
 use serde_json::json;
 use support::{KEY, PATIENCE, Plan, Site, bearer, get, operators, signal, until};
 
@@ -12,7 +12,7 @@
 const TOKENS: u64 = 50;
 
 /// Begins a stream and reads its first piece.
-async fn stream(site: &Site) -> Pieces {
+async fn stream(site: &Site) -> EventStream {
     let to = site.routers[0].address;
     let mut request = Request::new(
         Method::Post,
@@ -31,7 +31,7 @@
 }
 
 /// Reads to the end; the data of the last event, and how many there were.
-async fn rest(mut pieces: Pieces) -> (String, u64) {
+async fn rest(mut pieces: EventStream) -> (String, u64) {
     let (mut last, mut count) = (String::new(), 1);
     while let Ok(Some(piece)) = pieces.next().await {
         last = piece.data;
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -2,7 +2,7 @@
 
 use crate::client::Client;
 use crate::conn::Conn;
-use crate::sse::Pieces;
+use crate::sse::EventStream;
 use async_std::io::ReadExt;
 use http_types::{Response, StatusCode, headers};
 use quick_error::quick_error;
@@ -87,10 +87,10 @@
     }
 
     /// Reads the body as server-sent events.
-    pub fn pieces(mut self) -> Result<Pieces, BodyError> {
+    pub fn pieces(mut self) -> Result<EventStream, BodyError> {
         self.declared()?;
         let body = self.response.take_body();
-        Ok(Pieces::new(body, self.conn))
+        Ok(EventStream::new(body, self.conn))
     }
 
     /// The declared length; `None` for a chunked body, which shows a cut by itself.
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -32,12 +32,12 @@
 }
 
 /// The events of one answer in order.
-pub struct Pieces {
+pub struct EventStream {
     decoder: Decoder<Body>,
     conn: Conn,
 }
 
-impl Pieces {
+impl EventStream {
     pub(crate) fn new(body: Body, conn: Conn) -> Self {
         Self {
             decoder: async_sse::decode(body),
--- a/crates/router/src/caller/stream.rs
+++ b/crates/router/src/caller/stream.rs
@@ -12,7 +12,7 @@
 use async_std::task;
 use futures::future::{Either, select};
 use futures::{StreamExt, TryStreamExt};
-use http::{Body, Piece, Pieces, Reply, Response, StatusCode};
+use http::{Body, EventStream, Piece, Reply, Response, StatusCode};
 use ids::WeightsVersion;
 use lifecycle::request::RequestEvent;
 use lifecycle::stream::{ConnectionEnd, HeadVerdict, PieceVerdict as Verdict, StreamAssembler};
@@ -96,7 +96,7 @@
 }
 
 impl Relay {
-    async fn run(mut self, mut flight: Flight, mut pieces: Pieces) {
+    async fn run(mut self, mut flight: Flight, mut pieces: EventStream) {
         loop {
             let end = self.pass_on(&flight, &mut pieces).await;
             pieces.close();
@@ -119,7 +119,7 @@
     }
 
     /// Passes pieces on until this connection gives no more.
-    async fn pass_on(&mut self, flight: &Flight, pieces: &mut Pieces) -> End {
+    async fn pass_on(&mut self, flight: &Flight, pieces: &mut EventStream) -> End {
         loop {
             let piece = match self.next(pieces).await {
                 Ok(piece) => piece,
@@ -150,7 +150,7 @@
     }
 
     /// The next piece, unless the caller goes, the deadline passes or the stream breaks first.
-    async fn next(&self, pieces: &mut Pieces) -> Result<Piece, End> {
+    async fn next(&self, pieces: &mut EventStream) -> Result<Piece, End> {
         let Some(left) = self.attempts.call.left(&self.attempts.shared) else {
             return Err(End::Late);
         };
@@ -186,7 +186,7 @@
     }
 
     /// Goes on from the first piece that was not delivered, at another engine of the same weights if there is one.
-    async fn resume(&mut self, broken: Flight) -> Option<(Flight, Pieces)> {
+    async fn resume(&mut self, broken: Flight) -> Option<(Flight, EventStream)> {
         let mut last = broken.key;
         drop(broken);
         while self.resumes < RESUMES {
