--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -24,7 +24,7 @@
 
 /// One event with data.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Piece {
+pub struct SseEvent {
     /// Its `id`, if it is a number.
     pub number: Option<u64>,
     /// Its data.
@@ -46,7 +46,7 @@
     }
 
     /// The next event; `None` at the end of the body, which does not tell that the stream is complete.
-    pub async fn next(&mut self) -> Result<Option<Piece>, PieceError> {
+    pub async fn next(&mut self) -> Result<Option<SseEvent>, PieceError> {
         loop {
             let Some(event) = self.decoder.next().await else {
                 return Ok(None);
@@ -56,7 +56,7 @@
             };
             let number = message.id().as_deref().and_then(|id| id.parse().ok());
             let data = String::from_utf8(message.into_bytes()).map_err(|_| PieceError::Malformed)?;
-            return Ok(Some(Piece { number, data }));
+            return Ok(Some(SseEvent { number, data }));
         }
     }
 
--- a/crates/router/src/caller/stream.rs
+++ b/crates/router/src/caller/stream.rs
@@ -12,7 +12,7 @@
 use async_std::task;
 use futures::future::{Either, select};
 use futures::{StreamExt, TryStreamExt};
-use http::{Body, EventStream, Piece, Reply, Response, StatusCode};
+use http::{Body, EventStream, Reply, Response, SseEvent, StatusCode};
 use ids::WeightsVersion;
 use lifecycle::request::RequestEvent;
 use lifecycle::stream::{ConnectionEnd, HeadVerdict, PieceVerdict as Verdict, StreamAssembler};
@@ -150,7 +150,7 @@
     }
 
     /// The next piece, unless the caller goes, the deadline passes or the stream breaks first.
-    async fn next(&self, pieces: &mut EventStream) -> Result<Piece, End> {
+    async fn next(&self, pieces: &mut EventStream) -> Result<SseEvent, End> {
         let Some(left) = self.attempts.call.left(&self.attempts.shared) else {
             return Err(End::Late);
         };
