--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -18,7 +18,7 @@
 pub use progress::progress_timeout;
 pub use reply::{BodyError, Reply};
 pub use server::{Limits, ReadError, ServerState, read_body, serve};
-pub use sse::{EventStream, PieceError, SseEvent};
+pub use sse::{EventError, EventStream, SseEvent};
 pub use timeout::{Elapsed, timeout};
 
 pub use http_types::{Body, Method, Request, Response, StatusCode, Url};
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -9,7 +9,7 @@
 quick_error! {
     /// Why no further piece came.
     #[derive(Debug)]
-    pub enum PieceError {
+    pub enum EventError {
         /// The stream broke off or cannot be read.
         Broken(err: http_types::Error) {
             from()
@@ -46,7 +46,7 @@
     }
 
     /// The next event; `None` at the end of the body, which does not tell that the stream is complete.
-    pub async fn next(&mut self) -> Result<Option<SseEvent>, PieceError> {
+    pub async fn next(&mut self) -> Result<Option<SseEvent>, EventError> {
         loop {
             let Some(event) = self.decoder.next().await else {
                 return Ok(None);
@@ -55,7 +55,7 @@
                 continue;
             };
             let number = message.id().as_deref().and_then(|id| id.parse().ok());
-            let data = String::from_utf8(message.into_bytes()).map_err(|_| PieceError::Malformed)?;
+            let data = String::from_utf8(message.into_bytes()).map_err(|_| EventError::Malformed)?;
             return Ok(Some(SseEvent { number, data }));
         }
     }
