--- a/crates/apricotfork/tests/shutdown.rs
+++ b/crates/apricotfork/tests/shutdown.rs
@@ -25,7 +25,7 @@
         .await
         .expect("a head");
     assert_eq!(reply.status(), StatusCode::Ok);
-    let mut pieces = reply.pieces().expect("a stream");
+    let mut pieces = reply.into_events().expect("a stream");
     pieces.next().await.expect("a piece").expect("a piece");
     pieces
 }
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -87,7 +87,7 @@
     }
 
     /// Reads the body as server-sent events.
-    pub fn pieces(mut self) -> Result<EventStream, BodyError> {
+    pub fn into_events(mut self) -> Result<EventStream, BodyError> {
         self.declared()?;
         let body = self.response.take_body();
         Ok(EventStream::new(body, self.conn))
--- a/crates/router/src/caller/stream.rs
+++ b/crates/router/src/caller/stream.rs
@@ -47,7 +47,7 @@
         .collect();
     let pieces = opened
         .reply
-        .pieces()
+        .into_events()
         .map_err(|_| Refused::with(Cause::Endpoint, attempts.life.ran()))?;
     let (sender, receiver) = async_channel::bounded(PIECES_AHEAD);
     let relay = Relay {
@@ -214,7 +214,7 @@
                 continue;
             }
             self.attempts.life.on(RequestEvent::HeadArrived);
-            if let Ok(pieces) = reply.pieces() {
+            if let Ok(pieces) = reply.into_events() {
                 self.attempts.shared.metrics.resumed.inc();
                 return Some((flight, pieces));
             }
