--- a/crates/apricotfork/src/status.rs
+++ b/crates/apricotfork/src/status.rs
@@ -51,7 +51,7 @@
     let reply = Client::new()
         .send(args.router, Request::new(Method::Get, url), &[], WAIT)
         .await?;
-    let body = reply.whole(STATUS_BYTES).await?;
+    let body = reply.read_body(STATUS_BYTES).await?;
     let status: router::Status = serde_json::from_slice(&body)?;
     Ok(serde_json::to_string_pretty(&status)?)
 }
--- a/crates/apricotfork/tests/shutdown.rs
+++ b/crates/apricotfork/tests/shutdown.rs
@@ -108,7 +108,7 @@
     task::block_on(async {
         let short = json!({"model": "advisory", "prompt": "p", "max_tokens": 1});
         let first = ask(short.clone()).await.expect("an answer");
-        first.whole(1 << 20).await.expect("a body");
+        first.read_body(1 << 20).await.expect("a body");
         let pieces = stream(&site).await;
         signal(&site.routers[0], "TERM");
         // The connection of the first request stays open in the pool; new ones are refused once the router drains.
--- a/crates/apricotfork/tests/support/mod.rs
+++ b/crates/apricotfork/tests/support/mod.rs
@@ -341,7 +341,7 @@
         let reply: Reply = Client::new().send_once(to, request, body, PATIENCE, || true).await?;
         let status = reply.status();
         let request = reply.header(wire::headers::REQUEST_ID).unwrap_or_default().to_owned();
-        let body = reply.whole(BODY).await.map_err(|_| SendError::NoAnswer)?;
+        let body = reply.read_body(BODY).await.map_err(|_| SendError::NoAnswer)?;
         Ok(Answer { status, request, body })
     })
 }
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -67,7 +67,7 @@
     }
 
     /// Reads the body of at most `limit` bytes and gives the connection back to the pool.
-    pub async fn whole(mut self, limit: u64) -> Result<Vec<u8>, BodyError> {
+    pub async fn read_body(mut self, limit: u64) -> Result<Vec<u8>, BodyError> {
         let declared = self.declared()?;
         let mut body = Vec::new();
         let mut source = self.response.take_body();
--- a/crates/http/tests/traps.rs
+++ b/crates/http/tests/traps.rs
@@ -58,7 +58,7 @@
             Err(SendError::NoAnswer) => return Came::NoAnswer,
             Err(err) => panic!("{}: {err}", case.name),
         };
-        match reply.whole(LIMIT).await {
+        match reply.read_body(LIMIT).await {
             Ok(body) if body == b"hello" => Came::Whole("hello"),
             Ok(body) => panic!("{}: {}", case.name, String::from_utf8_lossy(&body)),
             Err(BodyError::OtherLength(..)) => Came::OtherLength,
@@ -137,7 +137,7 @@
         let client = Client::new();
         for _ in 0..2 {
             let reply = client.send(to, request(to), b"{}", WAIT).await.expect("an answer");
-            assert_eq!(reply.whole(LIMIT).await.expect("a body"), b"hello");
+            assert_eq!(reply.read_body(LIMIT).await.expect("a body"), b"hello");
         }
     });
 }
--- a/crates/router/src/caller/attempt.rs
+++ b/crates/router/src/caller/attempt.rs
@@ -194,7 +194,7 @@
     /// An engine's refusal: it has not run the request.
     async fn refused(&self, flight: &Flight, reply: Reply) -> Failure {
         let incarnation = incarnation(&reply);
-        let body = reply.whole(REFUSAL_BYTES).await.unwrap_or_default();
+        let body = reply.read_body(REFUSAL_BYTES).await.unwrap_or_default();
         let Ok(refused) = serde_json::from_slice::<wire::engine::Refused>(&body) else {
             return Failure::Declined;
         };
--- a/crates/router/src/caller/completion.rs
+++ b/crates/router/src/caller/completion.rs
@@ -129,7 +129,7 @@
 async fn read(attempts: &Attempts, reply: http::Reply) -> Option<Vec<u8>> {
     let left = attempts.call.left(&attempts.shared)?;
     let limit = attempts.shared.settings.limits.answer_bytes;
-    http::timeout(left, reply.whole(limit)).await.ok()?.ok()
+    http::timeout(left, reply.read_body(limit)).await.ok()?.ok()
 }
 
 /// An answer with this body.
--- a/crates/router/src/caller/service.rs
+++ b/crates/router/src/caller/service.rs
@@ -190,7 +190,7 @@
     let content = reply.header("content-type").map(str::to_owned);
     let left = attempts.call.left(&attempts.shared)?;
     let limit = attempts.shared.settings.limits.answer_bytes;
-    let body = http::timeout(left, reply.whole(limit)).await.ok()?.ok()?;
+    let body = http::timeout(left, reply.read_body(limit)).await.ok()?.ok()?;
     Some(StoredAnswer {
         status,
         content,
--- a/crates/router/src/caller/transmit.rs
+++ b/crates/router/src/caller/transmit.rs
@@ -31,7 +31,7 @@
             let url = engine_url(to, "/v1/cancel", Some(&format!("request={id}")));
             // An engine that cannot be reached has nothing left to cancel.
             if let Ok(reply) = client.send(to, Request::new(Method::Post, url), &[], CANCEL_WAIT).await {
-                let _ = reply.whole(CANCEL_BYTES).await;
+                let _ = reply.read_body(CANCEL_BYTES).await;
             }
         });
     }
--- a/crates/router/src/control/endpoint_feed.rs
+++ b/crates/router/src/control/endpoint_feed.rs
@@ -110,7 +110,7 @@
         Err(SendError::Timeout(_) | SendError::Cancelled) => return Sighting::Silent,
         Err(SendError::NoAnswer) => return Sighting::Broke,
     };
-    let Ok(Ok(body)) = http::timeout(WAIT, reply.whole(REPORT_BYTES)).await else {
+    let Ok(Ok(body)) = http::timeout(WAIT, reply.read_body(REPORT_BYTES)).await else {
         return Sighting::Broke;
     };
     parse(&spec.role, &body, asked).map_or(Sighting::Broke, Sighting::Reported)
--- a/crates/store/src/calls.rs
+++ b/crates/store/src/calls.rs
@@ -52,7 +52,7 @@
         let reply = self.send(request, &[], self.timeout).await?;
         if reply.status() == StatusCode::NotFound {
             // A deleted key keeps its version, without which nobody could write it again.
-            let bytes = lost(reply.whole(ANSWER_MAX).await)?;
+            let bytes = lost(reply.read_body(ANSWER_MAX).await)?;
             let entry: Entry = serde_json::from_slice(&bytes)?;
             return Ok(Some(entry).filter(|entry| entry.version > Version(0)));
         }
@@ -73,7 +73,7 @@
         let reply = self.send(request, &body, self.timeout).await?;
         let conflict = reply.status() == StatusCode::Conflict;
         let bytes = if conflict {
-            lost(reply.whole(ANSWER_MAX).await)?
+            lost(reply.read_body(ANSWER_MAX).await)?
         } else {
             success(reply).await?
         };
@@ -183,7 +183,7 @@
 
 async fn success(reply: Reply) -> Result<Vec<u8>, PlatformError> {
     let status = reply.status();
-    let bytes = lost(reply.whole(ANSWER_MAX).await)?;
+    let bytes = lost(reply.read_body(ANSWER_MAX).await)?;
     if !status.is_success() {
         return Err(PlatformError::Refused(status.into()));
     }
@@ -195,5 +195,5 @@
 }
 
 async fn discard(reply: Reply) -> Result<(), PlatformError> {
-    lost(reply.whole(ANSWER_MAX).await).map(|_| ())
+    lost(reply.read_body(ANSWER_MAX).await).map(|_| ())
 }
