--- a/crates/gateway/src/connections/call.rs
+++ b/crates/gateway/src/connections/call.rs
@@ -1,7 +1,7 @@
 //! Calls to endpoints and prefix cache stores that the router makes for itself.
 
 use async_std::future::timeout;
-use http::raw::{Call, Called, ExchangeError, HeadError, Headers, Source, connect};
+use http::raw::{Call, CallResponse, ExchangeError, HeadError, Headers, Source, connect};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -70,7 +70,12 @@
 /// Sends a call. If the call is cancelled, here or because the caller drops this future, the connection is reset.
 /// Otherwise the kernel would retransmit the call until the peer acknowledges it. A delayed order could then arrive
 /// after its load list is out of date and after orders of another lease holder.
-async fn send(source: Source, address: SocketAddr, call: &Call, headers: &Headers) -> Result<Called, ExchangeError> {
+async fn send(
+    source: Source,
+    address: SocketAddr,
+    call: &Call,
+    headers: &Headers,
+) -> Result<CallResponse, ExchangeError> {
     let conn = source.conn().clone();
     conn.reset_on_drop(true);
     let called = call.send(source, address, headers, MAX_RESPONSE_BYTES).await?;
--- a/crates/http/src/raw/call.rs
+++ b/crates/http/src/raw/call.rs
@@ -16,7 +16,7 @@
 
 /// The whole answer to a call.
 #[derive(Debug)]
-pub struct Called {
+pub struct CallResponse {
     /// Status.
     pub status: u16,
     /// Header lines.
@@ -56,13 +56,13 @@
         host: SocketAddr,
         headers: &Headers,
         limit: u64,
-    ) -> Result<Called, ExchangeError> {
+    ) -> Result<CallResponse, ExchangeError> {
         let bytes = self.bytes(host, headers);
         let mut answer = exchange(&mut source, &bytes, self.method, |_| true).await?;
         let body = answer.body.whole(&mut source, limit).await;
         let body = body.map_err(|_| HeadError::Cut)?;
         let keeps = answer.clean && answer.head.keeps();
-        Ok(Called {
+        Ok(CallResponse {
             status: answer.head.status,
             headers: answer.head.headers,
             body,
--- a/crates/http/src/raw/mod.rs
+++ b/crates/http/src/raw/mod.rs
@@ -12,7 +12,7 @@
 mod source;
 
 pub use body::{BodyReader, RawBodyError};
-pub use call::{Call, Called};
+pub use call::{Call, CallResponse};
 pub use exchange::{Answer, ExchangeError, connect, exchange, set_socket_options};
 pub use framing::{Framing, FramingError, request_framing, response_framing};
 pub use head::{HeadError, Headers, RequestHead, ResponseHead};
