--- a/crates/gateway/src/connections/call.rs
+++ b/crates/gateway/src/connections/call.rs
@@ -45,7 +45,7 @@
             send(connect(address, limit).await?, address, call, headers).await
         };
         let called = with_timeout(limit, exchange).await?;
-        self.idle = called.kept;
+        self.idle = called.reusable;
         Ok((called.status, called.body))
     }
 }
--- a/crates/http/src/raw/call.rs
+++ b/crates/http/src/raw/call.rs
@@ -24,7 +24,7 @@
     /// Body.
     pub body: Vec<u8>,
     /// The connection, if it may carry another call.
-    pub kept: Option<Source>,
+    pub reusable: Option<Source>,
 }
 
 impl Call {
@@ -66,7 +66,7 @@
             status: answer.head.status,
             headers: answer.head.headers,
             body,
-            kept: keeps.then_some(source),
+            reusable: keeps.then_some(source),
         })
     }
 }
--- a/crates/store/src/items/client.rs
+++ b/crates/store/src/items/client.rs
@@ -156,7 +156,7 @@
         let sent = call.send(source, self.address, &headers, ANSWER_BYTES);
         match progress_timeout(left(until), || conn.received(), sent).await {
             Ok(Ok(called)) => {
-                *kept = called.kept;
+                *kept = called.reusable;
                 Ok(Answer {
                     status: called.status,
                     era: (self.codec.era)(&called.headers),
