--- a/crates/http/src/raw/call.rs
+++ b/crates/http/src/raw/call.rs
@@ -61,7 +61,7 @@
         let mut answer = exchange(&mut source, &bytes, self.method, |_| true).await?;
         let body = answer.body.whole(&mut source, limit).await;
         let body = body.map_err(|_| HeadError::Cut)?;
-        let keeps = answer.clean && answer.head.keeps();
+        let keeps = answer.reusable && answer.head.keeps();
         Ok(CallResponse {
             status: answer.head.status,
             headers: answer.head.headers,
--- a/crates/http/src/raw/exchange.rs
+++ b/crates/http/src/raw/exchange.rs
@@ -57,7 +57,7 @@
     pub body: BodyReader,
     /// Whether the connection may be used again once the body was read whole: the request had left whole before the
     /// answer began, and no other answer came first.
-    pub clean: bool,
+    pub reusable: bool,
 }
 
 /// Connects. A peer that falls silent later is noticed by what it doesn't acknowledge.
@@ -80,7 +80,7 @@
 }
 
 /// Sends a whole request and reads the head of the answer that `ours` accepts; answers of other requests are skipped.
-/// The answer may begin before the request has left: then the rest is not sent, and the connection is not clean.
+/// The answer may begin before the request has left: then the rest is not sent, and the connection is not reusable.
 ///
 /// # Errors
 /// No such head came.
@@ -91,7 +91,7 @@
     ours: impl Fn(&ResponseHead) -> bool,
 ) -> Result<Answer, ExchangeError> {
     let mut writer = source.conn().clone();
-    let mut clean = source.buffered().is_empty();
+    let mut reusable = source.buffered().is_empty();
     let mut sent = false;
     let head = {
         let write = pin!(writer.write_all(request));
@@ -105,16 +105,16 @@
             }
         }
     };
-    clean &= sent;
+    reusable &= sent;
     let mut head = head?;
     loop {
         let interim = matches!(head.status, 100..=199);
         if !interim && ours(&head) {
             let body = BodyReader::new(response_framing(&head, method)?);
-            return Ok(Answer { head, body, clean });
+            return Ok(Answer { head, body, reusable });
         }
         if !interim {
-            clean = false;
+            reusable = false;
             let mut skipped = BodyReader::new(response_framing(&head, method)?);
             let whole = skipped.whole(source, SKIPPED_BYTES).await;
             whole.map_err(|_| HeadError::Cut)?;
--- a/crates/http/tests/raw.rs
+++ b/crates/http/tests/raw.rs
@@ -258,7 +258,7 @@
             .expect("an answer");
         let body = answer.body.whole(&mut source, 100).await.expect("a body");
         assert_eq!(body, b"right");
-        assert!(!answer.clean, "such a connection is not used again");
+        assert!(!answer.reusable, "such a connection is not used again");
     });
 }
 
@@ -278,6 +278,6 @@
         // More than the sockets' buffers hold, and the peer reads nothing.
         let long = vec![b'x'; 64 << 20];
         let answer = exchange(&mut source, &long, "POST", |_| true).await.expect("an answer");
-        assert_eq!((answer.head.status, answer.clean), (503, false));
+        assert_eq!((answer.head.status, answer.reusable), (503, false));
     });
 }
