--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -10,7 +10,7 @@
 use crate::shared::Shared;
 use dispatch::attempt::{self, AttemptHistory, Cause, Failure, PendingAttempt, RetryDecision, Wait};
 use dispatch::fleet::{Choice, Outcome, PickContext, PickedEndpoint, Staleness};
-use http::raw::{Answer, ExchangeError, Headers, Source, exchange};
+use http::raw::{ExchangeError, Headers, Response, Source, exchange};
 use ids::EndpointId;
 use lifecycle::events::EventSplitter;
 use lifecycle::request::{Request, RequestEvent, RequestState, RequestStep, RetryPolicy};
@@ -379,7 +379,7 @@
         &self,
         picked: &PickedEndpoint,
         connection: PooledConnection,
-    ) -> Result<(Answer, Source), ExchangeError> {
+    ) -> Result<(Response, Source), ExchangeError> {
         let request = self.encode(picked);
         let method = &self.request.incoming.head.method;
         let parse = self.shared.dialect.parse_response;
@@ -407,7 +407,7 @@
     async fn handle_response(
         &mut self,
         in_flight: &mut InFlightAttempt<'_>,
-        answer: Answer,
+        answer: Response,
         source: Source,
     ) -> AttemptResult {
         let info = (self.shared.dialect.parse_response)(&answer.head);
@@ -489,7 +489,7 @@
     async fn read_response(
         &mut self,
         in_flight: &mut InFlightAttempt<'_>,
-        mut answer: Answer,
+        mut answer: Response,
         mut source: Source,
         info: &ResponseInfo,
     ) -> AttemptResult {
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -9,7 +9,7 @@
 use async_std::io::WriteExt;
 use dispatch::attempt::{self, Cause, Failure};
 use dispatch::fleet::Outcome;
-use http::raw::{Answer, Source};
+use http::raw::{Response, Source};
 use lifecycle::request::RequestEvent;
 
 /// Relays the part of a stream that one endpoint sends.
@@ -40,7 +40,7 @@
         }
     }
 
-    pub(super) async fn run(mut self, mut answer: Answer, mut source: Source, info: &ResponseInfo) -> AttemptResult {
+    pub(super) async fn run(mut self, mut answer: Response, mut source: Source, info: &ResponseInfo) -> AttemptResult {
         let conn = self.attempts.request.incoming.conn.clone();
         // Whether this endpoint has sent an event. Earlier events may have come from another endpoint.
         let mut started = false;
@@ -106,7 +106,7 @@
     }
 
     /// Handles the end of the endpoint's response.
-    async fn finish(mut self, answer: &Answer, source: Source, info: &ResponseInfo) -> AttemptResult {
+    async fn finish(mut self, answer: &Response, source: Source, info: &ResponseInfo) -> AttemptResult {
         let rest = self.attempts.events.finish();
         if self.write(answer, &rest, true).await == WriteResult::ClientGone {
             return AttemptResult::Ended(self.attempts.client_gone());
@@ -122,7 +122,7 @@
     }
 
     /// Writes events. The first write includes the response head, the last one the end of the stream.
-    async fn write(&mut self, answer: &Answer, part: &[u8], last: bool) -> WriteResult {
+    async fn write(&mut self, answer: &Response, part: &[u8], last: bool) -> WriteResult {
         let mut bytes = Vec::with_capacity(part.len() + 64);
         if !self.attempts.head_sent {
             let headers = (self.attempts.shared.dialect.response_headers)(&answer.head.headers);
--- a/crates/http/src/raw/exchange.rs
+++ b/crates/http/src/raw/exchange.rs
@@ -50,7 +50,7 @@
 
 /// An answer of which the head has arrived.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// The head.
     pub head: ResponseHead,
     /// The body, still on the connection.
@@ -89,7 +89,7 @@
     request: &[u8],
     method: &str,
     ours: impl Fn(&ResponseHead) -> bool,
-) -> Result<Answer, ExchangeError> {
+) -> Result<Response, ExchangeError> {
     let mut writer = source.conn().clone();
     let mut reusable = source.buffered().is_empty();
     let mut sent = false;
@@ -111,7 +111,7 @@
         let interim = matches!(head.status, 100..=199);
         if !interim && ours(&head) {
             let body = BodyReader::new(response_framing(&head, method)?);
-            return Ok(Answer { head, body, reusable });
+            return Ok(Response { head, body, reusable });
         }
         if !interim {
             reusable = false;
