--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -192,7 +192,7 @@
         return ConnectionAction::Abort;
     }
     let mut reader = BodyReader::new(framing);
-    let body = match timeout(BODY_TIMEOUT, reader.whole(source, limits.body_bytes)).await {
+    let body = match timeout(BODY_TIMEOUT, reader.read_to_end(source, limits.body_bytes)).await {
         Ok(Ok(body)) => body,
         Ok(Err(RawBodyError::TooLarge)) => return refuse(shared, conn, Cause::BodyTooLarge).await,
         Ok(Err(RawBodyError::Chunk)) => return refuse(shared, conn, Cause::Malformed).await,
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -494,7 +494,7 @@
         info: &ResponseInfo,
     ) -> AttemptResult {
         let conn = self.request.incoming.conn.clone();
-        let reading = answer.body.whole(&mut source, MAX_RESPONSE_BYTES);
+        let reading = answer.body.read_to_end(&mut source, MAX_RESPONSE_BYTES);
         let body = match wait(&conn, self.remaining(), reading).await {
             WaitOutcome::Done(Ok(body)) => body,
             WaitOutcome::Done(Err(_)) => return self.response_broken(in_flight),
--- a/crates/http/src/raw/body.rs
+++ b/crates/http/src/raw/body.rs
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// The body is not whole, or longer.
-    pub async fn whole(&mut self, source: &mut Source, limit: u64) -> Result<Vec<u8>, RawBodyError> {
+    pub async fn read_to_end(&mut self, source: &mut Source, limit: u64) -> Result<Vec<u8>, RawBodyError> {
         let mut body = Vec::new();
         if matches!(self.state, State::Length(length) if length > limit) {
             return Err(RawBodyError::TooLarge);
--- a/crates/http/src/raw/exchange.rs
+++ b/crates/http/src/raw/exchange.rs
@@ -116,7 +116,7 @@
         if !interim {
             reusable = false;
             let mut skipped = BodyReader::new(response_framing(&head, method)?);
-            let whole = skipped.whole(source, SKIPPED_BYTES).await;
+            let whole = skipped.read_to_end(source, SKIPPED_BYTES).await;
             whole.map_err(|_| HeadError::Cut)?;
         }
         head = source.response_head(HEAD_BYTES).await?;
--- a/crates/http/tests/raw.rs
+++ b/crates/http/tests/raw.rs
@@ -205,7 +205,7 @@
     for case in cases {
         let body = task::block_on(async {
             let mut source = source(case.bytes).await;
-            BodyReader::new(case.framing).whole(&mut source, 1_000).await
+            BodyReader::new(case.framing).read_to_end(&mut source, 1_000).await
         });
         assert_eq!(
             body.ok().as_deref(),
@@ -225,7 +225,7 @@
     ] {
         let body = task::block_on(async {
             let mut source = source(bytes).await;
-            BodyReader::new(framing).whole(&mut source, 10).await
+            BodyReader::new(framing).read_to_end(&mut source, 10).await
         });
         assert!(matches!(body, Err(RawBodyError::TooLarge)), "{framing:?}");
     }
@@ -239,7 +239,10 @@
         let mut source = source(bytes).await;
         let first = source.request_head(1_000).await.expect("a head");
         let framing = request_framing(&first).expect("a length");
-        let body = BodyReader::new(framing).whole(&mut source, 100).await.expect("a body");
+        let body = BodyReader::new(framing)
+            .read_to_end(&mut source, 100)
+            .await
+            .expect("a body");
         assert_eq!((first.target.as_str(), body.as_slice()), ("/1", &b"abc"[..]));
         assert_eq!(source.request_head(1_000).await.expect("a head").target, "/2");
     });
@@ -256,7 +259,7 @@
         let mut answer = exchange(&mut source, b"GET / HTTP/1.1\r\n\r\n", "GET", ours)
             .await
             .expect("an answer");
-        let body = answer.body.whole(&mut source, 100).await.expect("a body");
+        let body = answer.body.read_to_end(&mut source, 100).await.expect("a body");
         assert_eq!(body, b"right");
         assert!(!answer.reusable, "such a connection is not used again");
     });
