--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -46,7 +46,7 @@
         let mut started = false;
         loop {
             let within = attempt::stream_idle_timeout(self.attempts.request.route.kind, self.attempts.remaining());
-            let part = answer.body.part(&mut source);
+            let part = answer.body.next_part(&mut source);
             let waited = if started {
                 wait(&conn, within, part).await
             } else {
--- a/crates/http/src/raw/body.rs
+++ b/crates/http/src/raw/body.rs
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// The body is not whole and cannot be read on.
-    pub async fn part(&mut self, source: &mut Source) -> Result<Option<Vec<u8>>, RawBodyError> {
+    pub async fn next_part(&mut self, source: &mut Source) -> Result<Option<Vec<u8>>, RawBodyError> {
         loop {
             let step = match self.state {
                 State::Whole => return Ok(None),
@@ -98,7 +98,7 @@
         if matches!(self.state, State::Length(length) if length > limit) {
             return Err(RawBodyError::TooLarge);
         }
-        while let Some(part) = self.part(source).await? {
+        while let Some(part) = self.next_part(source).await? {
             body.extend_from_slice(&part);
             if body.len() as u64 > limit {
                 return Err(RawBodyError::TooLarge);
