--- a/crates/http/src/raw/body.rs
+++ b/crates/http/src/raw/body.rs
@@ -64,7 +64,7 @@
     }
 
     /// Whether the end was read.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.state == State::Whole
     }
 
