--- a/crates/gateway/src/connections/call.rs
+++ b/crates/gateway/src/connections/call.rs
@@ -88,6 +88,6 @@
     limit: Duration,
     exchange: impl Future<Output = Result<T, ExchangeError>>,
 ) -> Result<T, ExchangeError> {
-    let truncated = Err(ExchangeError::Head(HeadError::Cut));
+    let truncated = Err(ExchangeError::Head(HeadError::Truncated));
     timeout(limit, exchange).await.unwrap_or(truncated)
 }
--- a/crates/http/src/raw/call.rs
+++ b/crates/http/src/raw/call.rs
@@ -60,7 +60,7 @@
         let bytes = self.bytes(host, headers);
         let mut answer = exchange(&mut source, &bytes, self.method, |_| true).await?;
         let body = answer.body.read_to_end(&mut source, limit).await;
-        let body = body.map_err(|_| HeadError::Cut)?;
+        let body = body.map_err(|_| HeadError::Truncated)?;
         let keeps = answer.reusable && answer.head.keeps();
         Ok(CallResponse {
             status: answer.head.status,
--- a/crates/http/src/raw/exchange.rs
+++ b/crates/http/src/raw/exchange.rs
@@ -117,7 +117,7 @@
             reusable = false;
             let mut skipped = BodyReader::new(response_framing(&head, method)?);
             let whole = skipped.read_to_end(source, SKIPPED_BYTES).await;
-            whole.map_err(|_| HeadError::Cut)?;
+            whole.map_err(|_| HeadError::Truncated)?;
         }
         head = source.response_head(HEAD_BYTES).await?;
     }
--- a/crates/http/src/raw/head.rs
+++ b/crates/http/src/raw/head.rs
@@ -14,7 +14,7 @@
             display("the connection was closed")
         }
         /// The connection ended within the head.
-        Cut {
+        Truncated {
             display("the connection ended within a head")
         }
         /// The head is longer than allowed.
--- a/crates/http/src/raw/source.rs
+++ b/crates/http/src/raw/source.rs
@@ -110,7 +110,7 @@
             }
             let begun = !self.buffered().is_empty();
             if self.fill().await? == 0 {
-                return Err(if begun { HeadError::Cut } else { HeadError::Closed });
+                return Err(if begun { HeadError::Truncated } else { HeadError::Closed });
             }
         }
     }
