--- a/crates/http/src/raw/body.rs
+++ b/crates/http/src/raw/body.rs
@@ -15,7 +15,7 @@
     #[derive(Debug)]
     pub enum RawBodyError {
         /// The connection ended before the body did.
-        Cut {
+        Truncated {
             display("the connection ended within the body")
         }
         /// It is longer than the reader allows.
@@ -84,7 +84,7 @@
                 State::Trailers => self.trailers(source)?,
             };
             if !step && source.fill().await? == 0 {
-                return Err(RawBodyError::Cut);
+                return Err(RawBodyError::Truncated);
             }
         }
     }
@@ -114,7 +114,7 @@
         next: impl Fn(u64) -> State,
     ) -> Result<Vec<u8>, RawBodyError> {
         if source.buffered().is_empty() && source.fill().await? == 0 {
-            return Err(RawBodyError::Cut);
+            return Err(RawBodyError::Truncated);
         }
         let length = source.buffered().len().min(usize::try_from(left).unwrap_or(usize::MAX));
         let part = source.buffered()[..length].to_vec();
