--- a/crates/http/src/raw/head.rs
+++ b/crates/http/src/raw/head.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether a comma-separated list of this name holds `token`, whatever its case.
-    pub fn lists(&self, name: &str, token: &str) -> bool {
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
         let has = |value: &[u8]| {
             let text = String::from_utf8_lossy(value);
             text.split(',').any(|item| item.trim().eq_ignore_ascii_case(token))
@@ -123,9 +123,9 @@
     /// Whether the connection may serve another request after this one.
     pub fn keeps(&self) -> bool {
         if self.old {
-            return self.headers.lists("connection", "keep-alive");
+            return self.headers.has_token("connection", "keep-alive");
         }
-        !self.headers.lists("connection", "close")
+        !self.headers.has_token("connection", "close")
     }
 
     /// The path, without the query. Targets are origin-form; of any other the whole counts.
@@ -163,6 +163,6 @@
 
     /// Whether the connection may carry another request after this answer.
     pub fn keeps(&self) -> bool {
-        !self.old && !self.headers.lists("connection", "close")
+        !self.old && !self.headers.has_token("connection", "close")
     }
 }
