--- a/crates/gateway/src/front/page.rs
+++ b/crates/gateway/src/front/page.rs
@@ -55,7 +55,7 @@
         let mut bytes = lines.into_bytes();
         bytes.extend_from_slice(&text);
         conn.write_all(&bytes).await?;
-        if !head.keeps() {
+        if !head.keeps_alive() {
             return Ok(());
         }
     }
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -503,7 +503,7 @@
         };
         let status = answer.head.status;
         let headers = (self.shared.dialect.response_headers)(&answer.head.headers);
-        if answer.reusable && answer.head.keeps() {
+        if answer.reusable && answer.head.keeps_alive() {
             self.shared
                 .connections
                 .put_back(&in_flight.picked.endpoint, source, info.keep_alive);
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -173,7 +173,7 @@
 
 /// Whether the connection is closed after this response.
 fn closes_connection(shared: &Shared, incoming: &IncomingRequest) -> bool {
-    !incoming.head.keeps() || shared.stopping.load(Ordering::SeqCst)
+    !incoming.head.keeps_alive() || shared.stopping.load(Ordering::SeqCst)
 }
 
 fn connection_action(close: bool) -> ConnectionAction {
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -112,7 +112,7 @@
             return AttemptResult::Ended(self.attempts.client_gone());
         }
         self.attempts.lifecycle.on(RequestEvent::AnswerComplete);
-        if answer.reusable && answer.head.keeps() {
+        if answer.reusable && answer.head.keeps_alive() {
             let connections = &self.attempts.shared.connections;
             connections.put_back(&self.in_flight.picked.endpoint, source, info.keep_alive);
         }
--- a/crates/http/src/raw/call.rs
+++ b/crates/http/src/raw/call.rs
@@ -61,7 +61,7 @@
         let mut answer = exchange(&mut source, &bytes, self.method, |_| true).await?;
         let body = answer.body.read_to_end(&mut source, limit).await;
         let body = body.map_err(|_| HeadError::Truncated)?;
-        let keeps = answer.reusable && answer.head.keeps();
+        let keeps = answer.reusable && answer.head.keeps_alive();
         Ok(CallResponse {
             status: answer.head.status,
             headers: answer.head.headers,
--- a/crates/http/src/raw/head.rs
+++ b/crates/http/src/raw/head.rs
@@ -121,7 +121,7 @@
     }
 
     /// Whether the connection may serve another request after this one.
-    pub fn keeps(&self) -> bool {
+    pub fn keeps_alive(&self) -> bool {
         if self.old {
             return self.headers.has_token("connection", "keep-alive");
         }
@@ -162,7 +162,7 @@
     }
 
     /// Whether the connection may carry another request after this answer.
-    pub fn keeps(&self) -> bool {
+    pub fn keeps_alive(&self) -> bool {
         !self.old && !self.headers.has_token("connection", "close")
     }
 }
