--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -209,7 +209,7 @@
 }
 
 fn expects_continue(head: &RequestHead) -> bool {
-    !head.old && head.headers.has_token("expect", "100-continue")
+    !head.http10 && head.headers.has_token("expect", "100-continue")
 }
 
 async fn send_continue(conn: &Conn) -> bool {
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -31,7 +31,7 @@
     pub(super) fn new(attempts: &'r mut Attempts<'a>, in_flight: &'r mut InFlightAttempt<'f>) -> Self {
         let incoming = attempts.request.incoming;
         let close = closes_connection(attempts.shared, incoming);
-        let chunked = !incoming.head.old;
+        let chunked = !incoming.head.http10;
         Self {
             attempts,
             in_flight,
--- a/crates/http/src/raw/head.rs
+++ b/crates/http/src/raw/head.rs
@@ -98,7 +98,7 @@
     /// The target as sent, never resolved or decoded.
     pub target: String,
     /// Whether the caller speaks HTTP/1.0, which has neither chunks nor kept connections by default.
-    pub old: bool,
+    pub http10: bool,
     /// Header lines.
     pub headers: Headers,
 }
@@ -114,7 +114,7 @@
         let head = Self {
             method: request.method.unwrap_or_default().to_owned(),
             target: request.path.unwrap_or_default().to_owned(),
-            old: request.version == Some(0),
+            http10: request.version == Some(0),
             headers: Headers::of(request.headers),
         };
         Ok(Some((head, length)))
@@ -122,7 +122,7 @@
 
     /// Whether the connection may serve another request after this one.
     pub fn keeps_alive(&self) -> bool {
-        if self.old {
+        if self.http10 {
             return self.headers.has_token("connection", "keep-alive");
         }
         !self.headers.has_token("connection", "close")
@@ -142,7 +142,7 @@
     /// Header lines.
     pub headers: Headers,
     /// Whether the peer speaks HTTP/1.0.
-    pub old: bool,
+    pub http10: bool,
 }
 
 impl ResponseHead {
@@ -156,13 +156,13 @@
         let head = Self {
             status: response.code.unwrap_or_default(),
             headers: Headers::of(response.headers),
-            old: response.version == Some(0),
+            http10: response.version == Some(0),
         };
         Ok(Some((head, length)))
     }
 
     /// Whether the connection may carry another request after this answer.
     pub fn keeps_alive(&self) -> bool {
-        !self.old && !self.headers.has_token("connection", "close")
+        !self.http10 && !self.headers.has_token("connection", "close")
     }
 }
