--- a/crates/gateway/src/connections/call.rs
+++ b/crates/gateway/src/connections/call.rs
@@ -38,7 +38,7 @@
         let exchange = async {
             if let Some(source) = idle {
                 match send(source, address, call, headers).await {
-                    Err(err) if err.closed() => {}
+                    Err(err) if err.is_closed() => {}
                     response => return response,
                 }
             }
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -390,7 +390,7 @@
             Ok(answer) => Ok((answer, source)),
             // The endpoint closed the reused connection while the request was in transit. Sending it again is safe,
             // because only repeatable requests use such connections.
-            Err(err) if connection.used && err.closed() => {
+            Err(err) if connection.used && err.is_closed() => {
                 let limit = self.remaining();
                 let fresh = self
                     .shared
--- a/crates/http/src/raw/exchange.rs
+++ b/crates/http/src/raw/exchange.rs
@@ -43,7 +43,7 @@
 
 impl ExchangeError {
     /// Whether the peer closed without a byte of an answer.
-    pub fn closed(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         matches!(self, Self::Head(HeadError::Closed | HeadError::Io(_)))
     }
 }
