--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -18,7 +18,7 @@
             display("the body broke off: {err}")
         }
         /// Its length differs from the declared one; async-h1 reports such a body as whole.
-        OtherLength(declared: u64, read: u64) {
+        LengthMismatch(declared: u64, read: u64) {
             display("{declared} bytes declared, {read} read")
         }
         /// The head declares neither a length nor chunks, so that a cut could not be seen.
@@ -80,7 +80,7 @@
         if let Some(declared) = declared
             && declared != read
         {
-            return Err(BodyError::OtherLength(declared, read));
+            return Err(BodyError::LengthMismatch(declared, read));
         }
         self.recycle();
         Ok(body)
--- a/crates/http/tests/traps.rs
+++ b/crates/http/tests/traps.rs
@@ -15,7 +15,7 @@
 enum Came {
     Whole(&'static str),
     NoAnswer,
-    OtherLength,
+    LengthMismatch,
     Broken,
     Unframed,
     TooLarge,
@@ -61,7 +61,7 @@
         match reply.read_body(LIMIT).await {
             Ok(body) if body == b"hello" => Came::Whole("hello"),
             Ok(body) => panic!("{}: {}", case.name, String::from_utf8_lossy(&body)),
-            Err(BodyError::OtherLength(..)) => Came::OtherLength,
+            Err(BodyError::LengthMismatch(..)) => Came::LengthMismatch,
             Err(BodyError::Io(_)) => Came::Broken,
             Err(BodyError::Unframed) => Came::Unframed,
             Err(BodyError::TooLarge(_)) => Came::TooLarge,
@@ -94,7 +94,7 @@
         Case {
             name: "short",
             answer: "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhello",
-            came: Came::OtherLength,
+            came: Came::LengthMismatch,
         },
         Case {
             name: "undeclared",
