--- a/crates/apricotfork/src/config_command/mod.rs
+++ b/crates/apricotfork/src/config_command/mod.rs
@@ -12,7 +12,7 @@
 use crate::exit;
 use arguments::Verb;
 use async_std::task;
-use config::{AssembleError, ChainBroken, Outcome, UndoRefused};
+use config::{AssembleError, ChainError, Outcome, UndoRefused};
 use quick_error::quick_error;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -48,7 +48,7 @@
             display("not JSON: {err}")
         }
         /// The audit trail does not hold together.
-        Chain(err: ChainBroken) {
+        Chain(err: ChainError) {
             from()
             display("{err}")
         }
--- a/crates/config/src/audit.rs
+++ b/crates/config/src/audit.rs
@@ -118,7 +118,7 @@
 quick_error! {
     /// Where an audit log was tampered with or damaged.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum ChainBroken {
+    pub enum ChainError {
         /// The record does not follow from the one before it.
         Link(revision: Revision) {
             display("the record of revision {revision} does not follow from the one before it")
@@ -142,21 +142,21 @@
 ///
 /// # Errors
 /// The first place where it does not hold together.
-pub fn verify_chain(head: &Head, log: &AuditLog) -> Result<(), ChainBroken> {
+pub fn verify_chain(head: &Head, log: &AuditLog) -> Result<(), ChainError> {
     let mut before = log.checkpoint.clone();
     let mut sections: BTreeMap<Section, SectionRef> = BTreeMap::new();
     for record in &log.records {
         let revision = record.revision;
         if revision.0 != before.revision.0 + 1 {
-            return Err(ChainBroken::Gap(revision));
+            return Err(ChainError::Gap(revision));
         }
         if record.previous != before.digest {
-            return Err(ChainBroken::Link(revision));
+            return Err(ChainError::Link(revision));
         }
         for step in &record.moves {
             let known = sections.get(&step.section);
             if known.is_some() && known != step.from.as_ref() {
-                return Err(ChainBroken::Section(revision, step.section));
+                return Err(ChainError::Section(revision, step.section));
             }
             sections.insert(
                 step.section,
@@ -175,5 +175,5 @@
         .iter()
         .all(|(section, named)| head.sections.get(section) == Some(named));
     let ends = before.revision == head.revision && before.digest == head.audit;
-    if agrees && ends { Ok(()) } else { Err(ChainBroken::Head) }
+    if agrees && ends { Ok(()) } else { Err(ChainError::Head) }
 }
--- a/crates/config/src/head.rs
+++ b/crates/config/src/head.rs
@@ -4,7 +4,7 @@
 //! every write. So each section is a value of its own, written once under a name that contains its change, and one
 //! small head names those in force. A watch on the head costs each router some hundred bytes for each change.
 
-use crate::{ChainBroken, ChangeId, Document, Problem, Section, audit::AuditLog, parse_section, validate};
+use crate::{ChainError, ChangeId, Document, Problem, Section, audit::AuditLog, parse_section, validate};
 use ids::{Digest, Revision};
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -110,7 +110,7 @@
             source(error)
         }
         /// The audit log does not hold together.
-        Chain(broken: ChainBroken) {
+        Chain(broken: ChainError) {
             display("the audit log is broken: {broken}")
             source(broken)
         }
