--- a/crates/apricotfork/src/config_command/mod.rs
+++ b/crates/apricotfork/src/config_command/mod.rs
@@ -12,7 +12,7 @@
 use crate::exit;
 use arguments::Verb;
 use async_std::task;
-use config::{AssembleError, ChainError, Outcome, UndoRefused};
+use config::{AssembleError, ChainError, Outcome, UndoError};
 use quick_error::quick_error;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -57,7 +57,7 @@
             display("the trail of refused attempts does not hold together")
         }
         /// The revision cannot be undone.
-        Undo(err: UndoRefused) {
+        Undo(err: UndoError) {
             from()
             display("{err}")
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -34,5 +34,5 @@
 pub use section::section_text;
 pub use settle::{Settled, settle};
 pub use submission::{Answer, Call, Intent, Loader, Loading, Next, Outcome, Stored, Submission};
-pub use undo::{UndoRefused, undo, undo_source};
+pub use undo::{UndoError, undo, undo_source};
 pub use validate::validate;
--- a/crates/config/src/undo.rs
+++ b/crates/config/src/undo.rs
@@ -7,7 +7,7 @@
 quick_error! {
     /// Why a revision can't be undone.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum UndoRefused {
+    pub enum UndoError {
         /// The log doesn't have it, or no longer.
         NotKept(revision: Revision) {
             display("revision {revision} is not in the log")
@@ -31,18 +31,18 @@
 ///
 /// # Errors
 /// It can't be undone.
-pub fn undo_source(view: &View, revision: Revision) -> Result<(crate::Section, SectionRef), UndoRefused> {
+pub fn undo_source(view: &View, revision: Revision) -> Result<(crate::Section, SectionRef), UndoError> {
     let record = view.log.records.iter().find(|record| record.revision == revision);
-    let record = record.ok_or(UndoRefused::NotKept(revision))?;
+    let record = record.ok_or(UndoError::NotKept(revision))?;
     let [step] = record.moves.as_slice() else {
-        return Err(UndoRefused::First);
+        return Err(UndoError::First);
     };
-    let from = step.from.clone().ok_or(UndoRefused::First)?;
+    let from = step.from.clone().ok_or(UndoError::First)?;
     let touches = |later: &&crate::Record| {
         later.revision > revision && later.moves.iter().any(|other| other.section == step.section)
     };
     if let Some(later) = view.log.records.iter().find(touches) {
-        return Err(UndoRefused::ChangedSince(later.revision));
+        return Err(UndoError::ChangedSince(later.revision));
     }
     Ok((step.section, from))
 }
@@ -51,10 +51,10 @@
 ///
 /// # Errors
 /// It can't be undone, or the text is another.
-pub fn undo(view: &View, revision: Revision, id: ChangeId, operator: &str, text: &str) -> Result<Change, UndoRefused> {
+pub fn undo(view: &View, revision: Revision, id: ChangeId, operator: &str, text: &str) -> Result<Change, UndoError> {
     let (section, from) = undo_source(view, revision)?;
     if Digest::of(text.as_bytes()) != from.digest {
-        return Err(UndoRefused::Digest);
+        return Err(UndoError::Digest);
     }
     let before = view.head.sections[&section].digest;
     Ok(Change {
--- a/crates/config/tests/trail.rs
+++ b/crates/config/tests/trail.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use config::{
-    Adopt, Change, ChangeId, ChangeRefused, Plan, RefusedLog, Revisions, Section, Settled, UndoRefused, UnixMillis,
-    View, bootstrap, plan_change, section_text, settle, undo, undo_source, verify_chain,
+    Adopt, Change, ChangeId, ChangeRefused, Plan, RefusedLog, Revisions, Section, Settled, UndoError, UnixMillis, View,
+    bootstrap, plan_change, section_text, settle, undo, undo_source, verify_chain,
 };
 use ids::{Digest, Revision};
 use quickcheck::{Gen, QuickCheck};
@@ -100,10 +100,10 @@
         let old = section_text(&history(5).document, section);
         undo(&now, Revision(revision), ChangeId::from("undo"), &name(0), &old)
     };
-    assert_eq!(make(1), Err(UndoRefused::First));
-    assert_eq!(make(2), Err(UndoRefused::ChangedSince(Revision(7))));
-    assert_eq!(make(50), Err(UndoRefused::NotKept(Revision(50))));
-    assert_eq!(make(6), Err(UndoRefused::Digest));
+    assert_eq!(make(1), Err(UndoError::First));
+    assert_eq!(make(2), Err(UndoError::ChangedSince(Revision(7))));
+    assert_eq!(make(50), Err(UndoError::NotKept(Revision(50))));
+    assert_eq!(make(6), Err(UndoError::Digest));
     let plan = plan_change(&now, &make(7).unwrap(), &key(0), UnixMillis(4)).unwrap();
     assert_eq!(plan.head.revision, Revision(8));
     assert_eq!(plan.document.workspaces, history(5).document.workspaces);
