--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -30,7 +30,7 @@
 pub use parse::{parse, parse_section};
 pub use problem::{Problem, ProblemKind};
 pub use refused::{ATTEMPTS_KEPT, Attempt, REFUSED_KEY, RefusedLog};
-pub use revisions::{Adopt, Revisions, SameRevision};
+pub use revisions::{Adopt, RevisionConflict, Revisions};
 pub use section::section_text;
 pub use settle::{Settled, settle};
 pub use submission::{Answer, Call, Intent, Loader, Loading, Next, Outcome, Stored, Submission};
--- a/crates/config/src/revisions.rs
+++ b/crates/config/src/revisions.rs
@@ -16,13 +16,13 @@
     /// Older: ignored.
     Older,
     /// Two contents under one revision: ignored and reported.
-    Conflict(SameRevision),
+    Conflict(RevisionConflict),
 }
 
 /// Two different contents bear one revision: the compare-and-swap was bypassed, or the store was replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[display("revision {revision} has two contents: {kept} in force, {other} offered")]
-pub struct SameRevision {
+pub struct RevisionConflict {
     /// The revision.
     pub revision: Revision,
     /// Digest of the head in force.
@@ -31,7 +31,7 @@
     pub other: Digest,
 }
 
-impl std::error::Error for SameRevision {}
+impl std::error::Error for RevisionConflict {}
 
 /// The revision in force in one router.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -64,7 +64,7 @@
         if digest == kept {
             Adopt::Same
         } else {
-            Adopt::Conflict(SameRevision {
+            Adopt::Conflict(RevisionConflict {
                 revision,
                 kept,
                 other: digest,
