--- a/crates/config/src/revisions.rs
+++ b/crates/config/src/revisions.rs
@@ -51,7 +51,7 @@
     }
 
     /// What [`offer`](Self::offer) would say, without adopting.
-    pub fn weigh(&self, revision: Revision, digest: Digest) -> Adopt {
+    pub fn check(&self, revision: Revision, digest: Digest) -> Adopt {
         let Some((current, kept)) = self.current else {
             return Adopt::Newer;
         };
@@ -74,7 +74,7 @@
 
     /// Adopts a revision if it is newer; `digest` is that of the head.
     pub fn offer(&mut self, revision: Revision, digest: Digest) -> Adopt {
-        let adopt = self.weigh(revision, digest);
+        let adopt = self.check(revision, digest);
         if adopt == Adopt::Newer {
             self.current = Some((revision, digest));
         }
--- a/crates/router/src/control/fetching.rs
+++ b/crates/router/src/control/fetching.rs
@@ -14,7 +14,7 @@
     /// A peer has a newer configuration: it is read from there, so that a router that is cut from the platform has it
     /// as well.
     pub(super) fn offer(&mut self, from: Member, revision: Revision, digest: Digest) {
-        if !matches!(self.revisions.weigh(revision, digest), config::Adopt::Newer) {
+        if !matches!(self.revisions.check(revision, digest), config::Adopt::Newer) {
             return;
         }
         if !self.peering.fetching.insert((from.id.clone(), revision)) {
