--- a/crates/apricotfork/src/config_command/calls.rs
+++ b/crates/apricotfork/src/config_command/calls.rs
@@ -48,7 +48,7 @@
         let answer = make(platform, &call).await;
         match submission.on(answer) {
             Next::Call(next) => call = next,
-            Next::Later(next) => {
+            Next::Retry(next) => {
                 call = next;
                 if pause(until).await.is_err() {
                     return submission.give_up();
--- a/crates/config/src/submission/mod.rs
+++ b/crates/config/src/submission/mod.rs
@@ -93,7 +93,7 @@
     /// Make this call, and tell what came back.
     Call(Call),
     /// The platform does not answer: wait a little, then make this call.
-    Later(Call),
+    Retry(Call),
     /// It has ended.
     Done(Outcome),
 }
@@ -166,9 +166,9 @@
             (Stage::Swap { plan, version }, Answer::Failed) => {
                 self.sent = Some((plan.clone(), *version));
                 self.stage = Stage::Load;
-                Next::Later(self.call())
+                Next::Retry(self.call())
             }
-            (_, Answer::Failed) => Next::Later(self.call()),
+            (_, Answer::Failed) => Next::Retry(self.call()),
             (Stage::Load, Answer::Found(stored)) => match self.loader.on(stored) {
                 Loading::Read(_) => Next::Call(self.call()),
                 Loading::Empty(version) => self.decide(None, version),
--- a/crates/config/tests/races.rs
+++ b/crates/config/tests/races.rs
@@ -89,7 +89,7 @@
             };
         }
         Work::Submitting(mut submission, id, added) => match submission.on(store.faulty(&submission.call(), random)) {
-            Next::Later(_) if random.random_ratio(1, 40) => {
+            Next::Retry(_) if random.random_ratio(1, 40) => {
                 let outcome = submission.give_up();
                 store.delete(submission.leftovers(&outcome));
                 match outcome {
@@ -98,7 +98,7 @@
                 }
                 writer.work = Work::Reading(Loader::new());
             }
-            Next::Call(_) | Next::Later(_) => writer.work = Work::Submitting(submission, id, added),
+            Next::Call(_) | Next::Retry(_) => writer.work = Work::Submitting(submission, id, added),
             Next::Done(Outcome::Accepted { revision, garbage }) => {
                 store.delete(garbage.clone());
                 store.delete(submission.leftovers(&Outcome::Accepted { revision, garbage }));
--- a/crates/config/tests/support/mod.rs
+++ b/crates/config/tests/support/mod.rs
@@ -83,7 +83,7 @@
     let mut call = submission.call();
     for _ in 0..1000 {
         match submission.on(store.apply(&call)) {
-            Next::Call(next) | Next::Later(next) => call = next,
+            Next::Call(next) | Next::Retry(next) => call = next,
             Next::Done(outcome) => return (outcome, submission),
         }
     }
