--- a/crates/config/src/change/mod.rs
+++ b/crates/config/src/change/mod.rs
@@ -58,7 +58,7 @@
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ChangeRefused {
         /// No such operator, or not their key.
-        NotProven {
+        AuthFailed {
             display("the operator's name and key do not go together")
         }
         /// The section belongs to someone else.
--- a/crates/config/src/change/plan.rs
+++ b/crates/config/src/change/plan.rs
@@ -186,7 +186,7 @@
         .operators
         .get(operator)
         .is_some_and(|known| known.key == key.digest());
-    if proven { Ok(()) } else { Err(ChangeRefused::NotProven) }
+    if proven { Ok(()) } else { Err(ChangeRefused::AuthFailed) }
 }
 
 fn conflict(view: &View, change: &Change, current: Digest) -> Conflict {
--- a/crates/config/tests/races.rs
+++ b/crates/config/tests/races.rs
@@ -313,7 +313,7 @@
             proof: 4,
             section: Section::Priorities,
             after: "{}",
-            reason: |r| *r == ChangeRefused::NotProven,
+            reason: |r| *r == ChangeRefused::AuthFailed,
         },
         Case {
             operator: 3,
--- a/crates/config/tests/trail.rs
+++ b/crates/config/tests/trail.rs
@@ -82,7 +82,7 @@
     for number in 0..100 {
         log.record(
             &add(&now, Section::Models, number),
-            &ChangeRefused::NotProven,
+            &ChangeRefused::AuthFailed,
             UnixMillis(3),
         );
         assert!(log.verify());
