--- a/crates/config/src/audit.rs
+++ b/crates/config/src/audit.rs
@@ -21,7 +21,7 @@
 
 /// From what to what a section went.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SectionMove {
+pub struct SectionChange {
     /// The section.
     pub section: Section,
     /// What was in force before; absent with the first document.
@@ -42,7 +42,7 @@
     /// When, by the operator's clock.
     pub at: UnixMillis,
     /// One section; all with the first document.
-    pub moves: Vec<SectionMove>,
+    pub moves: Vec<SectionChange>,
     /// Digest of the record before; of nothing for the first.
     pub previous: Digest,
 }
--- a/crates/config/src/change/plan.rs
+++ b/crates/config/src/change/plan.rs
@@ -6,7 +6,7 @@
 
 use super::{Change, ChangeId, ChangeRefused, Conflict, OperatorKey};
 use crate::{
-    AuditLog, Document, Head, Record, Section, SectionMove, SectionRef, UnixMillis, View, head::audit_key, parse,
+    AuditLog, Document, Head, Record, Section, SectionChange, SectionRef, UnixMillis, View, head::audit_key, parse,
     parse_section, section_text, validate,
 };
 use ids::{Digest, Revision};
@@ -62,7 +62,7 @@
     for section in Section::ALL {
         let text = section_text(&document, section);
         let named = store(section, id, text, &mut puts)?;
-        moves.push(SectionMove {
+        moves.push(SectionChange {
             section,
             from: None,
             to: named.digest,
@@ -138,7 +138,7 @@
     mut puts: Vec<Value>,
 ) -> Plan {
     let mut log = view.log.clone();
-    let step = SectionMove {
+    let step = SectionChange {
         section: change.section,
         from: view.head.sections.get(&change.section).cloned(),
         to: named.digest,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -19,7 +19,7 @@
 mod undo;
 mod validate;
 
-pub use audit::{AuditLog, ChainError, Checkpoint, RECORDS_KEPT, Record, SectionMove, UnixMillis, verify_chain};
+pub use audit::{AuditLog, ChainError, Checkpoint, RECORDS_KEPT, Record, SectionChange, UnixMillis, verify_chain};
 pub use change::{Change, ChangeId, ChangeRefused, Conflict, OperatorKey, Plan, Value, bootstrap, plan_change};
 pub use diff::{Difference, diff};
 pub use document::{
