--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -11,30 +11,30 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// An idle connection older than this is not used again: the peer is likely to close it soon.
+/// An idle connection older than this is not reused: the peer is likely to close it soon.
 const IDLE_MAX: Duration = Duration::from_secs(15);
 /// Idle connections kept for one address.
 const IDLE_COUNT: usize = 64;
 
 quick_error! {
-    /// Why no answer's head came. Whether the peer may have acted on the request follows from the kind.
+    /// Why no response head arrived. The variant tells whether the peer may have acted on the request.
     #[derive(Debug)]
     pub enum SendError {
-        /// No byte of the request left this process: the peer has not run it.
+        /// No byte of the request was sent: the peer has not run it.
         NotSent(err: std::io::Error) {
             display("cannot connect: {err}")
         }
-        /// Bytes left, and no whole head of an answer came back: the outcome is unknown.
+        /// Bytes were sent and no complete response head was received: the outcome is unknown.
         NoAnswer {
-            display("the connection closed before an answer")
+            display("the connection closed before a response")
         }
-        /// The caller of `send_once` no longer wanted it once the connection stood; nothing was sent.
+        /// The caller of `send_once` cancelled the request after the connection was established; nothing was sent.
         Cancelled {
-            display("the request was withheld")
+            display("the request was cancelled before it was sent")
         }
-        /// The time was over; `sent` tells whether bytes had left by then.
+        /// The request timed out; `sent` tells whether any byte had been sent.
         Timeout(sent: bool) {
-            display("no answer in time")
+            display("no response in time")
         }
     }
 }
@@ -59,13 +59,13 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sends a request that may be sent twice: if a pooled connection turns out to be closed, it goes out again
-    /// over a fresh one.
+    /// Sends a request that may be sent twice: if a pooled connection turns out to be closed, the request is sent
+    /// again over a new one.
     pub async fn send(
         &self,
         to: SocketAddr,
@@ -73,20 +73,22 @@
         body: &[u8],
         within: Duration,
     ) -> Result<Reply, SendError> {
-        let until = Instant::now() + within;
+        let deadline = Instant::now() + within;
         if let Some(conn) = self.take_idle(to) {
-            let first = self.exchange(&conn, to, with_body(request.clone(), body), until).await;
-            match first {
+            let result = self
+                .exchange(&conn, to, with_body(request.clone(), body), deadline)
+                .await;
+            match result {
                 Err(SendError::NoAnswer) => {}
                 other => return other,
             }
         }
-        self.send_fresh(to, with_body(request, body), until).await
+        self.send_on_new(to, with_body(request, body), deadline).await
     }
 
-    /// Sends a request once, over a connection of its own. A pooled connection may have been closed by the peer
-    /// at any time, which would leave the outcome unknown for no good reason. `may_send` is asked once the
-    /// connection stands, right before the first byte leaves.
+    /// Sends a request once, over a new connection. The peer may close a pooled connection at any time, which would
+    /// needlessly leave the outcome unknown. `may_send` is called once the connection is established, right before
+    /// the first byte is sent.
     pub async fn send_once(
         &self,
         to: SocketAddr,
@@ -95,17 +97,17 @@
         within: Duration,
         may_send: impl FnOnce() -> bool,
     ) -> Result<Reply, SendError> {
-        let until = Instant::now() + within;
-        let conn = open(to, until).await?;
+        let deadline = Instant::now() + within;
+        let conn = open(to, deadline).await?;
         if !may_send() {
             return Err(SendError::Cancelled);
         }
-        self.exchange(&conn, to, with_body(request, body), until).await
+        self.exchange(&conn, to, with_body(request, body), deadline).await
     }
 
-    async fn send_fresh(&self, to: SocketAddr, request: Request, until: Instant) -> Result<Reply, SendError> {
-        let conn = open(to, until).await?;
-        self.exchange(&conn, to, request, until).await
+    async fn send_on_new(&self, to: SocketAddr, request: Request, deadline: Instant) -> Result<Reply, SendError> {
+        let conn = open(to, deadline).await?;
+        self.exchange(&conn, to, request, deadline).await
     }
 
     async fn exchange(
@@ -113,14 +115,14 @@
         conn: &Conn,
         to: SocketAddr,
         request: Request,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Reply, SendError> {
-        let before = conn.written();
-        // Boxed: the future is large, and each future around it would be moved with all of it inside.
+        let written_before = conn.written();
+        // Boxed: the future is large, and moving any future that contains it would copy all of it.
         let exchange = Box::pin(async_h1::connect(conn.clone(), request));
-        let answered = timeout(left(until), exchange).await;
-        let sent = conn.written() > before;
-        let response: Response = match answered {
+        let result = timeout(remaining(deadline), exchange).await;
+        let sent = conn.written() > written_before;
+        let response: Response = match result {
             Ok(Ok(response)) => response,
             Ok(Err(_)) => return Err(SendError::NoAnswer),
             Err(_) => return Err(SendError::Timeout(sent)),
@@ -139,7 +141,7 @@
         None
     }
 
-    pub(crate) fn give_back(&self, to: SocketAddr, conn: Conn) {
+    pub(crate) fn release(&self, to: SocketAddr, conn: Conn) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let list = idle.entry(to).or_default();
         if list.len() < IDLE_COUNT {
@@ -151,12 +153,12 @@
     }
 }
 
-async fn open(to: SocketAddr, until: Instant) -> Result<Conn, SendError> {
-    let connected = timeout(left(until), TcpStream::connect(to)).await;
+async fn open(to: SocketAddr, deadline: Instant) -> Result<Conn, SendError> {
+    let connected = timeout(remaining(deadline), TcpStream::connect(to)).await;
     let stream = connected
         .map_err(|_| SendError::Timeout(false))?
         .map_err(SendError::NotSent)?;
-    // A small request must not wait for the answer to the one before it.
+    // Disables Nagle's algorithm: a small request must not wait for the response to the previous one.
     let _ = stream.set_nodelay(true);
     Ok(Conn::new(stream))
 }
@@ -166,6 +168,6 @@
     request
 }
 
-fn left(until: Instant) -> Duration {
-    until.saturating_duration_since(Instant::now())
+fn remaining(deadline: Instant) -> Duration {
+    deadline.saturating_duration_since(Instant::now())
 }
--- a/crates/http/src/conn.rs
+++ b/crates/http/src/conn.rs
@@ -1,4 +1,4 @@
-//! A TCP connection that counts what left it and can be watched for its peer's going.
+//! A TCP connection that counts the bytes it transfers and detects that its peer has closed it.
 
 use async_std::io::{Read, Write};
 use async_std::net::TcpStream;
@@ -22,7 +22,7 @@
 struct Shared {
     written: AtomicU64,
     read: AtomicU64,
-    reads_shut: AtomicBool,
+    reads_disabled: AtomicBool,
 }
 
 impl Conn {
@@ -34,57 +34,57 @@
         }
     }
 
-    /// Bytes handed to the socket so far.
+    /// Bytes written to the socket so far.
     pub fn written(&self) -> u64 {
         self.shared.written.load(Ordering::Relaxed)
     }
 
-    /// Bytes taken from the socket so far.
+    /// Bytes read from the socket so far.
     pub fn received(&self) -> u64 {
         self.shared.read.load(Ordering::Relaxed)
     }
 
     /// Makes every further read fail.
     ///
-    /// async-h1 drains the rest of a body after the answer. A caller that never stops sending would keep the
-    /// connection's task busy for ever; after a body was refused as too large nothing more is read.
+    /// async-h1 drains the rest of a body after the response. A client that never stops sending would keep the
+    /// connection's task busy for ever, so nothing more is read after a body was rejected as too large.
     pub fn disable_reads(&self) {
-        self.shared.reads_shut.store(true, Ordering::Relaxed);
+        self.shared.reads_disabled.store(true, Ordering::Relaxed);
     }
 
     /// Closes both directions.
     pub fn close(&self) {
-        // The peer may have closed first; there is nothing left to do then.
+        // Fails if the peer has closed first; then nothing is left to do.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Whether the connection is reset when its last clone is dropped, in place of an ordinary end.
+    /// Sets whether dropping the last clone resets the connection instead of closing it normally.
     ///
-    /// After an ordinary end the kernel goes on sending what the peer has not acknowledged, so that a request may still arrive
-    /// long after its sender gave it up. After a reset nothing more of it is sent.
+    /// After a normal close the kernel keeps sending data that the peer has not acknowledged, so a request may arrive
+    /// long after its sender has cancelled it. After a reset nothing more is sent.
     pub fn reset_on_drop(&self, reset: bool) {
-        // Fails only if the connection has failed already, which sends nothing more either.
+        // Fails only if the connection has already failed, and then nothing more is sent either.
         let _ = SockRef::from(&self.stream).set_linger(reset.then_some(Duration::ZERO));
     }
 
-    /// Resolves once there is anything to read: bytes, the end of the connection or an error.
+    /// Resolves once a read would not block: bytes, the end of the connection or an error.
     pub async fn readable(&self) {
         let mut byte = [0];
-        // An error is the end of the connection too, which its next use shows.
+        // An error also means that the connection is unusable; its next use returns it.
         let _ = self.stream.peek(&mut byte).await;
     }
 
-    /// Closes the writing side; the peer sees the end after all that was written.
+    /// Closes the writing side; the peer reads the end of the stream after all bytes written.
     pub fn shutdown_write(&self) {
-        // The peer may have closed first; there is nothing left to do then.
+        // Fails if the peer has closed first; then nothing is left to do.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
     /// Resolves once the peer has closed the connection.
     ///
-    /// async-h1 notices that a caller has gone only at its next write, so a stream that is silent while an
-    /// engine prefills would keep that engine busy for nobody. Call this only after the request's body was read
-    /// whole. Never resolves if the peer sends more bytes first: then it is still there.
+    /// async-h1 notices a closed connection only at its next write. While an engine prefills nothing is written, so
+    /// the engine would keep working on a request whose client has disconnected. Call this only after the request's
+    /// body was read completely. Never resolves if the peer sends more bytes first: then it is still connected.
     pub async fn peer_closed(&self) {
         let mut byte = [0];
         match self.stream.peek(&mut byte).await {
@@ -96,7 +96,7 @@
 
 impl Read for Conn {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
-        if self.shared.reads_shut.load(Ordering::Relaxed) {
+        if self.shared.reads_disabled.load(Ordering::Relaxed) {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,7 @@
 //! Bounded HTTP/1.1 client and server around async-h1.
 //!
-//! async-h1 reads and writes heads and bodies; this crate adds what it leaves open: limits on connections, heads
-//! and bodies, a watch for callers that go away, a pool of connections, and the check that a body is as long as
-//! its head declared.
+//! async-h1 reads and writes heads and bodies. This crate adds limits on connections, heads and bodies, detection of
+//! clients that disconnect, a connection pool, and the check that a body is as long as its head declares.
 
 mod client;
 mod conn;
--- a/crates/http/src/progress.rs
+++ b/crates/http/src/progress.rs
@@ -1,8 +1,7 @@
-//! Time limits on the progress of a transfer, not on the whole of it.
+//! Timeouts on the progress of a transfer, not on its total duration.
 //!
-//! Load pattern: an answer that takes longer than its time limit on a slow link. Were it given up there, all that has arrived
-//! would be thrown away, and the next call would begin with its first byte: the more routers do so, the slower each transfer
-//! becomes.
+//! On a slow link a response can take longer than its timeout. Cancelling it would discard all bytes received, and the
+//! next call would start again from the first byte. The more routers retry like this, the slower each transfer becomes.
 
 use crate::Elapsed;
 use async_std::future::timeout;
@@ -10,16 +9,16 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Time in which an answer that is late must go on arriving.
-const STEP: Duration = Duration::from_millis(600);
-/// Bytes that must arrive in a step: less is no better than silence.
-const STEP_BYTES: u64 = 16 * 1024;
+/// Interval in which a late response must make progress.
+const INTERVAL: Duration = Duration::from_millis(600);
+/// Bytes that must arrive in each interval; with fewer the transfer counts as stalled.
+const INTERVAL_BYTES: u64 = 16 * 1024;
 
-/// The result of `future`, which must come within a time, or later while the answer goes on arriving. `received` counts the
-/// bytes that have arrived.
+/// Awaits `future` for at most `within`, or longer as long as its response keeps making progress. `received` returns the
+/// number of bytes that have arrived.
 ///
 /// # Errors
-/// The time was over and nothing had arrived, or the transfer stalled.
+/// The timeout passed and nothing had arrived, or the transfer stalled.
 pub async fn progress_timeout<F: Future>(
     within: Duration,
     received: impl Fn() -> u64,
@@ -29,15 +28,15 @@
     let mut before = received();
     let mut step = (within, 1);
     loop {
-        let (time, least) = step;
+        let (time, min_bytes) = step;
         if let Ok(done) = timeout(time, future.as_mut()).await {
             return Ok(done);
         }
         let now = received();
-        if now.saturating_sub(before) < least {
+        if now.saturating_sub(before) < min_bytes {
             return Err(Elapsed);
         }
         before = now;
-        step = (STEP, STEP_BYTES);
+        step = (INTERVAL, INTERVAL_BYTES);
     }
 }
--- a/crates/http/src/raw/body.rs
+++ b/crates/http/src/raw/body.rs
@@ -1,32 +1,32 @@
-//! Bodies, part by part as they arrive.
+//! Incremental reading of message bodies.
 
 use super::{Framing, Source};
 use quick_error::quick_error;
 
-/// Longest line between chunks, bytes: a size in hexadecimal and extensions, which nobody here sends.
-const CHUNK_LINE: usize = 1024;
-/// Longest trailers, bytes; they are dropped.
-const TRAILERS: usize = 16 * 1024;
-/// Hexadecimal digits of a chunk's size; more would not fit a length.
-const SIZE_DIGITS: usize = 15;
+/// Longest line between chunks, bytes: a hexadecimal size and extensions, which no known peer sends.
+const MAX_CHUNK_LINE: usize = 1024;
+/// Longest trailer line, bytes; trailers are dropped.
+const MAX_TRAILER_LINE: usize = 16 * 1024;
+/// Most hexadecimal digits of a chunk size, so that it fits a `u64`.
+const MAX_SIZE_DIGITS: usize = 15;
 
 quick_error! {
-    /// Why a body is not whole.
+    /// Why a body cannot be read to its end.
     #[derive(Debug)]
     pub enum RawBodyError {
         /// The connection ended before the body did.
         Truncated {
             display("the connection ended within the body")
         }
-        /// It is longer than the reader allows.
+        /// It is longer than the caller allows.
         TooLarge {
             display("the body is too long")
         }
-        /// The chunks cannot be read.
+        /// The chunked encoding is malformed.
         Chunk {
-            display("a chunk cannot be read")
+            display("the chunked encoding is malformed")
         }
-        /// The connection failed, also where the body ends with its connection: after a reset it is not whole.
+        /// The connection failed. A body that ends with its connection is incomplete after a reset, too.
         Io(err: std::io::Error) {
             from()
             display("{err}")
@@ -42,7 +42,7 @@
     ChunkEnd,
     Trailers,
     UntilClose,
-    Whole,
+    Complete,
 }
 
 /// Reads one body.
@@ -52,10 +52,10 @@
 }
 
 impl BodyReader {
-    /// A body that is framed like this.
+    /// Creates a reader for a body with this framing.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
-            Framing::Length(0) => State::Whole,
+            Framing::Length(0) => State::Complete,
             Framing::Length(length) => State::Length(length),
             Framing::Chunked => State::ChunkSize,
             Framing::UntilClose => State::UntilClose,
@@ -63,36 +63,38 @@
         Self { state }
     }
 
-    /// Whether the end was read.
+    /// Whether the end of the body was read.
     pub fn is_complete(&self) -> bool {
-        self.state == State::Whole
+        self.state == State::Complete
     }
 
-    /// The next bytes, none once the body is whole.
+    /// The next bytes; `None` once the body is complete.
     ///
     /// # Errors
-    /// The body is not whole and cannot be read on.
+    /// The body is incomplete and its rest cannot be read.
     pub async fn next_part(&mut self, source: &mut Source) -> Result<Option<Vec<u8>>, RawBodyError> {
         loop {
-            let step = match self.state {
-                State::Whole => return Ok(None),
-                State::Length(left) => return self.counted(left, source, State::Length).await.map(Some),
-                State::ChunkData(left) => return self.counted(left, source, State::ChunkData).await.map(Some),
-                State::UntilClose => return self.rest(source).await,
+            let advanced = match self.state {
+                State::Complete => return Ok(None),
+                State::Length(remaining) => return self.read_counted(remaining, source, State::Length).await.map(Some),
+                State::ChunkData(remaining) => {
+                    return self.read_counted(remaining, source, State::ChunkData).await.map(Some);
+                }
+                State::UntilClose => return self.read_until_close(source).await,
                 State::ChunkSize => self.chunk_size(source)?,
                 State::ChunkEnd => self.chunk_end(source)?,
                 State::Trailers => self.trailers(source)?,
             };
-            if !step && source.fill().await? == 0 {
+            if !advanced && source.fill().await? == 0 {
                 return Err(RawBodyError::Truncated);
             }
         }
     }
 
-    /// The whole body of at most `limit` bytes.
+    /// Reads the complete body of at most `limit` bytes.
     ///
     /// # Errors
-    /// The body is not whole, or longer.
+    /// The body is incomplete or longer than `limit`.
     pub async fn read_to_end(&mut self, source: &mut Source, limit: u64) -> Result<Vec<u8>, RawBodyError> {
         let mut body = Vec::new();
         if matches!(self.state, State::Length(length) if length > limit) {
@@ -107,30 +109,33 @@
         Ok(body)
     }
 
-    async fn counted(
+    async fn read_counted(
         &mut self,
-        left: u64,
+        remaining: u64,
         source: &mut Source,
         next: impl Fn(u64) -> State,
     ) -> Result<Vec<u8>, RawBodyError> {
         if source.buffered().is_empty() && source.fill().await? == 0 {
             return Err(RawBodyError::Truncated);
         }
-        let length = source.buffered().len().min(usize::try_from(left).unwrap_or(usize::MAX));
+        let length = source
+            .buffered()
+            .len()
+            .min(usize::try_from(remaining).unwrap_or(usize::MAX));
         let part = source.buffered()[..length].to_vec();
         source.consume(length);
-        let left = left - length as u64;
-        self.state = match (left, next(left)) {
+        let remaining = remaining - length as u64;
+        self.state = match (remaining, next(remaining)) {
             (0, State::ChunkData(_)) => State::ChunkEnd,
-            (0, _) => State::Whole,
+            (0, _) => State::Complete,
             (_, state) => state,
         };
         Ok(part)
     }
 
-    async fn rest(&mut self, source: &mut Source) -> Result<Option<Vec<u8>>, RawBodyError> {
+    async fn read_until_close(&mut self, source: &mut Source) -> Result<Option<Vec<u8>>, RawBodyError> {
         if source.buffered().is_empty() && source.fill().await? == 0 {
-            self.state = State::Whole;
+            self.state = State::Complete;
             return Ok(None);
         }
         let part = source.buffered().to_vec();
@@ -139,12 +144,12 @@
     }
 
     fn chunk_size(&mut self, source: &mut Source) -> Result<bool, RawBodyError> {
-        let Some(line) = line(source, CHUNK_LINE)? else {
+        let Some(line) = line(source, MAX_CHUNK_LINE)? else {
             return Ok(false);
         };
         let size = line.split(|byte| *byte == b';').next().unwrap_or_default();
         let size = size.trim_ascii_end();
-        let digits = !size.is_empty() && size.len() <= SIZE_DIGITS && size.iter().all(u8::is_ascii_hexdigit);
+        let digits = !size.is_empty() && size.len() <= MAX_SIZE_DIGITS && size.iter().all(u8::is_ascii_hexdigit);
         if !digits {
             return Err(RawBodyError::Chunk);
         }
@@ -159,7 +164,7 @@
     }
 
     fn chunk_end(&mut self, source: &mut Source) -> Result<bool, RawBodyError> {
-        let Some(line) = line(source, CHUNK_LINE)? else {
+        let Some(line) = line(source, MAX_CHUNK_LINE)? else {
             return Ok(false);
         };
         if !line.is_empty() {
@@ -170,17 +175,17 @@
     }
 
     fn trailers(&mut self, source: &mut Source) -> Result<bool, RawBodyError> {
-        let Some(line) = line(source, TRAILERS)? else {
+        let Some(line) = line(source, MAX_TRAILER_LINE)? else {
             return Ok(false);
         };
         if line.is_empty() {
-            self.state = State::Whole;
+            self.state = State::Complete;
         }
         Ok(true)
     }
 }
 
-/// Takes a line that ends in CR LF; `None` while it is not whole.
+/// Consumes a line that ends in CR LF; `None` while it is incomplete.
 fn line(source: &mut Source, limit: usize) -> Result<Option<Vec<u8>>, RawBodyError> {
     let buffered = source.buffered();
     let Some(end) = buffered.iter().position(|byte| *byte == b'\n') else {
--- a/crates/http/src/raw/call.rs
+++ b/crates/http/src/raw/call.rs
@@ -1,9 +1,9 @@
-//! Whole calls of the router's own: a small request and the whole answer.
+//! The router's own calls: a small request and its complete response.
 
 use super::{ExchangeError, HeadError, Headers, Source, exchange};
 use std::net::SocketAddr;
 
-/// A call as it goes out.
+/// An outgoing call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
     /// HTTP method.
@@ -14,7 +14,7 @@
     pub body: Vec<u8>,
 }
 
-/// The whole answer to a call.
+/// The complete response to a call.
 #[derive(Debug)]
 pub struct CallResponse {
     /// Status.
@@ -23,12 +23,12 @@
     pub headers: Headers,
     /// Body.
     pub body: Vec<u8>,
-    /// The connection, if it may carry another call.
+    /// The connection, if it can be reused for another call.
     pub reusable: Option<Source>,
 }
 
 impl Call {
-    /// The request to `host`, with these header lines beside those that a call needs.
+    /// The request to `host`, with these header lines in addition to the required ones.
     fn bytes(&self, host: SocketAddr, headers: &Headers) -> Vec<u8> {
         let mut bytes = format!("{} {} HTTP/1.1\r\nHost: {host}\r\n", self.method, self.target).into_bytes();
         headers.write(&mut bytes);
@@ -46,10 +46,10 @@
         bytes
     }
 
-    /// Sends the call to `host` and reads the whole answer of at most `limit` bytes.
+    /// Sends the call to `host` and reads the complete response with a body of at most `limit` bytes.
     ///
     /// # Errors
-    /// No whole answer came; the call may have been acted on.
+    /// No complete response arrived; the peer may have acted on the call.
     pub async fn send(
         &self,
         mut source: Source,
@@ -58,15 +58,15 @@
         limit: u64,
     ) -> Result<CallResponse, ExchangeError> {
         let bytes = self.bytes(host, headers);
-        let mut answer = exchange(&mut source, &bytes, self.method, |_| true).await?;
-        let body = answer.body.read_to_end(&mut source, limit).await;
+        let mut response = exchange(&mut source, &bytes, self.method, |_| true).await?;
+        let body = response.body.read_to_end(&mut source, limit).await;
         let body = body.map_err(|_| HeadError::Truncated)?;
-        let keeps = answer.reusable && answer.head.keeps_alive();
+        let reusable = response.reusable && response.head.keeps_alive();
         Ok(CallResponse {
-            status: answer.head.status,
-            headers: answer.head.headers,
+            status: response.head.status,
+            headers: response.head.headers,
             body,
-            reusable: keeps.then_some(source),
+            reusable: reusable.then_some(source),
         })
     }
 }
--- a/crates/http/src/raw/exchange.rs
+++ b/crates/http/src/raw/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer on a connection.
+//! One request and its response on a connection.
 
 use super::{BodyReader, FramingError, HeadError, ResponseHead, Source, response_framing};
 use crate::Conn;
@@ -12,28 +12,28 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Longest head of an answer, bytes.
-const HEAD_BYTES: usize = 32 * 1024;
-/// Longest body of an answer that belongs to another request and is skipped, bytes.
-const SKIPPED_BYTES: u64 = 1 << 20;
-/// Bytes that were sent and not acknowledged for this long show that the peer is silent or cut off. Well above a few
-/// retransmissions between domains a millisecond apart, below every limit that a caller would notice.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
+/// Longest response head, bytes.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// Longest body of a response that belongs to another request and is skipped, bytes.
+const MAX_SKIPPED_BYTES: u64 = 1 << 20;
+/// Time without an acknowledgement of sent bytes after which the kernel closes the connection. It is well above a few
+/// retransmissions between failure domains a millisecond apart, and below every timeout that a client would notice.
+const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
 quick_error! {
-    /// Why no answer's head came.
+    /// Why no response head arrived.
     #[derive(Debug)]
     pub enum ExchangeError {
-        /// No connection in time; nothing was sent.
+        /// No connection was established in time; nothing was sent.
         NotSent {
             display("cannot connect")
         }
-        /// The connection ended or failed, or what came is no answer; the request may have been acted on.
+        /// The connection ended or failed, or the response is malformed; the peer may have acted on the request.
         Head(err: HeadError) {
             from()
             display("{err}")
         }
-        /// It cannot be told where the answer ends.
+        /// The framing of the response is ambiguous.
         Framing(err: FramingError) {
             from()
             display("{err}")
@@ -42,28 +42,28 @@
 }
 
 impl ExchangeError {
-    /// Whether the peer closed without a byte of an answer.
+    /// Whether the connection closed before the response began, or failed before its head was complete.
     pub fn is_closed(&self) -> bool {
         matches!(self, Self::Head(HeadError::Closed | HeadError::Io(_)))
     }
 }
 
-/// An answer of which the head has arrived.
+/// A response whose head has arrived.
 #[derive(Debug)]
 pub struct Response {
     /// The head.
     pub head: ResponseHead,
-    /// The body, still on the connection.
+    /// Reader of the body, which is still on the connection.
     pub body: BodyReader,
-    /// Whether the connection may be used again once the body was read whole: the request had left whole before the
-    /// answer began, and no other answer came first.
+    /// Whether the connection can be reused once the body was read completely: the request was fully sent before the
+    /// response began, and no other response arrived first.
     pub reusable: bool,
 }
 
-/// Connects. A peer that falls silent later is noticed by what it doesn't acknowledge.
+/// Connects. If the peer becomes unreachable later, missing acknowledgements end the connection.
 ///
 /// # Errors
-/// No connection within the time.
+/// No connection was established within the timeout.
 pub async fn connect(to: SocketAddr, within: Duration) -> Result<Source, ExchangeError> {
     let connected = timeout(within, TcpStream::connect(to)).await;
     let Ok(Ok(stream)) = connected else {
@@ -73,34 +73,36 @@
     Ok(Source::new(Conn::new(stream)))
 }
 
-/// Sets what a connection needs to notice a silent peer; without these options it only notices later, by its time limits.
+/// Disables Nagle's algorithm and sets the TCP user timeout, which detects an unreachable peer. If setting an option fails,
+/// an unreachable peer is detected later, by the timeouts of calls.
 pub fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
 }
 
-/// Sends a whole request and reads the head of the answer that `ours` accepts; answers of other requests are skipped.
-/// The answer may begin before the request has left: then the rest is not sent, and the connection is not reusable.
+/// Sends a complete request and reads the first response head that `is_ours` accepts; responses to other requests are
+/// skipped. If the response begins before the request is fully sent, the rest is not sent and the connection cannot be
+/// reused.
 ///
 /// # Errors
-/// No such head came.
+/// No such head arrived.
 pub async fn exchange(
     source: &mut Source,
     request: &[u8],
     method: &str,
-    ours: impl Fn(&ResponseHead) -> bool,
+    is_ours: impl Fn(&ResponseHead) -> bool,
 ) -> Result<Response, ExchangeError> {
     let mut writer = source.conn().clone();
     let mut reusable = source.buffered().is_empty();
     let mut sent = false;
     let head = {
         let write = pin!(writer.write_all(request));
-        let read = pin!(source.response_head(HEAD_BYTES));
+        let read = pin!(source.response_head(MAX_HEAD_BYTES));
         match select(read, write).await {
             Either::Left((head, _)) => head,
             Either::Right((written, read)) => {
                 sent = written.is_ok();
-                // A peer that refuses early may have answered before it closed.
+                // A peer that rejects a request early may have responded before it closed the connection.
                 read.await
             }
         }
@@ -109,16 +111,16 @@
     let mut head = head?;
     loop {
         let interim = matches!(head.status, 100..=199);
-        if !interim && ours(&head) {
+        if !interim && is_ours(&head) {
             let body = BodyReader::new(response_framing(&head, method)?);
             return Ok(Response { head, body, reusable });
         }
         if !interim {
             reusable = false;
             let mut skipped = BodyReader::new(response_framing(&head, method)?);
-            let whole = skipped.read_to_end(source, SKIPPED_BYTES).await;
-            whole.map_err(|_| HeadError::Truncated)?;
+            let skipped_body = skipped.read_to_end(source, MAX_SKIPPED_BYTES).await;
+            skipped_body.map_err(|_| HeadError::Truncated)?;
         }
-        head = source.response_head(HEAD_BYTES).await?;
+        head = source.response_head(MAX_HEAD_BYTES).await?;
     }
 }
--- a/crates/http/src/raw/framing.rs
+++ b/crates/http/src/raw/framing.rs
@@ -1,24 +1,25 @@
-//! Where a body ends.
+//! Message framing: where a body ends.
 //!
-//! Two parties that disagree on where a body ends take a part of it for another request. So anything ambiguous is an
-//! error: a length beside chunks, two lengths, a length that is not a plain number, a coding other than chunks.
+//! If two parties disagree on where a body ends, one of them parses part of it as another request (request smuggling).
+//! So ambiguous framing is an error: a length together with chunks, two lengths, a length that is not a plain number, or
+//! a transfer coding other than chunked.
 
 use super::{Headers, RequestHead, ResponseHead};
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why it cannot be told where a body ends.
+    /// Why the framing of a body is rejected.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum FramingError {
         /// Several lengths, or one that is not a plain number.
         Length {
             display("the content length is not one plain number")
         }
-        /// A length and chunks.
+        /// Both a length and a transfer coding.
         Both {
-            display("a content length stands beside a transfer coding")
+            display("both a content length and a transfer coding are present")
         }
-        /// A transfer coding other than chunks.
+        /// A transfer coding other than chunked.
         Coding {
             display("the transfer coding is not supported")
         }
@@ -32,22 +33,22 @@
     Length(u64),
     /// Chunks.
     Chunked,
-    /// It ends with the connection; only answers may.
+    /// It ends with the connection; allowed only for responses.
     UntilClose,
 }
 
 /// Framing of a request's body.
 ///
 /// # Errors
-/// It is ambiguous; the request must be refused and its connection closed.
+/// It is ambiguous; the request must be rejected and its connection closed.
 pub fn request_framing(head: &RequestHead) -> Result<Framing, FramingError> {
     Ok(declared(&head.headers)?.unwrap_or(Framing::Length(0)))
 }
 
-/// Framing of the answer's body to a request of this method.
+/// Framing of the body of a response to a request with this method.
 ///
 /// # Errors
-/// It is ambiguous; the answer must not be passed on.
+/// It is ambiguous; the response must not be forwarded.
 pub fn response_framing(head: &ResponseHead, method: &str) -> Result<Framing, FramingError> {
     let bodiless = method.eq_ignore_ascii_case("HEAD") || matches!(head.status, 100..=199 | 204 | 304);
     if bodiless {
--- a/crates/http/src/raw/head.rs
+++ b/crates/http/src/raw/head.rs
@@ -1,8 +1,8 @@
-//! Heads of requests and answers.
+//! Heads of requests and responses.
 
 use quick_error::quick_error;
 
-/// Most header lines of one head. Callers here send about a dozen.
+/// Most header lines of one head. Clients send about a dozen.
 const MAX_HEADERS: usize = 100;
 
 quick_error! {
@@ -21,10 +21,10 @@
         TooLarge {
             display("the head is too long")
         }
-        /// The bytes are no head.
+        /// The bytes are not a valid head.
         Malformed(err: httparse::Error) {
             from()
-            display("the head cannot be read: {err}")
+            display("the head is malformed: {err}")
         }
         /// The connection failed.
         Io(err: std::io::Error) {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Header lines in their order, names as they were sent.
+/// Header lines in order, with names as they were sent.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, Vec<u8>)>);
 
@@ -55,7 +55,7 @@
         self.0.iter().filter(matching).map(|(_, value)| value.as_slice())
     }
 
-    /// Whether a comma-separated list of this name holds `token`, whatever its case.
+    /// Whether a comma-separated header of this name contains `token`, ignoring case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         let has = |value: &[u8]| {
             let text = String::from_utf8_lossy(value);
@@ -74,7 +74,7 @@
         self.0.push((name.to_owned(), value.into()));
     }
 
-    /// Appends the lines as they stand on the connection, without the empty line after them.
+    /// Appends the lines in wire format, without the empty line after them.
     pub fn write(&self, out: &mut Vec<u8>) {
         for (name, value) in self.iter() {
             out.extend_from_slice(name.as_bytes());
@@ -84,7 +84,7 @@
         }
     }
 
-    fn of(parsed: &[httparse::Header<'_>]) -> Self {
+    fn from_parsed(parsed: &[httparse::Header<'_>]) -> Self {
         let line = |header: &httparse::Header<'_>| (header.name.to_owned(), header.value.to_vec());
         Self(parsed.iter().map(line).collect())
     }
@@ -95,16 +95,16 @@
 pub struct RequestHead {
     /// The method as sent.
     pub method: String,
-    /// The target as sent, never resolved or decoded.
+    /// The target as sent, neither resolved nor decoded.
     pub target: String,
-    /// Whether the caller speaks HTTP/1.0, which has neither chunks nor kept connections by default.
+    /// Whether the client uses HTTP/1.0, which has no chunked encoding and closes connections by default.
     pub http10: bool,
     /// Header lines.
     pub headers: Headers,
 }
 
 impl RequestHead {
-    /// Parses a head at the start of `bytes`; its length too, or `None` while it is not whole.
+    /// Parses a head at the start of `bytes` and returns it with its length, or `None` while it is incomplete.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, httparse::Error> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut lines);
@@ -115,7 +115,7 @@
             method: request.method.unwrap_or_default().to_owned(),
             target: request.path.unwrap_or_default().to_owned(),
             http10: request.version == Some(0),
-            headers: Headers::of(request.headers),
+            headers: Headers::from_parsed(request.headers),
         };
         Ok(Some((head, length)))
     }
@@ -128,25 +128,26 @@
         !self.headers.has_token("connection", "close")
     }
 
-    /// The path, without the query. Targets are origin-form; of any other the whole counts.
+    /// The path, without query and fragment. Targets are expected in origin form; in other forms the scheme and authority
+    /// are included.
     pub fn path(&self) -> &str {
         self.target.split(['?', '#']).next().unwrap_or_default()
     }
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseHead {
     /// The status.
     pub status: u16,
     /// Header lines.
     pub headers: Headers,
-    /// Whether the peer speaks HTTP/1.0.
+    /// Whether the peer uses HTTP/1.0.
     pub http10: bool,
 }
 
 impl ResponseHead {
-    /// Parses a head at the start of `bytes`; its length too, or `None` while it is not whole.
+    /// Parses a head at the start of `bytes` and returns it with its length, or `None` while it is incomplete.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, httparse::Error> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut lines);
@@ -155,13 +156,13 @@
         };
         let head = Self {
             status: response.code.unwrap_or_default(),
-            headers: Headers::of(response.headers),
+            headers: Headers::from_parsed(response.headers),
             http10: response.version == Some(0),
         };
         Ok(Some((head, length)))
     }
 
-    /// Whether the connection may carry another request after this answer.
+    /// Whether the connection may carry another request after this response.
     pub fn keeps_alive(&self) -> bool {
         !self.http10 && !self.headers.has_token("connection", "close")
     }
--- a/crates/http/src/raw/mod.rs
+++ b/crates/http/src/raw/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 with every byte kept.
+//! HTTP/1.1 that forwards messages unchanged.
 //!
 //! async-h1 resolves targets through a URL type, merges headers into a map, loses bytes that follow a request in the
-//! same segment, and cannot tell how an answer ended. Where method, target, headers and body have to go on as they
-//! came, heads are parsed by `httparse` and bodies are framed here.
+//! same segment, and cannot tell how a response ended. Where method, target, headers and body must be forwarded
+//! unchanged, `httparse` parses the heads and this module frames the bodies.
 
 mod body;
 mod call;
--- a/crates/http/src/raw/source.rs
+++ b/crates/http/src/raw/source.rs
@@ -1,28 +1,28 @@
-//! The reading side of a connection, with what was read and not used yet.
+//! The reading side of a connection, with a buffer of unconsumed bytes.
 
 use super::{HeadError, RequestHead, ResponseHead};
 use crate::Conn;
 use async_std::io::ReadExt;
 use std::io;
 
-/// Bytes asked of the socket at once: a typical request with a body of a few KB arrives in one read.
+/// Size of one read from the socket: a typical request with a body of a few KB arrives in one read.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Reads from a connection; what follows a message in the same segment stays for the next one.
+/// Reads from a connection; bytes after a message stay buffered for the next one.
 #[derive(Debug)]
 pub struct Source {
     conn: Conn,
     buffer: Vec<u8>,
-    used: usize,
+    consumed: usize,
 }
 
 impl Source {
-    /// Reads from `conn`.
+    /// Creates a source that reads from `conn`.
     pub fn new(conn: Conn) -> Self {
         Self {
             conn,
             buffer: Vec::new(),
-            used: 0,
+            consumed: 0,
         }
     }
 
@@ -31,28 +31,28 @@
         &self.conn
     }
 
-    /// Bytes that were read and not used.
+    /// Bytes that were read and not consumed.
     pub fn buffered(&self) -> &[u8] {
-        &self.buffer[self.used..]
+        &self.buffer[self.consumed..]
     }
 
-    /// Marks bytes as used.
+    /// Marks bytes as consumed.
     pub(super) fn consume(&mut self, count: usize) {
-        self.used += count;
-        if self.used == self.buffer.len() {
+        self.consumed += count;
+        if self.consumed == self.buffer.len() {
             self.buffer.clear();
-            self.used = 0;
+            self.consumed = 0;
         }
     }
 
-    /// Reads more; 0 at the end of the connection.
+    /// Reads more bytes into the buffer; returns 0 at the end of the connection.
     ///
     /// # Errors
     /// The connection failed.
     pub async fn fill(&mut self) -> io::Result<usize> {
-        if self.used > 0 {
-            self.buffer.drain(..self.used);
-            self.used = 0;
+        if self.consumed > 0 {
+            self.buffer.drain(..self.consumed);
+            self.consumed = 0;
         }
         let length = self.buffer.len();
         self.buffer.resize(length + READ_BYTES, 0);
@@ -62,32 +62,32 @@
         read
     }
 
-    /// Drops what was read and not used.
+    /// Drops the unconsumed bytes.
     pub fn discard(&mut self) {
         self.buffer.clear();
-        self.used = 0;
+        self.consumed = 0;
     }
 
-    /// Gives the buffer's memory back between two messages.
+    /// Frees the buffer's memory if it holds no unconsumed bytes.
     pub fn shrink(&mut self) {
         if self.buffered().is_empty() {
             self.buffer = Vec::new();
-            self.used = 0;
+            self.consumed = 0;
         }
     }
 
-    /// The next request's head.
+    /// Reads the next request head.
     ///
     /// # Errors
-    /// No whole head of at most `limit` bytes came.
+    /// No complete head of at most `limit` bytes arrived.
     pub async fn request_head(&mut self, limit: usize) -> Result<RequestHead, HeadError> {
         self.head(limit, RequestHead::parse).await
     }
 
-    /// The next answer's head.
+    /// Reads the next response head.
     ///
     /// # Errors
-    /// No whole head of at most `limit` bytes came.
+    /// No complete head of at most `limit` bytes arrived.
     pub async fn response_head(&mut self, limit: usize) -> Result<ResponseHead, HeadError> {
         self.head(limit, ResponseHead::parse).await
     }
@@ -108,9 +108,13 @@
             if self.buffered().len() > limit {
                 return Err(HeadError::TooLarge);
             }
-            let begun = !self.buffered().is_empty();
+            let partial = !self.buffered().is_empty();
             if self.fill().await? == 0 {
-                return Err(if begun { HeadError::Truncated } else { HeadError::Closed });
+                return Err(if partial {
+                    HeadError::Truncated
+                } else {
+                    HeadError::Closed
+                });
             }
         }
     }
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -1,4 +1,4 @@
-//! An answer whose body is known to be whole, or else an error.
+//! A response whose body is either complete or an error.
 
 use crate::client::Client;
 use crate::conn::Conn;
@@ -9,30 +9,30 @@
 use std::net::SocketAddr;
 
 quick_error! {
-    /// Why a body is not passed on.
+    /// Why a body is rejected.
     #[derive(Debug)]
     pub enum BodyError {
         /// It ended early or the connection failed.
         Io(err: std::io::Error) {
             from()
-            display("the body broke off: {err}")
+            display("the body ended early: {err}")
         }
-        /// Its length differs from the declared one; async-h1 reports such a body as whole.
+        /// Its length differs from the declared one; async-h1 reports such a body as complete.
         LengthMismatch(declared: u64, read: u64) {
             display("{declared} bytes declared, {read} read")
         }
-        /// The head declares neither a length nor chunks, so that a cut could not be seen.
+        /// The head declares neither a length nor chunks, so truncation could not be detected.
         Unframed {
-            display("the answer declares neither length nor chunks")
+            display("the response declares neither length nor chunks")
         }
-        /// It is longer than the reader allows.
+        /// It is longer than the caller allows.
         TooLarge(limit: u64) {
             display("the body is longer than {limit} bytes")
         }
     }
 }
 
-/// An answer's head, and its body still on the connection.
+/// A response's head, and its body, which is not read yet.
 #[derive(Debug)]
 pub struct Reply {
     response: Response,
@@ -56,17 +56,17 @@
         self.response.status()
     }
 
-    /// A header's value, the last one if it stands more than once.
+    /// A header's value, the last one if the header is repeated.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.response.header(name).map(|values| values.last().as_str())
     }
 
-    /// Closes the connection, so that the peer notices that nobody reads on.
+    /// Closes the connection, so that the peer stops sending.
     pub fn close(&self) {
         self.conn.close();
     }
 
-    /// Reads the body of at most `limit` bytes and gives the connection back to the pool.
+    /// Reads the body of at most `limit` bytes and returns the connection to the pool.
     pub async fn read_body(mut self, limit: u64) -> Result<Vec<u8>, BodyError> {
         let declared = self.declared()?;
         let mut body = Vec::new();
@@ -93,7 +93,7 @@
         Ok(EventStream::new(body, self.conn))
     }
 
-    /// The declared length; `None` for a chunked body, which shows a cut by itself.
+    /// The declared length; `None` for a chunked body, whose framing reveals truncation.
     fn declared(&self) -> Result<Option<u64>, BodyError> {
         if let Some(length) = self.header(headers::CONTENT_LENGTH.as_str()) {
             return length.parse().map(Some).map_err(|_| BodyError::Unframed);
@@ -113,7 +113,7 @@
             .header(headers::CONNECTION.as_str())
             .is_some_and(|value| value.eq_ignore_ascii_case("close"));
         if !close {
-            self.client.give_back(self.peer, self.conn);
+            self.client.release(self.peer, self.conn);
         }
     }
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Server with limits, a count of what is in flight, and an end that cuts nothing.
+//! Server with limits, a count of requests in flight, and graceful shutdown.
 
 use crate::conn::Conn;
 use async_h1::server::{ConnectionStatus, Server};
@@ -13,22 +13,22 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Pause after a failed accept: without it, a process out of file descriptors would spin.
+/// Pause after a failed accept: without it, a process that has run out of file descriptors would spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How often the end of a graceful shutdown is looked for.
+/// Poll interval for the end of a graceful shutdown.
 const DRAIN_POLL: Duration = Duration::from_millis(5);
 
-/// Most bytes that are read of a body that is too large before the connection is closed.
+/// Most bytes of an oversized body that are read before the connection is closed.
 const DISCARD_BYTES: u64 = 16 << 20;
 
 /// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Connections open at once; more are closed unanswered.
+    /// Connections open at once; further ones are closed without a response.
     pub connections: usize,
-    /// A connection without a whole head for this long is closed, at the latest after twice as long.
+    /// A connection without a complete head for this long is closed, at the latest after twice this time.
     pub head: Duration,
-    /// A connection that has served is closed after this time without a byte of a next request.
+    /// A connection that has served a request is closed after this time without a byte of the next one.
     pub idle: Duration,
 }
 
@@ -46,17 +46,17 @@
 }
 
 impl ServerState {
-    /// Requests being answered.
+    /// Requests in flight.
     pub fn in_flight(&self) -> usize {
         self.shared.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Connections open.
+    /// Open connections.
     pub fn connections(&self) -> usize {
         self.shared.connections.load(Ordering::SeqCst)
     }
 
-    /// Accepts no further connections; each open one closes after the answer it is giving.
+    /// Stops accepting connections; each open one closes after its current response.
     pub fn drain(&self) {
         self.shared.draining.store(true, Ordering::SeqCst);
     }
@@ -74,24 +74,24 @@
     }
 }
 
-/// Counts one for as long as it lives.
-struct Counted<'a>(&'a AtomicUsize);
+/// Increments a counter until it is dropped.
+struct CountGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Counted<'a> {
+impl<'a> CountGuard<'a> {
     fn new(count: &'a AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::SeqCst);
         Self(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Answers requests on `listener` until `serving` drains. A request counts as in flight until the last byte of
-/// its answer is written.
+/// Serves requests on `listener` until `serving` drains. A request counts as in flight until the last byte of
+/// its response is written.
 pub async fn serve<F, Fut>(listener: TcpListener, limits: Limits, serving: ServerState, answer: F)
 where
     F: Fn(Request, Conn) -> Fut + Clone + Send + Sync + 'static,
@@ -123,11 +123,11 @@
     F: Fn(Request, Conn) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Response> + Send + 'static,
 {
-    let _open = Counted::new(&serving.shared.connections);
-    // A piece of a stream must not wait until the caller has acknowledged the one before.
+    let _open = CountGuard::new(&serving.shared.connections);
+    // Disables Nagle's algorithm: an event must not wait until the client has acknowledged the previous one.
     let _ = stream.set_nodelay(true);
     let conn = Conn::new(stream);
-    let busy = Busy {
+    let busy = RequestTracker {
         serving,
         conn: conn.clone(),
         flag: AtomicBool::new(false),
@@ -136,7 +136,7 @@
     };
     let mut server = Server::new(conn.clone(), |request| {
         busy.begin();
-        // Boxed: the future is large, and the connection's futures around it would be moved with it inside.
+        // Boxed: the future is large, and moving the connection's futures that contain it would copy all of it.
         let answering = Box::pin(answer(request, conn.clone()));
         async {
             let mut response = answering.await;
@@ -163,9 +163,9 @@
     select(requests, idle).await;
 }
 
-/// Counts a connection's request as in flight from its head to the last byte of its answer, also when the
-/// connection's task ends in between.
-struct Busy<'a> {
+/// Counts a connection's request as in flight from its head to the last byte of its response, even if the
+/// connection's task ends early.
+struct RequestTracker<'a> {
     serving: &'a ServerState,
     conn: Conn,
     flag: AtomicBool,
@@ -174,26 +174,26 @@
     received: AtomicU64,
 }
 
-impl Busy<'_> {
-    /// Resolves once the connection is to be closed for its silence.
+impl RequestTracker<'_> {
+    /// Resolves once the connection must be closed because it is idle.
     ///
-    /// A caller that sends its head byte by byte, or none at all, would hold a connection for as long as it likes;
-    /// async-h1's own limit is a fixed minute. A connection that has served and of whose next request nothing has come
-    /// is kept much longer: its caller would send on it just as it closes, and could not tell whether the call ran.
+    /// A client that sends its head byte by byte, or none at all, could hold a connection indefinitely; async-h1's own
+    /// limit is a fixed minute. A connection that has served a request and has received nothing of the next one is kept
+    /// much longer: otherwise its client might send a request just as it closes, and could not tell whether it ran.
     async fn idle(&self, limits: Limits) {
-        let mut seen = self.begun.load(Ordering::SeqCst);
-        let mut quiet = Duration::ZERO;
+        let mut last = self.begun.load(Ordering::SeqCst);
+        let mut idle_time = Duration::ZERO;
         loop {
             task::sleep(limits.head).await;
             let begun = self.begun.load(Ordering::SeqCst);
-            if begun != seen || self.flag.load(Ordering::SeqCst) {
-                seen = begun;
-                quiet = Duration::ZERO;
+            if begun != last || self.flag.load(Ordering::SeqCst) {
+                last = begun;
+                idle_time = Duration::ZERO;
                 continue;
             }
-            quiet += limits.head;
-            let unused = begun > 0 && self.conn.received() == self.received.load(Ordering::SeqCst);
-            if !unused || quiet >= limits.idle {
+            idle_time += limits.head;
+            let reused_idle = begun > 0 && self.conn.received() == self.received.load(Ordering::SeqCst);
+            if !reused_idle || idle_time >= limits.idle {
                 return;
             }
         }
@@ -213,7 +213,7 @@
     }
 }
 
-impl Drop for Busy<'_> {
+impl Drop for RequestTracker<'_> {
     fn drop(&mut self) {
         self.end();
     }
@@ -227,30 +227,30 @@
         TooLarge(limit: u64) {
             display("the body is longer than {limit} bytes")
         }
-        /// The caller broke off.
+        /// The connection failed within the body.
         Io(err: std::io::Error) {
             from()
-            display("the body broke off: {err}")
+            display("the body ended early: {err}")
         }
-        /// Fewer bytes came than were declared.
+        /// Fewer bytes arrived than the head declared.
         Short {
             display("the body is shorter than declared")
         }
     }
 }
 
-/// Reads a request's body of at most `limit` bytes, whole.
+/// Reads a request's complete body of at most `limit` bytes.
 pub async fn read_body(request: &mut Request, conn: &Conn, limit: u64) -> Result<Vec<u8>, ReadError> {
     let declared = request.len().map(|length| length as u64);
     let mut source = request.take_body();
     if declared.is_some_and(|length| length > limit) {
-        return Err(refuse(&mut source, conn, limit).await);
+        return Err(reject(&mut source, conn, limit).await);
     }
     let mut body = Vec::with_capacity(declared.unwrap_or(0) as usize);
     (&mut source).take(limit + 1).read_to_end(&mut body).await?;
     let read = body.len() as u64;
     if read > limit {
-        return Err(refuse(&mut source, conn, limit).await);
+        return Err(reject(&mut source, conn, limit).await);
     }
     if declared.is_some_and(|length| length != read) {
         return Err(ReadError::Short);
@@ -258,12 +258,12 @@
     Ok(body)
 }
 
-/// Reads a part of a body that is too large and forgets it.
+/// Reads and discards part of a body that is too large.
 ///
-/// A connection that is closed with unread bytes is reset, and the reset can overtake the refusal: the caller would
-/// see a broken connection instead of the reason. The part is bounded, so that nobody can keep a task busy for ever.
-async fn refuse(source: &mut Body, conn: &Conn, limit: u64) -> ReadError {
-    // If the caller breaks off meanwhile, there is nobody left to refuse.
+/// Closing a connection with unread bytes resets it, and the reset can overtake the error response: the client would
+/// see a failed connection instead of the reason. The part is bounded, so no client can keep a task busy for ever.
+async fn reject(source: &mut Body, conn: &Conn, limit: u64) -> ReadError {
+    // If the client disconnects meanwhile, the error response has no recipient.
     let _ = async_std::io::copy(&mut source.take(DISCARD_BYTES), &mut async_std::io::sink()).await;
     conn.disable_reads();
     ReadError::TooLarge(limit)
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events of an answer.
+//! Server-sent events of a response.
 
 use crate::conn::Conn;
 use async_sse::{Decoder, Event};
@@ -7,17 +7,17 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why no further piece came.
+    /// Why the next event could not be read.
     #[derive(Debug)]
     pub enum EventError {
-        /// The stream broke off or cannot be read.
+        /// The connection failed or the stream is malformed.
         Broken(err: http_types::Error) {
             from()
-            display("the stream broke off: {err}")
+            display("the event stream failed: {err}")
         }
-        /// An event without a number where one is needed, or data that is not UTF-8.
+        /// The data of an event is not UTF-8.
         Malformed {
-            display("the stream holds an event that cannot be read")
+            display("the stream contains a malformed event")
         }
     }
 }
@@ -31,7 +31,7 @@
     pub data: String,
 }
 
-/// The events of one answer in order.
+/// The events of one response in order.
 pub struct EventStream {
     decoder: Decoder<Body>,
     conn: Conn,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The next event; `None` at the end of the body, which does not tell that the stream is complete.
+    /// The next event; `None` at the end of the body, which does not mean that the stream is complete.
     pub async fn next(&mut self) -> Result<Option<SseEvent>, EventError> {
         loop {
             let Some(event) = self.decoder.next().await else {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Closes the connection, so that the peer notices that nobody reads on.
+    /// Closes the connection, so that the peer stops sending.
     pub fn close(&self) {
         self.conn.close();
     }
--- a/crates/http/src/timeout.rs
+++ b/crates/http/src/timeout.rs
@@ -1,9 +1,9 @@
-//! Timeouts that cost no system call.
+//! Timeouts without a system call for each timer.
 //!
-//! Load pattern: thousands of requests a second, each with a deadline that almost never comes. async-io wakes its
-//! reactor through the kernel for every timer that is set, which shows as processor time and as latency of every
-//! request. Here waiting futures stand in one map, and one task looks for those that are due every [`TICK`]; a
-//! deadline is met at most that much late, against deadlines of a second and more.
+//! Thousands of requests a second each set a deadline that almost never passes. async-io wakes its reactor through the
+//! kernel for every timer that is set, which costs processor time and adds latency to every request. Here all waiting
+//! futures are in one map, and one task wakes those that are due every [`TICK`]. A timeout fires at most that much
+//! late, which is little compared with deadlines of a second and more.
 
 use async_channel::{Receiver, Sender};
 use async_std::task;
@@ -15,17 +15,17 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// How late a timeout may be noticed.
+/// Longest delay of a timeout.
 const TICK: Duration = Duration::from_millis(10);
 
-/// The time was over first.
+/// The timeout passed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Elapsed;
 
 /// The result of `future`, or [`Elapsed`] once `within` has passed.
 ///
 /// # Errors
-/// The time was over first.
+/// The timeout passed first.
 pub async fn timeout<F: Future>(within: Duration, future: F) -> Result<F::Output, Elapsed> {
     let mut future = pin!(future);
     let mut delay = Delay {
@@ -43,18 +43,18 @@
 
 type Key = (Instant, u64);
 
-/// Futures that wait, by when they are due.
-struct Waiting {
+/// Wakers of waiting futures, ordered by deadline.
+struct Timers {
     wakers: Mutex<BTreeMap<Key, Waker>>,
     next: AtomicU64,
-    /// Wakes the task that looks for those that are due: it sleeps while nothing waits.
+    /// Starts the ticking task, which sleeps while no future waits.
     begin: Sender<()>,
 }
 
-static WAITING: LazyLock<Waiting> = LazyLock::new(|| {
+static TIMERS: LazyLock<Timers> = LazyLock::new(|| {
     let (begin, begun) = async_channel::bounded(1);
     task::spawn(tick(begun));
-    Waiting {
+    Timers {
         wakers: Mutex::default(),
         next: AtomicU64::new(0),
         begin,
@@ -62,7 +62,7 @@
 });
 
 fn wakers() -> MutexGuard<'static, BTreeMap<Key, Waker>> {
-    WAITING.wakers.lock().unwrap_or_else(PoisonError::into_inner)
+    TIMERS.wakers.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 async fn tick(begun: Receiver<()>) {
@@ -77,7 +77,7 @@
             let later = wakers.split_off(&(now, u64::MAX));
             std::mem::replace(&mut *wakers, later)
         };
-        // Woken without the lock: a woken future may set its next timeout at once.
+        // Woken without the lock: a woken future may set its next timeout immediately.
         due.into_values().for_each(Waker::wake);
     }
 }
@@ -97,15 +97,15 @@
         let due = self.due;
         let key = *self
             .key
-            .get_or_insert_with(|| (due, WAITING.next.fetch_add(1, Ordering::Relaxed)));
+            .get_or_insert_with(|| (due, TIMERS.next.fetch_add(1, Ordering::Relaxed)));
         let mut wakers = wakers();
         match wakers.get_mut(&key) {
             Some(waker) => waker.clone_from(cx.waker()),
             None => {
                 wakers.insert(key, cx.waker().clone());
                 if wakers.len() == 1 {
-                    // A full channel means that the task is awake or about to be.
-                    let _ = WAITING.begin.try_send(());
+                    // A full channel means that the task is already awake or about to wake.
+                    let _ = TIMERS.begin.try_send(());
                 }
             }
         }
--- a/crates/http/tests/raw.rs
+++ b/crates/http/tests/raw.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies with every byte kept, over real sockets.
+//! Heads and bodies are read unchanged, over real sockets.
 
 use async_std::io::WriteExt;
 use async_std::net::{TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 };
 use std::time::Duration;
 
-/// A connection on whose other end `bytes` are written and then closed.
+/// A source whose peer writes `bytes` and then closes the connection.
 async fn source(bytes: &[u8]) -> Source {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -23,10 +23,10 @@
 
 fn request(text: &str) -> RequestHead {
     let parsed = RequestHead::parse(text.as_bytes()).expect("a head");
-    parsed.expect("a whole head").0
+    parsed.expect("a complete head").0
 }
 
-/// Two parties that disagree on where a body ends take its rest for another request, which nobody sent.
+/// If two parties disagree on where a body ends, one of them parses its rest as a request that was never sent.
 #[test]
 fn ambiguous_bodies_are_errors() {
     struct Case {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn targets_and_headers_stay_as_they_came() {
+fn targets_and_headers_are_kept_unchanged() {
     let head = request("POST /a/../b%2Fc//d?q=%20+;x#f HTTP/1.1\r\nhOsT: a\r\nX-Odd: caf\u{e9}\r\nX-Odd: 2\r\n\r\n");
     assert_eq!(head.target, "/a/../b%2Fc//d?q=%20+;x#f");
     assert_eq!(head.path(), "/a/../b%2Fc//d");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn answers_are_framed_by_status_and_method() {
+fn responses_are_framed_by_status_and_method() {
     struct Case {
         head: &'static str,
         method: &'static str,
@@ -132,7 +132,7 @@
     for case in cases {
         let (head, _) = ResponseHead::parse(case.head.as_bytes())
             .expect("a head")
-            .expect("a whole one");
+            .expect("a complete head");
         assert_eq!(
             response_framing(&head, case.method),
             Ok(case.expected),
@@ -142,9 +142,10 @@
     }
 }
 
-/// An endpoint crashes in the middle of its answer. Passed on as whole, a caller acts on half of it.
+/// An endpoint crashes in the middle of its response. If the truncated body were reported as complete, the client would
+/// act on part of the response.
 #[test]
-fn only_whole_bodies_are_whole() {
+fn truncated_bodies_are_errors() {
     struct Case {
         framing: Framing,
         bytes: &'static [u8],
@@ -231,9 +232,9 @@
     }
 }
 
-/// A caller sends two requests in one segment. The second must be answered too, and byte for byte.
+/// A client sends two requests in one segment. The second must be read too, with no byte lost.
 #[test]
-fn what_follows_a_request_stays_for_the_next_one() {
+fn pipelined_requests_lose_no_bytes() {
     task::block_on(async {
         let bytes = b"POST /1 HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET /2 HTTP/1.1\r\n\r\n";
         let mut source = source(bytes).await;
@@ -248,27 +249,28 @@
     });
 }
 
-/// A late answer of an earlier request comes where the next one is due. Passed on, a caller gets somebody else's.
+/// A late response to an earlier request arrives before the expected one. If it were forwarded, a client would get another
+/// client's response.
 #[test]
-fn answers_of_other_requests_are_skipped() {
+fn responses_to_other_requests_are_skipped() {
     task::block_on(async {
         let bytes = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 5\r\n\r\nwrong\
             HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 5\r\n\r\nright";
         let mut source = source(bytes).await;
-        let ours = |head: &ResponseHead| head.headers.one("id") == Some("2");
-        let mut answer = exchange(&mut source, b"GET / HTTP/1.1\r\n\r\n", "GET", ours)
+        let is_ours = |head: &ResponseHead| head.headers.one("id") == Some("2");
+        let mut answer = exchange(&mut source, b"GET / HTTP/1.1\r\n\r\n", "GET", is_ours)
             .await
             .expect("an answer");
         let body = answer.body.read_to_end(&mut source, 100).await.expect("a body");
         assert_eq!(body, b"right");
-        assert!(!answer.reusable, "such a connection is not used again");
+        assert!(!answer.reusable, "the connection must not be reused");
     });
 }
 
-/// An endpoint refuses a long request before it has read it, and reads on. Whatever is sent later on that connection would count as
-/// the rest of that body.
+/// An endpoint rejects a long request before it has read it, and keeps reading. Anything sent later on that connection
+/// would be read as the rest of that body.
 #[test]
-fn an_answer_before_the_request_has_left_soils_the_connection() {
+fn a_response_before_the_request_is_sent_prevents_reuse() {
     task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -276,8 +278,8 @@
             .await
             .expect("a connection");
         let (mut peer, _) = listener.accept().await.expect("a connection");
-        let refusal = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-        peer.write_all(refusal).await.expect("written");
+        let rejection = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+        peer.write_all(rejection).await.expect("written");
         // More than the sockets' buffers hold, and the peer reads nothing.
         let long = vec![b'x'; 64 << 20];
         let answer = exchange(&mut source, &long, "POST", |_| true).await.expect("an answer");
--- a/crates/http/tests/traps.rs
+++ b/crates/http/tests/traps.rs
@@ -1,4 +1,4 @@
-//! Answers that async-h1 would report as whole, and connections that close at the wrong moment.
+//! Truncated responses that async-h1 reports as complete, and connections that close while they are in use.
 
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::TcpListener;
@@ -10,13 +10,13 @@
 const WAIT: Duration = Duration::from_secs(20);
 const LIMIT: u64 = 100;
 
-/// What came of one exchange.
+/// The result of one exchange.
 #[derive(Debug, PartialEq, Eq)]
-enum Came {
-    Whole(&'static str),
+enum Outcome {
+    Complete(&'static str),
     NoAnswer,
     LengthMismatch,
-    Broken,
+    Failed,
     Unframed,
     TooLarge,
 }
@@ -25,10 +25,10 @@
     name: &'static str,
     /// Written by the peer, which then closes.
     answer: &'static str,
-    came: Came,
+    expected: Outcome,
 }
 
-/// A peer that answers each of `answers` connections with the same bytes and closes it.
+/// A peer that accepts `answers` connections, writes the same bytes to each and closes it.
 async fn peer(answer: &'static str, answers: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
@@ -51,60 +51,60 @@
 }
 
 fn check(case: &Case) {
-    let came = task::block_on(async {
+    let outcome = task::block_on(async {
         let to = peer(case.answer, 1).await;
         let reply = match Client::new().send_once(to, request(to), b"{}", WAIT, || true).await {
             Ok(reply) => reply,
-            Err(SendError::NoAnswer) => return Came::NoAnswer,
+            Err(SendError::NoAnswer) => return Outcome::NoAnswer,
             Err(err) => panic!("{}: {err}", case.name),
         };
         match reply.read_body(LIMIT).await {
-            Ok(body) if body == b"hello" => Came::Whole("hello"),
+            Ok(body) if body == b"hello" => Outcome::Complete("hello"),
             Ok(body) => panic!("{}: {}", case.name, String::from_utf8_lossy(&body)),
-            Err(BodyError::LengthMismatch(..)) => Came::LengthMismatch,
-            Err(BodyError::Io(_)) => Came::Broken,
-            Err(BodyError::Unframed) => Came::Unframed,
-            Err(BodyError::TooLarge(_)) => Came::TooLarge,
+            Err(BodyError::LengthMismatch(..)) => Outcome::LengthMismatch,
+            Err(BodyError::Io(_)) => Outcome::Failed,
+            Err(BodyError::Unframed) => Outcome::Unframed,
+            Err(BodyError::TooLarge(_)) => Outcome::TooLarge,
         }
     });
-    assert_eq!(came, case.came, "{}", case.name);
+    assert_eq!(outcome, case.expected, "{}", case.name);
 }
 
-/// An engine dies, or a network device cuts a connection, anywhere in an answer. The library reports some of these as
-/// whole; passed on, a caller would act on half an answer.
+/// An engine crashes, or a network device closes a connection, anywhere in a response. async-h1 reports some truncated
+/// responses as complete; if one were forwarded, the client would act on part of a response.
 #[test]
-fn a_cut_answer_is_never_whole() {
+fn a_truncated_response_is_never_complete() {
     let chunked = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     let cases = [
         Case {
             name: "whole",
             answer: "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello",
-            came: Came::Whole("hello"),
+            expected: Outcome::Complete("hello"),
         },
         Case {
             name: "nothing",
             answer: "",
-            came: Came::NoAnswer,
+            expected: Outcome::NoAnswer,
         },
         Case {
             name: "half a head",
             answer: "HTTP/1.1 200 OK\r\ncontent-le",
-            came: Came::NoAnswer,
+            expected: Outcome::NoAnswer,
         },
         Case {
             name: "short",
             answer: "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhello",
-            came: Came::LengthMismatch,
+            expected: Outcome::LengthMismatch,
         },
         Case {
             name: "undeclared",
             answer: "HTTP/1.1 200 OK\r\n\r\nhello",
-            came: Came::Unframed,
+            expected: Outcome::Unframed,
         },
         Case {
             name: "no number",
             answer: "HTTP/1.1 200 OK\r\ncontent-length: x\r\n\r\nhello",
-            came: Came::NoAnswer,
+            expected: Outcome::NoAnswer,
         },
         Case {
             name: "too large",
@@ -113,23 +113,23 @@
                 "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx",
                 "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx",
             ),
-            came: Came::TooLarge,
+            expected: Outcome::TooLarge,
         },
     ];
     cases.iter().for_each(check);
     let chunks = [
-        ("whole chunks", "5\r\nhello\r\n0\r\n\r\n", Came::Whole("hello")),
-        ("no last chunk", "5\r\nhello\r\n", Came::Broken),
-        ("inside a chunk", "9\r\nhello", Came::Broken),
+        ("whole chunks", "5\r\nhello\r\n0\r\n\r\n", Outcome::Complete("hello")),
+        ("no last chunk", "5\r\nhello\r\n", Outcome::Failed),
+        ("inside a chunk", "9\r\nhello", Outcome::Failed),
     ];
-    for (name, body, came) in chunks {
+    for (name, body, expected) in chunks {
         let answer: &'static str = Box::leak(format!("{chunked}{body}").into_boxed_str());
-        check(&Case { name, answer, came });
+        check(&Case { name, answer, expected });
     }
 }
 
-/// A peer closes a connection that lies idle in the pool just as a request goes out on it. A request that may be sent
-/// twice goes out again; one that may not never uses a connection that has been used before.
+/// A peer closes an idle pooled connection just as a request is sent on it. A request that may be sent twice is retried on
+/// a new connection; a request that may not always uses a new connection.
 #[test]
 fn a_stale_connection_is_replaced() {
     task::block_on(async {
@@ -142,14 +142,15 @@
     });
 }
 
-/// A call is withdrawn after its connection stands, as when its holder was paused for too long. Not a byte may leave.
+/// A request is cancelled after its connection is established, for example because the process was paused for too long. No
+/// byte may be sent.
 #[test]
-fn a_withheld_call_sends_nothing() {
+fn a_cancelled_request_sends_nothing() {
     task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let to = listener.local_addr().expect("an address");
-        let withheld = Client::new().send_once(to, request(to), b"{}", WAIT, || false).await;
-        assert!(matches!(withheld, Err(SendError::Cancelled)));
+        let cancelled = Client::new().send_once(to, request(to), b"{}", WAIT, || false).await;
+        assert!(matches!(cancelled, Err(SendError::Cancelled)));
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes).await.expect("the end of the connection");
@@ -157,9 +158,9 @@
     });
 }
 
-/// Nobody listens where an endpoint was: nothing has been sent, and a refusal may say so.
+/// No process listens at an endpoint's address: nothing was sent, and the error says so.
 #[test]
-fn a_refused_connection_is_told_from_a_lost_answer() {
+fn a_refused_connection_differs_from_a_lost_response() {
     task::block_on(async {
         let to = TcpListener::bind("127.0.0.1:0")
             .await
@@ -171,9 +172,9 @@
     });
 }
 
-/// The body is set after the headers, and must not replace the caller's content type.
+/// The body is set after the headers and must not replace the content type that the caller set.
 #[test]
-fn headers_survive_the_body() {
+fn setting_the_body_keeps_the_content_type() {
     task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let to = listener.local_addr().expect("an address");
