--- a/crates/config/src/audit.rs
+++ b/crates/config/src/audit.rs
@@ -1,8 +1,8 @@
-//! The audit trail of accepted changes, chained by digest.
+//! The audit trail of accepted changes, a hash chain.
 //!
-//! The log is written with the change itself: the head that puts a change in force names the log's newest record.
-//! It keeps the last [`RECORDS_KEPT`] records; a [`Checkpoint`] stands for those before, so that the chain stays
-//! verifiable and the value bounded.
+//! The log is written with the change itself: the head that activates a change contains the digest of the log's newest
+//! record. The log keeps the last [`RECORDS_KEPT`] records. A [`Checkpoint`] replaces earlier ones, so that the chain
+//! stays verifiable and the value bounded.
 
 use crate::{ChangeId, Head, Section, SectionRef};
 use derive_more::{Display, From, Into};
@@ -14,50 +14,50 @@
 /// Records in a log. A record takes about 500 bytes, so that a log takes 32 KB of the 1 MB that a value may have.
 pub const RECORDS_KEPT: usize = 64;
 
-/// Wall-clock time in milliseconds since 1970, for people; nothing is decided by it.
+/// Wall-clock time in milliseconds since 1970, for display only; no decision depends on it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Display, From, Into, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct UnixMillis(pub u64);
 
-/// From what to what a section went.
+/// The replacement of one section by a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SectionChange {
     /// The section.
     pub section: Section,
-    /// What was in force before; absent with the first document.
+    /// The section previously in force; absent in the first document's record.
     pub from: Option<SectionRef>,
-    /// Digest of what is in force since.
+    /// Digest of the new section.
     pub to: Digest,
 }
 
 /// One accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The revision that the change made.
+    /// The revision that the change created.
     pub revision: Revision,
     /// The change.
     pub change: ChangeId,
     /// Who made it.
     pub operator: String,
-    /// When, by the operator's clock.
+    /// Time of the change, by the operator's clock.
     pub at: UnixMillis,
-    /// One section; all with the first document.
+    /// The replaced section; all sections in the first document's record.
     pub moves: Vec<SectionChange>,
-    /// Digest of the record before; of nothing for the first.
+    /// Digest of the previous record; of the empty string for the first.
     pub previous: Digest,
 }
 
 impl Record {
-    /// Digest of the record, which covers all before it.
+    /// Digest of the record, which covers all earlier records through `previous`.
     pub fn digest(&self) -> Digest {
         Digest::of(&serde_json::to_vec(self).expect("a record is always JSON"))
     }
 }
 
-/// Stands for the records that are no longer kept.
+/// Replaces the records that are no longer kept.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// Revision of the last record that is gone; 0 if none is.
+    /// Revision of the last dropped record; 0 if none was dropped.
     pub revision: Revision,
     /// Its digest.
     pub digest: Digest,
@@ -66,7 +66,7 @@
 /// The newest records.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditLog {
-    /// Where the records begin.
+    /// The point after which the records begin.
     pub checkpoint: Checkpoint,
     /// Oldest first.
     pub records: VecDeque<Record>,
@@ -95,18 +95,18 @@
         self.records.iter().find(|record| record.change == *change)
     }
 
-    /// Adds a record, and gives back the one that is no longer kept.
+    /// Appends a record and returns the one that is dropped, if any.
     pub(crate) fn push(&mut self, record: Record) -> Option<Record> {
         self.records.push_back(record);
         if self.records.len() <= RECORDS_KEPT {
             return None;
         }
-        let gone = self.records.pop_front()?;
+        let dropped = self.records.pop_front()?;
         self.checkpoint = Checkpoint {
-            revision: gone.revision,
-            digest: gone.digest(),
+            revision: dropped.revision,
+            digest: dropped.digest(),
         };
-        Some(gone)
+        Some(dropped)
     }
 
     /// The stored text.
@@ -116,32 +116,32 @@
 }
 
 quick_error! {
-    /// Where an audit log was tampered with or damaged.
+    /// Where an audit log is inconsistent, because of tampering or damage.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum ChainError {
         /// The record does not follow from the one before it.
         Link(revision: Revision) {
             display("the record of revision {revision} does not follow from the one before it")
         }
-        /// A revision was left out or stands twice.
+        /// A revision is missing or repeated.
         Gap(revision: Revision) {
             display("revision {revision} does not follow the one before it by one")
         }
-        /// A section goes on from something else than it had become.
+        /// A section's previous value differs from the one that an earlier record set.
         Section(revision: Revision, section: Section) {
-            display("at revision {revision} the section {section} goes on from what it was not")
+            display("at revision {revision} the previous value of section {section} differs from the one recorded before")
         }
-        /// The log does not end in what the head names.
+        /// The log does not end in the state that the head refers to.
         Head {
-            display("the log does not end in what the head names")
+            display("the log does not end in the state that the head refers to")
         }
     }
 }
 
-/// Checks that `log` is whole and ends in `head`.
+/// Checks that `log` is consistent and ends in `head`.
 ///
 /// # Errors
-/// The first place where it does not hold together.
+/// The first inconsistency.
 pub fn verify_chain(head: &Head, log: &AuditLog) -> Result<(), ChainError> {
     let mut before = log.checkpoint.clone();
     let mut sections: BTreeMap<Section, SectionRef> = BTreeMap::new();
@@ -154,8 +154,8 @@
             return Err(ChainError::Link(revision));
         }
         for step in &record.moves {
-            let known = sections.get(&step.section);
-            if known.is_some() && known != step.from.as_ref() {
+            let previous = sections.get(&step.section);
+            if previous.is_some() && previous != step.from.as_ref() {
                 return Err(ChainError::Section(revision, step.section));
             }
             sections.insert(
@@ -173,7 +173,11 @@
     }
     let agrees = sections
         .iter()
-        .all(|(section, named)| head.sections.get(section) == Some(named));
-    let ends = before.revision == head.revision && before.digest == head.audit;
-    if agrees && ends { Ok(()) } else { Err(ChainError::Head) }
+        .all(|(section, section_ref)| head.sections.get(section) == Some(section_ref));
+    let ends_at_head = before.revision == head.revision && before.digest == head.audit;
+    if agrees && ends_at_head {
+        Ok(())
+    } else {
+        Err(ChainError::Head)
+    }
 }
--- a/crates/config/src/change/mod.rs
+++ b/crates/config/src/change/mod.rs
@@ -1,4 +1,4 @@
-//! Plans a change: what to write so that it is accepted once, and why it is refused.
+//! Plans a change: the writes that apply it exactly once, or the reason for refusing it.
 
 mod plan;
 
@@ -10,86 +10,86 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-/// Names one change, unique over all operators and times; it settles a lost answer.
+/// Globally unique id of a change. It tells whether a write whose response was lost took effect.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display, From, AsRef, Serialize, Deserialize)]
 #[from(String, &str)]
 #[as_ref(str)]
 #[serde(transparent)]
 pub struct ChangeId(String);
 
-/// An operator's key, by which they prove who they are; only its digest is ever stored or shown.
+/// An operator's authentication key; only its digest is ever stored or shown.
 #[derive(Clone, From)]
 #[from(String, &str)]
 pub struct OperatorKey(String);
 
 impl OperatorKey {
-    /// The digest that stands in the document.
+    /// The digest that is stored in the document.
     pub fn digest(&self) -> Digest {
         Digest::of(self.0.as_bytes())
     }
 }
 
-/// A change that an operator wants.
+/// A change that an operator requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Chosen by the command, and kept over its retries.
+    /// Chosen by the command and reused in its retries.
     pub id: ChangeId,
-    /// Who wants it.
+    /// Name of the operator.
     pub operator: String,
     /// The section to replace.
     pub section: Section,
-    /// Digest of the section as the operator saw it.
+    /// Digest of the section as the operator read it.
     pub before: Digest,
-    /// The section as it is to be, JSON.
+    /// The new section, JSON.
     pub after: String,
 }
 
 /// Someone else has changed the same section since the operator read it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Conflict {
-    /// What is in force now.
+    /// Digest of the section now in force.
     pub current: Digest,
-    /// The changes since; empty if they are so old that the log has dropped what the operator saw.
+    /// The changes since; empty if the log no longer contains the version that the operator read.
     pub since: Vec<Record>,
 }
 
 quick_error! {
-    /// Why a change is not accepted; nothing was changed then.
+    /// Why a change is not accepted; nothing was changed. The messages are stored in the log of refused attempts.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ChangeRefused {
-        /// No such operator, or not their key.
+        /// Unknown operator or wrong key.
         AuthFailed {
             display("the operator's name and key do not go together")
         }
-        /// The section belongs to someone else.
+        /// The operator does not own the section.
         NotOwner(section: Section) {
             display("the section {section} belongs to other operators")
         }
-        /// The section has changed since it was read; read it again, and edit that.
+        /// The section has changed since it was read; it must be read and edited again.
         Conflict(conflict: Conflict) {
             display("the section was changed {} times since it was read", conflict.since.len())
         }
-        /// The document would contradict itself or strand traffic.
+        /// The document would be inconsistent or leave a model or service in use without endpoints.
         Invalid(problems: Vec<Problem>) {
             display("the document would have {} problems", problems.len())
         }
-        /// Nothing would change.
+        /// The new section equals the current one.
         Unchanged {
             display("the section is like that already")
         }
-        /// This very change is in force since this revision; it is not applied again.
+        /// This change was already accepted as this revision; it is not applied again.
         Accepted(revision: Revision) {
             display("the change was accepted before, as revision {revision}")
         }
-        /// The change's id belongs to another change; nothing was done under it.
+        /// Another change has the same id; this one was not applied.
         IdTaken(revision: Revision) {
             display("another change, of revision {revision}, has the same id")
         }
-        /// There is no document yet to change.
+        /// No document exists yet.
         Empty {
             display("there is no document yet")
         }
-        /// There is a document already; it is changed, not replaced.
+        /// A document already exists; it can be changed but not replaced.
         NotEmpty {
             display("there is a document already")
         }
--- a/crates/config/src/change/plan.rs
+++ b/crates/config/src/change/plan.rs
@@ -1,8 +1,8 @@
-//! What is written for a change, in which order.
+//! The writes of a change and their order.
 //!
-//! First the new values under unused names, then the head by compare-and-swap. If the writer fails in between, a few
-//! values are left over that nothing refers to. If the compare-and-swap fails, the change is planned again on the new
-//! head: it still goes through if another section was changed.
+//! The new values are written first, under unused keys, and then the head by compare-and-swap. If the writer fails in
+//! between, a few unreferenced values remain. If the compare-and-swap fails, the change is planned again on the new
+//! head, and succeeds if another section was changed.
 
 use super::{Change, ChangeId, ChangeRefused, Conflict, OperatorKey};
 use crate::{
@@ -14,7 +14,7 @@
 
 /// Most bytes of a value: 1 MB less room for the platform's own envelope.
 pub(super) const MAX_VALUE: usize = 1_000_000;
-/// Older audit logs are removed; these stay for readers that are just following an older head.
+/// Number of recent audit logs that are kept, for readers that are still loading an older head.
 const LOGS_KEPT: usize = 8;
 
 /// A value to write.
@@ -26,27 +26,27 @@
     pub text: String,
 }
 
-/// What to write for one change.
+/// The writes of one change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Written first, each expecting that the key is absent; one that is there with this text is as good.
+    /// Written first, each on condition that the key is absent; a key that already has this text counts as written.
     pub puts: Vec<Value>,
-    /// Written last, expecting the head that was planned on.
+    /// Written last, on condition that the head has not changed since planning.
     pub head: Head,
-    /// Revision that was planned on; 0 for the first document.
+    /// Revision that the plan is based on; 0 for the first document.
     pub base: Revision,
     /// The document that will be in force.
     pub document: Document,
     /// The log that belongs to the head.
     pub log: AuditLog,
-    /// Keys that nothing needs any more once the change is accepted.
+    /// Keys that are unused once the change is accepted.
     pub garbage: Vec<String>,
 }
 
 /// Plans the first document; `text` is checked as a whole.
 ///
 /// # Errors
-/// The document is not valid, or the operator is none of its own.
+/// The document is invalid, or it does not contain the operator with this key.
 pub fn bootstrap(
     id: &ChangeId,
     operator: &str,
@@ -55,19 +55,19 @@
     at: UnixMillis,
 ) -> Result<Plan, ChangeRefused> {
     let document = parse(text).map_err(ChangeRefused::Invalid)?;
-    prove(&document, operator, key)?;
+    authenticate(&document, operator, key)?;
     let mut puts = Vec::new();
     let mut moves = Vec::new();
     let mut sections = BTreeMap::new();
     for section in Section::ALL {
         let text = section_text(&document, section);
-        let named = store(section, id, text, &mut puts)?;
+        let section_ref = store(section, id, text, &mut puts)?;
         moves.push(SectionChange {
             section,
             from: None,
-            to: named.digest,
+            to: section_ref.digest,
         });
-        sections.insert(section, named);
+        sections.insert(section, section_ref);
     }
     let mut log = AuditLog::default();
     let record = Record {
@@ -99,15 +99,15 @@
     })
 }
 
-/// Plans `change` on what is in force.
+/// Plans `change` on the document in force.
 ///
 /// # Errors
 /// Why it is refused.
 pub fn plan_change(view: &View, change: &Change, key: &OperatorKey, at: UnixMillis) -> Result<Plan, ChangeRefused> {
     if let Some(record) = view.log.find(&change.id) {
-        return Err(known(record, change));
+        return Err(existing(record, change));
     }
-    prove(&view.document, &change.operator, key)?;
+    authenticate(&view.document, &change.operator, key)?;
     if !view.document.operators[&change.operator]
         .sections
         .contains(&change.section)
@@ -118,14 +118,14 @@
     if current.digest != change.before {
         return Err(ChangeRefused::Conflict(conflict(view, change, current.digest)));
     }
-    let document = changed(&view.document, change)?;
+    let document = apply(&view.document, change)?;
     let text = section_text(&document, change.section);
     let mut puts = Vec::new();
-    let named = store(change.section, &change.id, text, &mut puts)?;
-    if named.digest == current.digest {
+    let section_ref = store(change.section, &change.id, text, &mut puts)?;
+    if section_ref.digest == current.digest {
         return Err(ChangeRefused::Unchanged);
     }
-    Ok(finish(view, change, at, named, document, puts))
+    Ok(finish(view, change, at, section_ref, document, puts))
 }
 
 /// Adds the record, the log and the head.
@@ -133,7 +133,7 @@
     view: &View,
     change: &Change,
     at: UnixMillis,
-    named: SectionRef,
+    section_ref: SectionRef,
     document: Document,
     mut puts: Vec<Value>,
 ) -> Plan {
@@ -141,7 +141,7 @@
     let step = SectionChange {
         section: change.section,
         from: view.head.sections.get(&change.section).cloned(),
-        to: named.digest,
+        to: section_ref.digest,
     };
     let record = Record {
         revision: Revision(view.head.revision.0 + 1),
@@ -155,7 +155,7 @@
     let mut head = view.head.clone();
     head.revision = Revision(head.revision.0 + 1);
     head.change = change.id.clone();
-    head.sections.insert(change.section, named);
+    head.sections.insert(change.section, section_ref);
     head.audit = log.newest();
     puts.push(Value {
         key: head.audit_key(),
@@ -171,8 +171,8 @@
     }
 }
 
-/// An id that someone else happened to choose as well must not make this change pass for accepted.
-fn known(record: &Record, change: &Change) -> ChangeRefused {
+/// If another change happens to have the same id, this change must not be reported as accepted.
+fn existing(record: &Record, change: &Change) -> ChangeRefused {
     let same = record.operator == change.operator && record.moves.iter().any(|step| step.section == change.section);
     if same {
         ChangeRefused::Accepted(record.revision)
@@ -181,12 +181,16 @@
     }
 }
 
-fn prove(document: &Document, operator: &str, key: &OperatorKey) -> Result<(), ChangeRefused> {
-    let proven = document
+fn authenticate(document: &Document, operator: &str, key: &OperatorKey) -> Result<(), ChangeRefused> {
+    let authenticated = document
         .operators
         .get(operator)
-        .is_some_and(|known| known.key == key.digest());
-    if proven { Ok(()) } else { Err(ChangeRefused::AuthFailed) }
+        .is_some_and(|spec| spec.key == key.digest());
+    if authenticated {
+        Ok(())
+    } else {
+        Err(ChangeRefused::AuthFailed)
+    }
 }
 
 fn conflict(view: &View, change: &Change, current: Digest) -> Conflict {
@@ -207,7 +211,7 @@
     }
 }
 
-fn changed(document: &Document, change: &Change) -> Result<Document, ChangeRefused> {
+fn apply(document: &Document, change: &Change) -> Result<Document, ChangeRefused> {
     let mut document = document.clone();
     parse_section(&mut document, change.section, &change.after).map_err(ChangeRefused::Invalid)?;
     let problems = validate(&document);
@@ -222,26 +226,26 @@
     if text.len() > MAX_VALUE {
         return Err(ChangeRefused::TooLarge(text.len()));
     }
-    let named = SectionRef {
+    let section_ref = SectionRef {
         digest: Digest::of(text.as_bytes()),
         change: id.clone(),
     };
     puts.push(Value {
-        key: named.key(section),
+        key: section_ref.key(section),
         text,
     });
-    Ok(named)
+    Ok(section_ref)
 }
 
-/// Adds the record; gives back the keys of a section that can't be undone to any more and of an old log.
+/// Appends the record; returns the keys of a section to which undo is no longer possible and of an old log.
 fn garbage(log: &mut AuditLog, record: Record) -> Vec<String> {
     let mut keys = Vec::new();
-    if let Some(gone) = log.push(record) {
-        let left = gone
+    if let Some(dropped) = log.push(record) {
+        let unused = dropped
             .moves
             .iter()
             .filter_map(|step| Some(step.from.as_ref()?.key(step.section)));
-        keys.extend(left);
+        keys.extend(unused);
     }
     if let Some(place) = log.records.len().checked_sub(LOGS_KEPT + 1) {
         keys.push(audit_key(log.records[place].digest()));
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,4 +1,4 @@
-//! Differences between two JSON texts, for people.
+//! Differences between two JSON texts, for display.
 
 use crate::strict::child;
 use serde_json::Value;
@@ -9,9 +9,9 @@
 pub struct Difference {
     /// JSON path from the root of the compared values.
     pub path: String,
-    /// What was there.
+    /// The old value.
     pub before: Option<Value>,
-    /// What is there.
+    /// The new value.
     pub after: Option<Value>,
 }
 
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! The document's types as operators write them. Unknown fields are refused.
+//! The document's types, in the format that operators write. Unknown fields are rejected.
 
 use derive_more::Display;
 use ids::{Digest, DomainId, EndpointId, ModelId, Priority, ServiceId, WeightsVersion, WorkspaceId};
@@ -34,13 +34,13 @@
     /// Workspaces by id.
     #[serde(default)]
     pub workspaces: BTreeMap<WorkspaceId, WorkspaceSpec>,
-    /// Models by the name callers use.
+    /// Models by the name that clients use.
     #[serde(default)]
     pub models: BTreeMap<ModelId, ModelSpec>,
     /// Plain services by the name in their path.
     #[serde(default)]
     pub services: BTreeMap<ServiceId, ServiceSpec>,
-    /// Priorities by the name callers state.
+    /// Priorities by the name that clients send.
     #[serde(default)]
     pub priorities: BTreeMap<String, PrioritySpec>,
     /// Endpoints in service.
@@ -48,7 +48,7 @@
     pub endpoints: BTreeMap<EndpointId, EndpointSpec>,
 }
 
-/// An operator and the sections that are theirs.
+/// An operator and the sections they own.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSpec {
@@ -58,11 +58,11 @@
     pub sections: Vec<Section>,
 }
 
-/// A workspace: who it is, what it may use and how much.
+/// A workspace: its keys, the models and services it may use, and its limits.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspaceSpec {
-    /// Digests of the bearer keys that name this workspace.
+    /// Digests of the bearer keys that authenticate this workspace.
     pub keys: Vec<Digest>,
     /// Models it may call.
     #[serde(default)]
@@ -94,7 +94,7 @@
 pub struct ModelSpec {
     /// Weights versions that may be served.
     pub versions: Vec<WeightsVersion>,
-    /// The version that runners are to serve.
+    /// The target version, which runners must serve.
     pub wanted: WeightsVersion,
 }
 
@@ -102,7 +102,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Its operations by path, the longest matching prefix counts.
+    /// Its operations by path; the longest matching prefix applies.
     pub operations: Vec<Operation>,
 }
 
@@ -112,7 +112,7 @@
 pub struct Operation {
     /// Path prefix below the service, such as `/fans`.
     pub path: String,
-    /// Whether a second execution does no harm.
+    /// Whether executing a request twice has the same effect as once.
     pub idempotent: bool,
     /// Whether the service itself runs a key at most once.
     #[serde(default)]
@@ -131,16 +131,16 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSpec {
-    /// Address and port by IP number.
+    /// IP address and port.
     pub address: std::net::SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
     /// What it serves.
     pub role: EndpointRole,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an old fencing token.
     #[serde(default)]
     pub fenced: bool,
-    /// Most requests it may run at once, a hard ceiling.
+    /// Maximum number of requests that it runs at once.
     #[serde(default = "default_slots")]
     pub slots: u32,
 }
--- a/crates/config/src/head.rs
+++ b/crates/config/src/head.rs
@@ -1,8 +1,8 @@
-//! How the document lies in the platform's key-value service.
+//! How the document is stored in the platform's key-value service.
 //!
-//! One value with the whole document would be limited to 1 MB, and operators of different sections would race on
-//! every write. So each section is a value of its own, written once under a name that contains its change, and one
-//! small head names those in force. A watch on the head costs each router some hundred bytes for each change.
+//! One value with the whole document would be limited to 1 MB, and operators of different sections would conflict on
+//! every write. So each section is a separate value, written once under a key that contains its change id, and one
+//! small head refers to those in force. A watch on the head costs each router some hundred bytes for each change.
 
 use crate::{ChainError, ChangeId, Document, Problem, Section, audit::AuditLog, parse_section, validate};
 use ids::{Digest, Revision};
@@ -17,13 +17,13 @@
 /// Prefix of the audit logs' keys.
 pub const AUDIT_PREFIX: &str = "config/audit/";
 
-/// Names one stored section.
+/// Reference to one stored section.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SectionRef {
     /// Digest of the text.
     pub digest: Digest,
-    /// The change that wrote it. With it no key is ever written by two changes, so that cleaning up after one can't
-    /// take away what another is just about to refer to.
+    /// The change that wrote it. Since the key contains it, no two changes write the same key, and deleting the unused
+    /// keys of one change cannot remove a section that another is about to refer to.
     pub change: ChangeId,
 }
 
@@ -34,16 +34,16 @@
     }
 }
 
-/// What is in force; it changes by compare-and-swap only.
+/// References to the sections in force; written only by compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// Grows by one with each accepted change.
     pub revision: Revision,
-    /// The change that made this revision.
+    /// The change that created this revision.
     pub change: ChangeId,
     /// All sections.
     pub sections: BTreeMap<Section, SectionRef>,
-    /// Digest of the newest audit record, with which all earlier ones are chained.
+    /// Digest of the newest audit record, which is chained to all earlier ones.
     pub audit: Digest,
 }
 
@@ -66,7 +66,7 @@
     /// Reads a head.
     ///
     /// # Errors
-    /// The text is no head, or does not name every section.
+    /// The text is not a head, or it lacks a section.
     pub fn read(text: &str) -> Result<Self, AssembleError> {
         let head: Self = serde_json::from_str(text).map_err(AssembleError::Head)?;
         match Section::ALL
@@ -84,66 +84,66 @@
     format!("{AUDIT_PREFIX}{newest}")
 }
 
-/// A head with all that it refers to.
+/// A head with everything it refers to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct View {
     /// The head.
     pub head: Head,
-    /// The sections, put together and checked.
+    /// The validated document, assembled from the sections.
     pub document: Document,
     /// The audit log.
     pub log: AuditLog,
 }
 
 quick_error! {
-    /// What was read does not make a document.
+    /// Why the stored values do not form a document.
     #[derive(Debug)]
     pub enum AssembleError {
-        /// The head is not one.
+        /// The head cannot be parsed.
         Head(error: serde_json::Error) {
             display("the head can't be read: {error}")
             source(error)
         }
-        /// The audit log is not one.
+        /// The audit log cannot be parsed.
         Log(error: serde_json::Error) {
             display("the audit log can't be read: {error}")
             source(error)
         }
-        /// The audit log does not hold together.
+        /// The audit log is inconsistent.
         Chain(broken: ChainError) {
-            display("the audit log is broken: {broken}")
+            display("the audit log is inconsistent: {broken}")
             source(broken)
         }
-        /// A section is not there.
+        /// A section is missing.
         Missing(section: Section) {
             display("the section {section} is missing")
         }
-        /// The audit log is not there.
+        /// The audit log is missing.
         MissingLog {
             display("the audit log is missing")
         }
-        /// A section's text is not the one that the head names.
+        /// A section's text does not have the digest in the head.
         Digest(section: Section) {
-            display("the section {section} is not the one that the head names")
+            display("the section {section} does not match the digest in the head")
         }
-        /// The document contradicts itself; it must have been written past the operators' commands.
+        /// The document is inconsistent; it must have been written by other means than the operators' commands.
         Invalid(problems: Vec<Problem>) {
             display("the document has {} problems", problems.len())
         }
     }
 }
 
-/// Puts a document together from the stored texts and checks it.
+/// Assembles a document from the stored texts and validates it.
 ///
 /// # Errors
-/// A text is missing, is not the one that the head names, or the whole contradicts itself.
+/// A text is missing or does not match its digest, or the document is inconsistent.
 pub fn assemble(head: &Head, texts: &BTreeMap<Section, String>) -> Result<Document, AssembleError> {
     let mut document = Document::default();
     for section in Section::ALL {
-        let (Some(named), Some(text)) = (head.sections.get(&section), texts.get(&section)) else {
+        let (Some(section_ref), Some(text)) = (head.sections.get(&section), texts.get(&section)) else {
             return Err(AssembleError::Missing(section));
         };
-        if Digest::of(text.as_bytes()) != named.digest {
+        if Digest::of(text.as_bytes()) != section_ref.digest {
             return Err(AssembleError::Digest(section));
         }
         parse_section(&mut document, section, text).map_err(AssembleError::Invalid)?;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The configuration document, its checks, its changes and its audit trail. Never does I/O.
+//! The configuration document, its validation, its changes and its audit trail. This crate does no I/O.
 //!
-//! The document is kept as one small [`Head`] and a value for each section. A change writes its section and the new
-//! audit log under names that nothing uses yet, and then takes effect by one compare-and-swap of the head.
+//! The document is stored as one small [`Head`] and a value for each section. A change writes its section and the new
+//! audit log under unused keys, and then takes effect by one compare-and-swap of the head.
 
 mod audit;
 mod change;
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -5,10 +5,10 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Reads and checks a whole document.
+/// Parses and validates a complete document.
 ///
 /// # Errors
-/// All problems: of syntax and shape if there are any, or else all contradictions.
+/// All problems: those of syntax and shape if there are any, otherwise all inconsistencies.
 pub fn parse(text: &str) -> Result<Document, Vec<Problem>> {
     let document = parse_shape(text)?;
     let problems = validate(&document);
@@ -19,7 +19,7 @@
     }
 }
 
-/// Puts one section, read from `text`, into `document`; contradictions are not looked for.
+/// Parses one section from `text` into `document`, without validating the document.
 ///
 /// # Errors
 /// All problems of syntax and shape.
@@ -72,7 +72,7 @@
     }
 }
 
-/// Reads each entry by itself, so that one wrong entry doesn't hide the errors of the next.
+/// Parses each entry separately, so that an error in one entry does not hide errors in the next.
 fn entries<K, V>(section: Section, value: Value, problems: &mut Vec<Problem>) -> BTreeMap<K, V>
 where
     K: From<String> + Ord,
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,50 +1,50 @@
-//! What can be wrong with a document, each with the place where it is.
+//! Problems of a document, each with its location.
 
 use crate::Section;
 use derive_more::Display;
 use ids::{EndpointId, ModelId, ServiceId, WeightsVersion, WorkspaceId};
 
-/// One thing that is wrong with a document.
+/// One problem of a document.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 #[display("{path}: {kind}")]
 pub struct Problem {
     /// JSON path from the document's root, such as `workspaces.board.keys[0]`; `.` is the root.
     pub path: String,
-    /// What is wrong there.
+    /// The kind of problem.
     pub kind: ProblemKind,
 }
 
-/// What is wrong.
+/// The kind of problem.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum ProblemKind {
-    /// Not JSON at all; the library's explanation with line and column.
+    /// Invalid JSON; contains the parser's message with line and column.
     #[display("not JSON: {_0}")]
     Syntax(String),
-    /// JSON of another shape than the document's; the library's explanation.
+    /// JSON that does not match the document's schema; contains the deserializer's message.
     #[display("{_0}")]
     Shape(String),
-    /// A key stands twice in one object, of which JSON readers silently drop one.
+    /// A key is repeated in one object; JSON parsers silently drop one of the values.
     #[display("this key stands twice")]
     DuplicateKey,
     /// No such section.
     #[display("there is no such section")]
     UnknownSection,
-    /// Nobody could ever change this section again.
+    /// A section without an owner could never be changed again.
     #[display("no operator owns the section {_0}")]
     NoOwner(Section),
-    /// Callers of this workspace could not prove who they are.
+    /// Clients of this workspace could not authenticate.
     #[display("the workspace has no key")]
     NoKey,
-    /// Two holders of one key could not be told apart.
+    /// Two workspaces or operators with the same key could not be distinguished.
     #[display("the same key stands at {_0}")]
     SharedKey(String),
-    /// A model is named that the document does not have.
+    /// A reference to a model that the document does not contain.
     #[display("there is no model {_0}")]
     UnknownModel(ModelId),
-    /// A service is named that the document does not have.
+    /// A reference to a service that the document does not contain.
     #[display("there is no service {_0}")]
     UnknownService(ServiceId),
-    /// The wanted version is none of those that may be served.
+    /// The target version is not among the allowed versions.
     #[display("the wanted version {_0} is not among the versions")]
     WantedMissing(WeightsVersion),
     /// A workspace uses the model, and no endpoint serves it.
@@ -53,25 +53,25 @@
     /// A workspace uses the service, and no endpoint serves it.
     #[display("workspace {_0} uses the service, and no endpoint serves it")]
     ServiceStranded(WorkspaceId),
-    /// Two endpoints at one address.
+    /// Two endpoints have the same address.
     #[display("endpoint {_0} has the same address")]
     SharedAddress(EndpointId),
-    /// Rank over the least urgent.
+    /// The rank is above that of the least urgent priority.
     #[display("rank {_0} is over {max}", max = crate::validate::LAST_RANK)]
     RankTooHigh(u8),
-    /// Weight outside its range.
+    /// The weight is outside its range.
     #[display("weight {_0} is outside 1 to {max}", max = crate::validate::MAX_WEIGHT)]
     WeightOutside(u32),
-    /// An endpoint that may run nothing.
+    /// An endpoint without slots could run no request.
     #[display("an endpoint needs at least one slot")]
     NoSlots,
-    /// A limit of nothing would refuse every request.
+    /// A limit of 0 would refuse every request.
     #[display("a limit of 0 would refuse every request; leave the key out to have no limit")]
     ZeroLimit,
-    /// Two operations with the same path.
+    /// Two operations of a service have the same path.
     #[display("operation {_0} has the same path")]
     DuplicatePath(usize),
-    /// A path that could never match.
+    /// A path without a leading slash could never match.
     #[display("a path begins with a slash")]
     NoSlash,
 }
--- a/crates/config/src/refused.rs
+++ b/crates/config/src/refused.rs
@@ -1,6 +1,6 @@
-//! Refused attempts, bounded and chained like the audit log, in a value of their own.
+//! A log of refused attempts, bounded and chained like the audit log, in a separate value.
 //!
-//! It is written as well as can be: an attempt that is refused while the platform is out goes unrecorded.
+//! It is best effort: an attempt that is refused while the platform is unreachable is not recorded.
 
 use crate::{Change, ChangeRefused, Section, UnixMillis};
 use ids::Digest;
@@ -9,23 +9,23 @@
 
 /// Key of the refused attempts.
 pub const REFUSED_KEY: &str = "config/refused";
-/// Attempts that are kept.
+/// Number of attempts that are kept.
 pub const ATTEMPTS_KEPT: usize = 64;
 
 /// One refused attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Who they said they were.
+    /// The operator name that was given; it may be wrong.
     pub operator: String,
-    /// When, by their clock.
+    /// Time of the attempt, by the operator's clock.
     pub at: UnixMillis,
-    /// The section they wanted to change.
+    /// The section of the attempted change.
     pub section: Section,
-    /// What it was to become.
+    /// Digest of the requested new section.
     pub wanted: Digest,
-    /// Why it was refused, for people.
+    /// Why it was refused, for display.
     pub reason: String,
-    /// Digest of the attempt before; of nothing for the first.
+    /// Digest of the previous attempt; of the empty string for the first.
     pub previous: Digest,
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether each attempt follows from the one before it.
+    /// Whether each attempt contains the digest of the one before it.
     pub fn verify(&self) -> bool {
         let mut before = self.dropped.unwrap_or_else(|| Digest::of(b""));
         for attempt in &self.attempts {
--- a/crates/config/src/revisions.rs
+++ b/crates/config/src/revisions.rs
@@ -1,7 +1,7 @@
-//! Keeps a router's revision from going back.
+//! Prevents a router's revision from decreasing.
 //!
-//! Routers hear of revisions by watch and from each other, in any order. Without this a late answer or a stale peer
-//! would put an older document in force again; an operator would notice a change that held and then reverted.
+//! Routers receive revisions from a watch and from peers, in any order. Without this check a late response or a stale
+//! peer would reactivate an older document, and an accepted change would be reverted.
 
 use derive_more::Display;
 use ids::{Digest, Revision};
@@ -9,17 +9,17 @@
 /// What to do with an offered revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Adopt {
-    /// Newer than what is in force: it is in force now.
+    /// Newer than the revision in force: adopted.
     Newer,
-    /// In force already.
+    /// Already in force.
     Same,
     /// Older: ignored.
     Older,
-    /// Two contents under one revision: ignored and reported.
+    /// Different content with the same revision: ignored and reported.
     Conflict(RevisionConflict),
 }
 
-/// Two different contents bear one revision: the compare-and-swap was bypassed, or the store was replaced.
+/// Two different heads have the same revision: the compare-and-swap was bypassed, or the store was replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[display("revision {revision} has two contents: {kept} in force, {other} offered")]
 pub struct RevisionConflict {
@@ -50,7 +50,7 @@
         self.current.map(|(_, digest)| digest)
     }
 
-    /// What [`offer`](Self::offer) would say, without adopting.
+    /// What [`offer`](Self::offer) would return, without adopting the revision.
     pub fn check(&self, revision: Revision, digest: Digest) -> Adopt {
         let Some((current, kept)) = self.current else {
             return Adopt::Newer;
--- a/crates/config/src/section.rs
+++ b/crates/config/src/section.rs
@@ -1,4 +1,4 @@
-//! Sections by name, and their stored text.
+//! The list of sections and their stored text.
 
 use crate::{Document, Section};
 use serde::Serialize;
