--- a/crates/config/src/settle.rs
+++ b/crates/config/src/settle.rs
@@ -1,25 +1,26 @@
-//! Settles a change whose answer was lost.
+//! Determines the result of a change whose response was lost.
 //!
-//! A writer that gets no answer doesn't know whether its compare-and-swap took effect. Guessing "no" doubles the
-//! change, guessing "yes" loses it. What is in force tells: each accepted change stands in the audit log.
+//! A writer that gets no response does not know whether its compare-and-swap took effect. Assuming that it did not
+//! applies the change twice; assuming that it did loses it. The audit log in force contains each accepted change.
 
 use crate::{AuditLog, ChangeId, Head};
 use ids::Revision;
 
-/// What became of a change.
+/// The result of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Settled {
     /// It was accepted as this revision.
     Accepted(Revision),
-    /// It was not accepted and never will be, since the head that it expected is gone: plan it again.
+    /// It was not accepted and cannot be any more, since the head that it expected was replaced: plan it again.
     Lost,
-    /// It has not been accepted, and the write may still be on its way: send the same compare-and-swap again.
+    /// It has not been accepted yet, and the write may still be in transit: send the same compare-and-swap again.
     NotYet,
-    /// So many changes came since that the log has dropped the time in question: a person must look.
+    /// The log no longer covers the time of the change: a person must check.
     Unknown,
 }
 
-/// Settles `change`, planned on revision `base`, by the head and log that were read after the answer was lost.
+/// Determines the result of `change`, planned on revision `base`, from the head and log that were read after the response
+/// was lost.
 pub fn settle(change: &ChangeId, base: Revision, head: &Head, log: &AuditLog) -> Settled {
     if let Some(record) = log.find(change) {
         return Settled::Accepted(record.revision);
--- a/crates/config/src/strict.rs
+++ b/crates/config/src/strict.rs
@@ -1,14 +1,14 @@
-//! Reads JSON into a value and notices keys that stand twice.
+//! Parses JSON into a value and detects duplicate keys.
 //!
-//! The library's own value keeps the last of two equal keys. A workspace pasted twice would silently lose its first
-//! entry, which its owner would notice only by refused calls.
+//! `serde_json::Value` keeps the last of two equal keys. A workspace pasted twice would silently lose its first entry,
+//! and its owner would notice only when requests are refused.
 
 use crate::{Problem, ProblemKind};
 use serde::de::{DeserializeSeed, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Value};
 use std::{cell::RefCell, fmt};
 
-/// Reads `text`; keys that stand twice are added to `problems`.
+/// Parses `text`; duplicate keys are added to `problems`.
 pub(crate) fn read_value(text: &str, problems: &mut Vec<Problem>) -> Option<Value> {
     let found = RefCell::new(Vec::new());
     let seed = Seed {
--- a/crates/config/src/submission/loader.rs
+++ b/crates/config/src/submission/loader.rs
@@ -1,49 +1,49 @@
-//! Reads the head and all that it refers to.
+//! Reads the head and everything it refers to.
 
 use super::Call;
 use crate::{AssembleError, AuditLog, HEAD_KEY, Head, Section, View, assemble, verify_chain};
 use ids::{Digest, Version};
 use std::collections::BTreeMap;
 
-/// A key as read.
+/// The stored value of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stored {
-    /// Its text; absent if the key is.
+    /// Its text; `None` if the key is absent.
     pub text: Option<String>,
     /// Its version.
     pub version: Version,
 }
 
-/// How far the reading has come.
+/// State of the loading after a read.
 #[derive(Debug)]
 pub enum Loading {
     /// Read this next.
     Read(Call),
     /// There is no document; the head key has this version.
     Empty(Version),
-    /// All is read; the head key has this version.
+    /// Everything is read; the head key has this version.
     Loaded(Box<View>, Version),
-    /// What is stored does not make a document.
+    /// The stored values do not form a document.
     Damaged(AssembleError),
 }
 
-/// Reads one key after the other. Once loaded it begins again with the head, and then reads only the sections that
-/// have changed since.
+/// Reads one key after the other. After loading it starts again with the head, and reads only the sections that have
+/// changed.
 #[derive(Debug, Clone, Default)]
 pub struct Loader {
     head: Option<(Head, Version)>,
     texts: BTreeMap<Section, String>,
-    /// The head under which a value was gone.
-    gone: Option<Digest>,
+    /// Digest of the head for which a value was absent.
+    stale_head: Option<Digest>,
 }
 
 impl Loader {
-    /// Begins with the head.
+    /// Creates a loader that starts with the head.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The read under way.
+    /// The pending read.
     pub fn call(&self) -> Call {
         let Some((head, _)) = &self.head else {
             return Call::Read(HEAD_KEY.to_owned());
@@ -55,8 +55,8 @@
         Call::Read(key)
     }
 
-    /// Takes what was read. A value that is gone means that newer changes have replaced it: the head is read again.
-    /// If that is still the same, the value is really missing.
+    /// Processes the result of the pending read. An absent value usually means that newer changes have replaced it, so the
+    /// head is read again. If the head is unchanged, the value is missing.
     pub fn on(&mut self, stored: Stored) -> Loading {
         if self.head.is_none() {
             return self.begin(stored);
@@ -73,10 +73,10 @@
 
     fn read_again(&mut self) -> Loading {
         let digest = self.head.as_ref().map(|(head, _)| head.digest());
-        if digest == self.gone {
+        if digest == self.stale_head {
             return Loading::Damaged(self.missing().map_or(AssembleError::MissingLog, AssembleError::Missing));
         }
-        self.gone = digest;
+        self.stale_head = digest;
         self.head = None;
         Loading::Read(self.call())
     }
--- a/crates/config/src/submission/mod.rs
+++ b/crates/config/src/submission/mod.rs
@@ -1,7 +1,7 @@
-//! Carries a change through the platform's service, in calls that may fail or whose answers may be lost.
+//! Submits a change to the platform's service with calls that may fail or whose responses may be lost.
 //!
-//! A pure machine: it names one call after the other and is told what came back. A lost answer of the last write is
-//! settled by what is in force, so that a change is neither lost nor applied twice.
+//! A state machine without I/O: it returns one call after the other and receives their results. If the response to the
+//! last write is lost, the document in force tells whether it took effect, so a change is neither lost nor applied twice.
 
 mod loader;
 
@@ -29,29 +29,29 @@
     },
 }
 
-/// What came back.
+/// The result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// The key as it is: of a read, or of a write that the version did not allow.
+    /// The current value of the key: the result of a read, or of a write whose expected version did not match.
     Found(Stored),
     /// The write took effect.
     Written,
-    /// Nothing came back: it may or may not have taken effect.
+    /// No response: the call may or may not have taken effect.
     Failed,
 }
 
-/// What an operator wants.
+/// The operation that an operator requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Intent {
     /// Change one section.
     Change(Change),
     /// Write the first document.
     First {
-        /// Chosen by the command, and kept over its retries.
+        /// Chosen by the command and reused in its retries.
         id: ChangeId,
-        /// Who.
+        /// Name of the operator.
         operator: String,
-        /// The whole document.
+        /// The complete document.
         text: String,
     },
 }
@@ -65,25 +65,25 @@
     }
 }
 
-/// How it ended.
+/// The result of a submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// In force as this revision. What nothing needs any more may be deleted.
+    /// In force as this revision. Unused keys may be deleted.
     Accepted {
         /// The revision.
         revision: Revision,
-        /// Keys to delete, as well as can be.
+        /// Keys to delete, best effort.
         garbage: Vec<String>,
     },
     /// Refused; nothing changed.
     Refused(ChangeRefused),
-    /// What is stored is damaged; nothing was changed.
+    /// The stored document is damaged; nothing was changed.
     Damaged,
-    /// Given up before the last write was sent; nothing changed.
+    /// Cancelled before the last write was sent; nothing changed.
     NotSent,
-    /// Given up after the last write was sent without an answer: it may be accepted yet. `history` will tell.
+    /// Cancelled after the last write was sent and got no response: it may still be accepted. `history` shows whether it was.
     Undecided,
-    /// The audit log no longer reaches back to the time in question.
+    /// The audit log no longer covers the time of the change.
     Unknown,
 }
 
@@ -92,9 +92,9 @@
 pub enum Next {
     /// Make this call, and tell what came back.
     Call(Call),
-    /// The platform does not answer: wait a little, then make this call.
+    /// The platform does not respond: wait briefly, then make this call.
     Retry(Call),
-    /// It has ended.
+    /// The submission has ended.
     Done(Outcome),
 }
 
@@ -112,7 +112,7 @@
     },
 }
 
-/// One change on its way.
+/// One change that is being submitted.
 #[derive(Clone)]
 pub struct Submission {
     intent: Intent,
@@ -120,14 +120,14 @@
     at: UnixMillis,
     loader: Loader,
     stage: Stage,
-    /// The last write that was sent and not answered.
+    /// The last write that was sent and got no response.
     sent: Option<(Box<Plan>, Version)>,
-    /// Keys that were written for this change, in force or not.
+    /// Keys written for this change, whether in use or not.
     written: Vec<String>,
 }
 
 impl Submission {
-    /// A change to carry through; `at` is the time for the audit trail.
+    /// Creates a submission; `at` is the time for the audit trail.
     pub fn new(intent: Intent, key: OperatorKey, at: UnixMillis) -> Self {
         Self {
             intent,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The call under way.
+    /// The pending call.
     pub fn call(&self) -> Call {
         match &self.stage {
             Stage::Load => self.loader.call(),
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Takes what came back from [`call`](Self::call).
+    /// Processes the result of [`call`](Self::call) and returns the next step.
     pub fn on(&mut self, answer: Answer) -> Next {
         match (&mut self.stage, answer) {
             (Stage::Swap { plan, version }, Answer::Failed) => {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// What is true if no further call is made.
+    /// The outcome if no further call is made.
     pub fn give_up(&self) -> Outcome {
         if self.sent.is_some() || matches!(self.stage, Stage::Swap { .. }) {
             return Outcome::Undecided;
@@ -193,10 +193,10 @@
         Outcome::NotSent
     }
 
-    /// Keys that were written and never came in force, once the submission has ended with `outcome`: to be deleted, as
-    /// well as can be. As long as the change may be accepted yet, there are none.
+    /// Keys that were written and never used, once the submission has ended with `outcome`. The caller should delete them,
+    /// best effort. Empty as long as the change may still be accepted.
     pub fn leftovers(&self, outcome: &Outcome) -> Vec<String> {
-        let kept: &[Value] = match (outcome, &self.stage, &self.sent) {
+        let in_use: &[Value] = match (outcome, &self.stage, &self.sent) {
             (Outcome::Refused(_) | Outcome::NotSent, ..) => &[],
             (Outcome::Accepted { .. }, Stage::Swap { plan, .. }, _) => &plan.puts,
             (Outcome::Accepted { .. }, _, Some((plan, _))) => &plan.puts,
@@ -205,7 +205,7 @@
         let unused = self
             .written
             .iter()
-            .filter(|key| kept.iter().all(|put| put.key != **key));
+            .filter(|key| in_use.iter().all(|put| put.key != **key));
         unused.cloned().collect()
     }
 
@@ -214,7 +214,7 @@
         Next::Call(self.call())
     }
 
-    /// A key that is there already was written by an earlier attempt of this same change.
+    /// A key that already exists was written by an earlier attempt of the same change.
     fn put(&mut self, answer: &Answer) -> Next {
         let Stage::Put { plan, version, place } = &mut self.stage else {
             return self.load();
--- a/crates/config/src/undo.rs
+++ b/crates/config/src/undo.rs
@@ -1,4 +1,4 @@
-//! Undoes a change by a new one.
+//! Undoes a change with a new change.
 
 use crate::{Change, ChangeId, SectionRef, View};
 use ids::{Digest, Revision};
@@ -8,7 +8,7 @@
     /// Why a revision can't be undone.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum UndoError {
-        /// The log doesn't have it, or no longer.
+        /// The log does not contain the revision, or no longer does.
         NotKept(revision: Revision) {
             display("revision {revision} is not in the log")
         }
@@ -16,18 +16,18 @@
         First {
             display("the first document replaced nothing")
         }
-        /// The section has been changed again since; undoing this one would silently undo those too.
+        /// The section was changed again; undoing this change would silently undo the later ones too.
         ChangedSince(revision: Revision) {
             display("the section was changed again in revision {revision}")
         }
-        /// The text that was read is not the one that was in force.
+        /// The text that was read differs from the one that was in force.
         Digest {
             display("the stored section is not the one that was in force")
         }
     }
 }
 
-/// What must be read to undo `revision`.
+/// The section to read in order to undo `revision`.
 ///
 /// # Errors
 /// It can't be undone.
@@ -47,10 +47,10 @@
     Ok((step.section, from))
 }
 
-/// The change that undoes `revision`; `text` is what [`undo_source`] named.
+/// The change that undoes `revision`; `text` is the section that [`undo_source`] refers to.
 ///
 /// # Errors
-/// It can't be undone, or the text is another.
+/// It can't be undone, or the text does not match.
 pub fn undo(view: &View, revision: Revision, id: ChangeId, operator: &str, text: &str) -> Result<Change, UndoError> {
     let (section, from) = undo_source(view, revision)?;
     if Digest::of(text.as_bytes()) != from.digest {
--- a/crates/config/src/validate/callers.rs
+++ b/crates/config/src/validate/callers.rs
@@ -1,4 +1,4 @@
-//! Contradictions that a caller would meet: no key, nothing behind the name.
+//! Inconsistencies that affect clients: workspaces without keys, and models or services without endpoints.
 
 use super::{MAX_WEIGHT, add};
 use crate::{Document, EndpointRole, Problem, ProblemKind};
@@ -28,11 +28,11 @@
             }
         }
         let limits = &workspace.limits;
-        let named = [
+        let checked = [
             ("requests_per_second", limits.requests_per_second),
             ("tokens_per_second", limits.tokens_per_second),
         ];
-        for (name, limit) in named {
+        for (name, limit) in checked {
             if limit == Some(0) {
                 add(
                     problems,
@@ -44,8 +44,8 @@
     }
 }
 
-/// A model or service that is used and that nobody serves: each call for it would be refused.
-pub(super) fn stranded(document: &Document, problems: &mut Vec<Problem>) {
+/// Models and services that a workspace uses and no endpoint serves: each request for one would be refused.
+pub(super) fn unserved(document: &Document, problems: &mut Vec<Problem>) {
     let served = |role: &EndpointRole| document.endpoints.values().any(|endpoint| endpoint.role == *role);
     for model in document.models.keys() {
         let user = document
--- a/crates/config/src/validate/endpoints.rs
+++ b/crates/config/src/validate/endpoints.rs
@@ -1,4 +1,4 @@
-//! Contradictions between endpoints, and between them and what they serve.
+//! Inconsistencies between endpoints, and between endpoints and the models and services they serve.
 
 use super::add;
 use crate::{Document, EndpointRole, Problem, ProblemKind};
--- a/crates/config/src/validate/mod.rs
+++ b/crates/config/src/validate/mod.rs
@@ -1,4 +1,4 @@
-//! Contradictions inside a document that has the right shape.
+//! Inconsistencies inside a document that matches the schema.
 
 mod callers;
 mod endpoints;
@@ -11,14 +11,14 @@
 /// Largest weight of a workspace.
 pub(crate) const MAX_WEIGHT: u32 = 1000;
 
-/// All contradictions of `document`; none if it can be put in force.
+/// All inconsistencies of `document`; empty if it is valid.
 pub fn validate(document: &Document) -> Vec<Problem> {
     let mut problems = Vec::new();
     owners(document, &mut problems);
     keys(document, &mut problems);
     callers::workspaces(document, &mut problems);
-    callers::stranded(document, &mut problems);
-    wanted(document, &mut problems);
+    callers::unserved(document, &mut problems);
+    targets(document, &mut problems);
     operations(document, &mut problems);
     ranks(document, &mut problems);
     endpoints::endpoints(document, &mut problems);
@@ -64,7 +64,7 @@
     }
 }
 
-fn wanted(document: &Document, problems: &mut Vec<Problem>) {
+fn targets(document: &Document, problems: &mut Vec<Problem>) {
     for (id, model) in &document.models {
         if !model.versions.contains(&model.wanted) {
             let kind = ProblemKind::WantedMissing(model.wanted.clone());
--- a/crates/config/tests/races.rs
+++ b/crates/config/tests/races.rs
@@ -1,4 +1,4 @@
-//! Operators race each other over a store that loses answers, delays writes and goes down.
+//! Concurrent operators change the document in a store that loses responses, delays writes and becomes unavailable.
 
 mod support;
 
@@ -27,9 +27,9 @@
     Done,
 }
 
-/// What operators were told.
+/// The results reported to operators.
 #[derive(Default)]
-struct Told {
+struct Reported {
     accepted: BTreeMap<ChangeId, (Revision, Section, String)>,
     undecided: BTreeSet<ChangeId>,
 }
@@ -74,7 +74,7 @@
     Work::Submitting(Box::new(submission), id, added)
 }
 
-fn step(writer: &mut Writer, store: &mut Store, told: &mut Told, random: &mut ChaCha8Rng) {
+fn step(writer: &mut Writer, store: &mut Store, reported: &mut Reported, random: &mut ChaCha8Rng) {
     match std::mem::replace(&mut writer.work, Work::Done) {
         Work::Done => {}
         Work::Reading(mut loader) => {
@@ -93,7 +93,7 @@
                 let outcome = submission.give_up();
                 store.delete(submission.leftovers(&outcome));
                 match outcome {
-                    Outcome::Undecided => assert!(told.undecided.insert(id)),
+                    Outcome::Undecided => assert!(reported.undecided.insert(id)),
                     outcome => assert_eq!(outcome, Outcome::NotSent),
                 }
                 writer.work = Work::Reading(Loader::new());
@@ -102,7 +102,9 @@
             Next::Done(Outcome::Accepted { revision, garbage }) => {
                 store.delete(garbage.clone());
                 store.delete(submission.leftovers(&Outcome::Accepted { revision, garbage }));
-                told.accepted.insert(id, (revision, section_of(writer.number), added));
+                reported
+                    .accepted
+                    .insert(id, (revision, section_of(writer.number), added));
                 writer.left -= 1;
                 writer.work = if writer.left == 0 {
                     Work::Done
@@ -120,10 +122,10 @@
     }
 }
 
-fn race(seed: u64) -> (Store, Told) {
+fn race(seed: u64) -> (Store, Reported) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut store = Store::default();
-    let mut told = Told::default();
+    let mut reported = Reported::default();
     first(&mut store);
     let work = || Work::Reading(Loader::new());
     let mut writers: Vec<Writer> = (0..WRITERS)
@@ -137,17 +139,17 @@
     for turn in 0..2_000_000 {
         store.down = turn % 5000 < 1000;
         let place = random.random_range(0..writers.len());
-        step(&mut writers[place], &mut store, &mut told, &mut random);
+        step(&mut writers[place], &mut store, &mut reported, &mut random);
         writers.retain(|writer| !matches!(writer.work, Work::Done));
         if writers.is_empty() {
-            return (store, told);
+            return (store, reported);
         }
     }
     panic!("{} writers have not ended", writers.len());
 }
 
-/// The history as the store saw it, against what the operators were told.
-fn check(store: &Store, told: &Told) {
+/// Compares the store's history with the results reported to operators.
+fn check(store: &Store, reported: &Reported) {
     let heads: Vec<Head> = store
         .history
         .iter()
@@ -164,40 +166,39 @@
             head.change
         );
     }
-    for (id, (revision, _, _)) in &told.accepted {
+    for (id, (revision, _, _)) in &reported.accepted {
         assert_eq!(seen.get(id), Some(revision), "accepted change {id}");
     }
     for id in seen.keys().filter(|id| **id != ChangeId::from("first")) {
-        let known = told.accepted.contains_key(id) || told.undecided.contains(id);
-        assert!(known, "{id} is in force, and its operator was told that it is not");
+        let known = reported.accepted.contains_key(id) || reported.undecided.contains(id);
+        assert!(known, "{id} is in force, and it was reported as not applied");
     }
     let last = heads.last().unwrap();
     let log: AuditLog = serde_json::from_str(store.read(&last.audit_key()).text.as_ref().unwrap()).unwrap();
     assert_eq!(verify_chain(last, &log), Ok(()));
-    for (id, (_, section, added)) in &told.accepted {
+    for (id, (_, section, added)) in &reported.accepted {
         let text = store.read(&last.sections[section].key(*section)).text.unwrap();
         let value: serde_json::Value = serde_json::from_str(&text).unwrap();
-        assert!(value.get(added).is_some(), "{id} was accepted and is gone");
+        assert!(value.get(added).is_some(), "{id} was accepted and is missing");
     }
 }
 
-/// Fifty operators edit the five sections at the same time, while one call in five goes wrong and the store is down for
-/// a fifth of the time. Someone would notice an accepted change that is gone, one that stands twice in the history, or
-/// one that is in force although its operator was told that nothing changed.
+/// Fifty operators edit the five sections concurrently. One call in five fails, and the store is down for a fifth of the
+/// time. No accepted change may be lost or applied twice, and no change may be in force whose operator was informed that
+/// nothing changed.
 #[test]
-fn every_accepted_change_is_in_force_once() {
+fn every_accepted_change_is_applied_once() {
     for seed in 0..2 {
-        let (store, told) = race(seed);
-        assert_eq!(told.accepted.len(), WRITERS * CHANGES_EACH);
-        check(&store, &told);
+        let (store, reported) = race(seed);
+        assert_eq!(reported.accepted.len(), WRITERS * CHANGES_EACH);
+        check(&store, &reported);
     }
 }
 
-/// Two operators of different sections read the same revision. The second one's head is refused by the store, and the
-/// change goes through on the new head without being shown to anyone again. Without that, a busy day would refuse
-/// changes that have nothing to do with each other.
+/// Two operators of different sections read the same revision. The store refuses the second one's head, and the change is
+/// applied to the new head without involving the operator. Otherwise unrelated changes would be refused.
 #[test]
-fn changes_of_different_sections_both_win() {
+fn concurrent_changes_of_different_sections_both_succeed() {
     let mut store = Store::default();
     first(&mut store);
     let view = load(&store);
@@ -227,10 +228,9 @@
     }
 }
 
-/// Another change goes first while this one's values are written already. Its first log is left over, and is the only
-/// thing that is.
+/// Another change is accepted after this one's values were written. This one's first log is then the only unused value.
 #[test]
-fn what_never_came_in_force_is_named() {
+fn leftovers_list_unused_keys() {
     let mut store = Store::default();
     first(&mut store);
     let view = load(&store);
@@ -270,7 +270,7 @@
     assert_eq!(load(&store).head.revision, Revision(3));
 }
 
-/// Two operators' commands choose the same id. The second one's change must not pass for accepted.
+/// Two operators' commands choose the same id. The second one's change must not be reported as accepted.
 #[test]
 fn an_id_of_another_change_is_refused() {
     let mut store = Store::default();
@@ -297,7 +297,7 @@
     }
 }
 
-/// A change is refused for good reason, and the document stays as it was.
+/// Invalid changes are refused, and the document stays unchanged.
 #[test]
 fn refusals() {
     struct Case {
@@ -378,7 +378,7 @@
         tries: 0,
         work: Work::Reading(Loader::new()),
     };
-    let mut told = Told::default();
+    let mut reported = Reported::default();
     for _ in 0..200 {
         let view = load(&store);
         assert_eq!(verify_chain(&view.head, &view.log), Ok(()));
@@ -389,9 +389,9 @@
             panic!("refused")
         };
         store.delete(garbage);
-        told.accepted.insert(id, (revision, section_of(3), added));
+        reported.accepted.insert(id, (revision, section_of(3), added));
     }
-    check(&store, &told);
+    check(&store, &reported);
     let left = store.entries.values().filter(|(text, _)| text.is_some()).count();
     assert!(left <= 1 + 6 + config::RECORDS_KEPT + 9, "{left} values are left");
 }
--- a/crates/config/tests/support/mod.rs
+++ b/crates/config/tests/support/mod.rs
@@ -11,9 +11,9 @@
 #[derive(Default)]
 pub struct Store {
     pub entries: BTreeMap<String, (Option<String>, u64)>,
-    /// Each text that a key ever had.
+    /// Every key and text ever written.
     pub history: Vec<(String, String)>,
-    /// Writes that are still on their way, after their caller got no answer.
+    /// Writes still in transit, whose callers got no response.
     delayed: Vec<Call>,
     pub down: bool,
 }
@@ -49,7 +49,7 @@
         }
     }
 
-    /// One call over a network that loses calls, loses answers, and delivers some calls much later.
+    /// One call over a network that loses calls, loses responses, and delivers some calls much later.
     pub fn faulty(&mut self, call: &Call, random: &mut impl Rng) -> Answer {
         if random.random_ratio(1, 10) && !self.delayed.is_empty() {
             let place = random.random_range(0..self.delayed.len());
@@ -134,7 +134,7 @@
     .to_string()
 }
 
-/// A new entry for `section`, which contradicts no other.
+/// A new entry for `section` that is consistent with the others.
 pub fn entry(section: Section, number: usize) -> serde_json::Value {
     match section {
         Section::Operators => serde_json::json!({"key": Digest::of(&number.to_le_bytes()), "sections": []}),
--- a/crates/config/tests/trail.rs
+++ b/crates/config/tests/trail.rs
@@ -1,4 +1,4 @@
-//! The audit trail, undoing, and revisions that never go back.
+//! The audit trail, undo, and revisions that never decrease.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use quickcheck::{Gen, QuickCheck};
 use support::{document, entry, key, name};
 
-/// Each run tries the same cases, so that its verdict is the same.
+/// Fixed seed, so that every run tests the same cases.
 const SEED: u64 = 1;
 
 fn seeded() -> QuickCheck {
@@ -51,9 +51,9 @@
 
 type Tamper = fn(&mut View);
 
-/// Someone rewrites the trail past the commands, to hide a change or to put it on another operator.
+/// Someone edits the stored trail directly, to hide a change or to attribute it to another operator.
 #[test]
-fn tampering_is_found() {
+fn tampering_is_detected() {
     let cases: [(&str, Tamper); 8] = [
         ("another operator", |view| view.log.records[3].operator = name(7)),
         ("another time", |view| view.log.records[2].at = UnixMillis(9)),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn undo_is_a_new_change_and_spares_later_ones() {
+fn undo_is_a_new_change_and_keeps_later_ones() {
     let now = history(6);
     let make = |revision| {
         let (section, _) = undo_source(&now, Revision(revision))?;
@@ -109,9 +109,9 @@
     assert_eq!(plan.document.workspaces, history(5).document.workspaces);
 }
 
-/// The answer to the last write was lost. Before guessing, the writer reads what is in force.
+/// The response to the last write was lost. The writer reads the document in force to determine the result.
 #[test]
-fn settling() {
+fn lost_responses_are_settled() {
     struct Case {
         id: &'static str,
         base: u64,
@@ -157,10 +157,10 @@
     }
 }
 
-/// Routers hear of revisions in any order, from stale peers too. A revision that goes back would let an accepted
-/// change revert.
+/// Routers receive revisions in any order, also from stale peers. If the revision decreased, an accepted change would be
+/// reverted.
 #[test]
-fn revisions_never_go_back() {
+fn revisions_never_decrease() {
     fn holds(offers: Vec<(u8, bool)>) -> bool {
         let mut revisions = Revisions::default();
         let mut best: Option<(u8, bool)> = None;
--- a/crates/config/tests/validate.rs
+++ b/crates/config/tests/validate.rs
@@ -1,4 +1,4 @@
-//! Every problem of a document is found at once, at its place.
+//! All problems of a document are reported together, each with its path.
 
 mod support;
 
@@ -6,9 +6,9 @@
 use serde_json::{Value, json};
 
 struct Case {
-    /// JSON pointer and what to put there.
+    /// JSON pointers and the values to put there.
     edits: &'static [(&'static str, &'static str)],
-    /// Path and explanation of each problem.
+    /// Path of each problem and part of its message.
     expected: &'static [(&'static str, &'static str)],
 }
 
@@ -96,7 +96,7 @@
         edits: &[("/workspaces/board/limits", r#"{"requests_per_second":0}"#)],
         expected: &[("workspaces.board.limits.requests_per_second", "limit of 0")],
     },
-    // Errors of shape hide contradictions, and not each other.
+    // Errors of shape hide inconsistencies, but not each other.
     Case {
         edits: &[
             ("/workspaces/board/weight", "\"much\""),
@@ -138,17 +138,17 @@
     }
 }
 
-/// A workspace is pasted a second time. A JSON reader would keep the last one and drop the first, whose callers would
-/// be refused although the change was accepted.
+/// A workspace is pasted a second time. A JSON parser would keep the last one and drop the first, whose clients would be
+/// refused although the change was accepted.
 #[test]
-fn keys_that_stand_twice() {
+fn duplicate_keys_are_reported() {
     let text = support::document();
     let twice = text.replacen("\"workspaces\":{", "\"workspaces\":{\"board\":{\"keys\":[]},", 1);
     check(&twice, &[("workspaces.board", "twice")]);
 }
 
 #[test]
-fn one_key_of_two_holders() {
+fn shared_keys_are_reported() {
     let mut document: Value = serde_json::from_str(&support::document()).unwrap();
     let key = document["operators"]["writer-0"]["key"].clone();
     put(&mut document, "/workspaces/board/keys", json!([key]));
