--- a/crates/apricotfork/tests/shutdown.rs
+++ b/crates/apricotfork/tests/shutdown.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use async_std::task;
-use http::{Client, Method, Pieces, Request, StatusCode, Url};
+use http::{Client, EventStream, Method, Request, StatusCode, Url};
 use serde_json::json;
 use support::{KEY, PATIENCE, Plan, Site, bearer, get, operators, signal, until};
 
@@ -12,7 +12,7 @@
 const TOKENS: u64 = 50;
 
 /// Begins a stream and reads its first piece.
-async fn stream(site: &Site) -> Pieces {
+async fn stream(site: &Site) -> EventStream {
     let to = site.routers[0].address;
     let mut request = Request::new(
         Method::Post,
@@ -25,13 +25,13 @@
         .await
         .expect("a head");
     assert_eq!(reply.status(), StatusCode::Ok);
-    let mut pieces = reply.pieces().expect("a stream");
+    let mut pieces = reply.into_events().expect("a stream");
     pieces.next().await.expect("a piece").expect("a piece");
     pieces
 }
 
 /// Reads to the end; the data of the last event, and how many there were.
-async fn rest(mut pieces: Pieces) -> (String, u64) {
+async fn rest(mut pieces: EventStream) -> (String, u64) {
     let (mut last, mut count) = (String::new(), 1);
     while let Ok(Some(piece)) = pieces.next().await {
         last = piece.data;
@@ -108,7 +108,7 @@
     task::block_on(async {
         let short = json!({"model": "advisory", "prompt": "p", "max_tokens": 1});
         let first = ask(short.clone()).await.expect("an answer");
-        first.whole(1 << 20).await.expect("a body");
+        first.read_body(1 << 20).await.expect("a body");
         let pieces = stream(&site).await;
         signal(&site.routers[0], "TERM");
         // The connection of the first request stays open in the pool; new ones are refused once the router drains.
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The configuration document, its checks, its changes and its audit trail. Never does I/O.
+//! The configuration document, its validation, its changes and its audit trail. This crate does no I/O.
 //!
-//! The document is kept as one small [`Head`] and a value for each section. A change writes its section and the new
-//! audit log under names that nothing uses yet, and then takes effect by one compare-and-swap of the head.
+//! The document is stored as one small [`Head`] and a value for each section. A change writes its section and the new
+//! audit log under unused keys, and then takes effect by one compare-and-swap of the head.
 
 mod audit;
 mod change;
@@ -19,7 +19,7 @@
 mod undo;
 mod validate;
 
-pub use audit::{AuditLog, ChainBroken, Checkpoint, RECORDS_KEPT, Record, SectionMove, UnixMillis, verify_chain};
+pub use audit::{AuditLog, ChainError, Checkpoint, RECORDS_KEPT, Record, SectionChange, UnixMillis, verify_chain};
 pub use change::{Change, ChangeId, ChangeRefused, Conflict, OperatorKey, Plan, Value, bootstrap, plan_change};
 pub use diff::{Difference, diff};
 pub use document::{
@@ -30,9 +30,9 @@
 pub use parse::{parse, parse_section};
 pub use problem::{Problem, ProblemKind};
 pub use refused::{ATTEMPTS_KEPT, Attempt, REFUSED_KEY, RefusedLog};
-pub use revisions::{Adopt, Revisions, SameRevision};
+pub use revisions::{Adopt, RevisionConflict, Revisions};
 pub use section::section_text;
 pub use settle::{Settled, settle};
 pub use submission::{Answer, Call, Intent, Loader, Loading, Next, Outcome, Stored, Submission};
-pub use undo::{UndoRefused, undo, undo_source};
+pub use undo::{UndoError, undo, undo_source};
 pub use validate::validate;
--- a/crates/config/src/undo.rs
+++ b/crates/config/src/undo.rs
@@ -1,4 +1,4 @@
-//! Undoes a change by a new one.
+//! Undoes a change with a new change.
 
 use crate::{Change, ChangeId, SectionRef, View};
 use ids::{Digest, Revision};
@@ -7,8 +7,8 @@
 quick_error! {
     /// Why a revision can't be undone.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum UndoRefused {
-        /// The log doesn't have it, or no longer.
+    pub enum UndoError {
+        /// The log does not contain the revision, or no longer does.
         NotKept(revision: Revision) {
             display("revision {revision} is not in the log")
         }
@@ -16,45 +16,45 @@
         First {
             display("the first document replaced nothing")
         }
-        /// The section has been changed again since; undoing this one would silently undo those too.
+        /// The section was changed again; undoing this change would silently undo the later ones too.
         ChangedSince(revision: Revision) {
             display("the section was changed again in revision {revision}")
         }
-        /// The text that was read is not the one that was in force.
+        /// The text that was read differs from the one that was in force.
         Digest {
             display("the stored section is not the one that was in force")
         }
     }
 }
 
-/// What must be read to undo `revision`.
+/// The section to read in order to undo `revision`.
 ///
 /// # Errors
 /// It can't be undone.
-pub fn undo_source(view: &View, revision: Revision) -> Result<(crate::Section, SectionRef), UndoRefused> {
+pub fn undo_source(view: &View, revision: Revision) -> Result<(crate::Section, SectionRef), UndoError> {
     let record = view.log.records.iter().find(|record| record.revision == revision);
-    let record = record.ok_or(UndoRefused::NotKept(revision))?;
+    let record = record.ok_or(UndoError::NotKept(revision))?;
     let [step] = record.moves.as_slice() else {
-        return Err(UndoRefused::First);
+        return Err(UndoError::First);
     };
-    let from = step.from.clone().ok_or(UndoRefused::First)?;
+    let from = step.from.clone().ok_or(UndoError::First)?;
     let touches = |later: &&crate::Record| {
         later.revision > revision && later.moves.iter().any(|other| other.section == step.section)
     };
     if let Some(later) = view.log.records.iter().find(touches) {
-        return Err(UndoRefused::ChangedSince(later.revision));
+        return Err(UndoError::ChangedSince(later.revision));
     }
     Ok((step.section, from))
 }
 
-/// The change that undoes `revision`; `text` is what [`undo_source`] named.
+/// The change that undoes `revision`; `text` is the section that [`undo_source`] refers to.
 ///
 /// # Errors
-/// It can't be undone, or the text is another.
-pub fn undo(view: &View, revision: Revision, id: ChangeId, operator: &str, text: &str) -> Result<Change, UndoRefused> {
+/// It can't be undone, or the text does not match.
+pub fn undo(view: &View, revision: Revision, id: ChangeId, operator: &str, text: &str) -> Result<Change, UndoError> {
     let (section, from) = undo_source(view, revision)?;
     if Digest::of(text.as_bytes()) != from.digest {
-        return Err(UndoRefused::Digest);
+        return Err(UndoError::Digest);
     }
     let before = view.head.sections[&section].digest;
     Ok(Change {
--- a/crates/config/tests/trail.rs
+++ b/crates/config/tests/trail.rs
@@ -1,16 +1,16 @@
-//! The audit trail, undoing, and revisions that never go back.
+//! The audit trail, undo, and revisions that never decrease.
 
 mod support;
 
 use config::{
-    Adopt, Change, ChangeId, ChangeRefused, Plan, RefusedLog, Revisions, Section, Settled, UndoRefused, UnixMillis,
-    View, bootstrap, plan_change, section_text, settle, undo, undo_source, verify_chain,
+    Adopt, Change, ChangeId, ChangeRefused, Plan, RefusedLog, Revisions, Section, Settled, UndoError, UnixMillis, View,
+    bootstrap, plan_change, section_text, settle, undo, undo_source, verify_chain,
 };
 use ids::{Digest, Revision};
 use quickcheck::{Gen, QuickCheck};
 use support::{document, entry, key, name};
 
-/// Each run tries the same cases, so that its verdict is the same.
+/// Fixed seed, so that every run tests the same cases.
 const SEED: u64 = 1;
 
 fn seeded() -> QuickCheck {
@@ -51,9 +51,9 @@
 
 type Tamper = fn(&mut View);
 
-/// Someone rewrites the trail past the commands, to hide a change or to put it on another operator.
+/// Someone edits the stored trail directly, to hide a change or to attribute it to another operator.
 #[test]
-fn tampering_is_found() {
+fn tampering_is_detected() {
     let cases: [(&str, Tamper); 8] = [
         ("another operator", |view| view.log.records[3].operator = name(7)),
         ("another time", |view| view.log.records[2].at = UnixMillis(9)),
@@ -82,7 +82,7 @@
     for number in 0..100 {
         log.record(
             &add(&now, Section::Models, number),
-            &ChangeRefused::NotProven,
+            &ChangeRefused::AuthFailed,
             UnixMillis(3),
         );
         assert!(log.verify());
@@ -93,25 +93,25 @@
 }
 
 #[test]
-fn undo_is_a_new_change_and_spares_later_ones() {
+fn undo_is_a_new_change_and_keeps_later_ones() {
     let now = history(6);
     let make = |revision| {
         let (section, _) = undo_source(&now, Revision(revision))?;
         let old = section_text(&history(5).document, section);
         undo(&now, Revision(revision), ChangeId::from("undo"), &name(0), &old)
     };
-    assert_eq!(make(1), Err(UndoRefused::First));
-    assert_eq!(make(2), Err(UndoRefused::ChangedSince(Revision(7))));
-    assert_eq!(make(50), Err(UndoRefused::NotKept(Revision(50))));
-    assert_eq!(make(6), Err(UndoRefused::Digest));
+    assert_eq!(make(1), Err(UndoError::First));
+    assert_eq!(make(2), Err(UndoError::ChangedSince(Revision(7))));
+    assert_eq!(make(50), Err(UndoError::NotKept(Revision(50))));
+    assert_eq!(make(6), Err(UndoError::Digest));
     let plan = plan_change(&now, &make(7).unwrap(), &key(0), UnixMillis(4)).unwrap();
     assert_eq!(plan.head.revision, Revision(8));
     assert_eq!(plan.document.workspaces, history(5).document.workspaces);
 }
 
-/// The answer to the last write was lost. Before guessing, the writer reads what is in force.
+/// The response to the last write was lost. The writer reads the document in force to determine the result.
 #[test]
-fn settling() {
+fn lost_responses_are_settled() {
     struct Case {
         id: &'static str,
         base: u64,
@@ -157,10 +157,10 @@
     }
 }
 
-/// Routers hear of revisions in any order, from stale peers too. A revision that goes back would let an accepted
-/// change revert.
+/// Routers receive revisions in any order, also from stale peers. If the revision decreased, an accepted change would be
+/// reverted.
 #[test]
-fn revisions_never_go_back() {
+fn revisions_never_decrease() {
     fn holds(offers: Vec<(u8, bool)>) -> bool {
         let mut revisions = Revisions::default();
         let mut best: Option<(u8, bool)> = None;
--- a/crates/gateway/src/connections/call.rs
+++ b/crates/gateway/src/connections/call.rs
@@ -1,7 +1,7 @@
 //! Calls to endpoints and prefix cache stores that the router makes for itself.
 
 use async_std::future::timeout;
-use http::raw::{Call, Called, ExchangeError, HeadError, Headers, Source, connect};
+use http::raw::{Call, CallResponse, ExchangeError, HeadError, Headers, Source, connect};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -38,14 +38,14 @@
         let exchange = async {
             if let Some(source) = idle {
                 match send(source, address, call, headers).await {
-                    Err(err) if err.closed() => {}
+                    Err(err) if err.is_closed() => {}
                     response => return response,
                 }
             }
             send(connect(address, limit).await?, address, call, headers).await
         };
         let called = with_timeout(limit, exchange).await?;
-        self.idle = called.kept;
+        self.idle = called.reusable;
         Ok((called.status, called.body))
     }
 }
@@ -70,12 +70,17 @@
 /// Sends a call. If the call is cancelled, here or because the caller drops this future, the connection is reset.
 /// Otherwise the kernel would retransmit the call until the peer acknowledges it. A delayed order could then arrive
 /// after its load list is out of date and after orders of another lease holder.
-async fn send(source: Source, address: SocketAddr, call: &Call, headers: &Headers) -> Result<Called, ExchangeError> {
+async fn send(
+    source: Source,
+    address: SocketAddr,
+    call: &Call,
+    headers: &Headers,
+) -> Result<CallResponse, ExchangeError> {
     let conn = source.conn().clone();
-    conn.reset_at_end(true);
+    conn.reset_on_drop(true);
     let called = call.send(source, address, headers, MAX_RESPONSE_BYTES).await?;
     // The peer has received the whole call. A reset could now abort its own use of the connection.
-    conn.reset_at_end(false);
+    conn.reset_on_drop(false);
     Ok(called)
 }
 
@@ -83,6 +88,6 @@
     limit: Duration,
     exchange: impl Future<Output = Result<T, ExchangeError>>,
 ) -> Result<T, ExchangeError> {
-    let truncated = Err(ExchangeError::Head(HeadError::Cut));
+    let truncated = Err(ExchangeError::Head(HeadError::Truncated));
     timeout(limit, exchange).await.unwrap_or(truncated)
 }
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -17,7 +17,9 @@
 use dispatch::site::ClientLimits;
 use futures::future::{Either, select};
 use http::Conn;
-use http::raw::{BodyReader, Framing, HeadError, RawBodyError, RequestHead, Source, request_framing, watch_peer};
+use http::raw::{
+    BodyReader, Framing, HeadError, RawBodyError, RequestHead, Source, request_framing, set_socket_options,
+};
 use std::pin::pin;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -118,7 +120,7 @@
 }
 
 async fn serve_connection(shared: &Arc<Shared>, stream: TcpStream) {
-    watch_peer(&stream);
+    set_socket_options(&stream);
     let conn = Conn::new(stream);
     let mut source = Source::new(conn.clone());
     loop {
@@ -190,7 +192,7 @@
         return ConnectionAction::Abort;
     }
     let mut reader = BodyReader::new(framing);
-    let body = match timeout(BODY_TIMEOUT, reader.whole(source, limits.body_bytes)).await {
+    let body = match timeout(BODY_TIMEOUT, reader.read_to_end(source, limits.body_bytes)).await {
         Ok(Ok(body)) => body,
         Ok(Err(RawBodyError::TooLarge)) => return refuse(shared, conn, Cause::BodyTooLarge).await,
         Ok(Err(RawBodyError::Chunk)) => return refuse(shared, conn, Cause::Malformed).await,
@@ -207,7 +209,7 @@
 }
 
 fn expects_continue(head: &RequestHead) -> bool {
-    !head.old && head.headers.lists("expect", "100-continue")
+    !head.http10 && head.headers.has_token("expect", "100-continue")
 }
 
 async fn send_continue(conn: &Conn) -> bool {
@@ -228,7 +230,7 @@
 
 /// Closes a connection so that the client receives the response that was written.
 async fn linger(conn: &Conn, source: &mut Source) {
-    conn.finish();
+    conn.shutdown_write();
     let drained = async {
         while source.fill().await.is_ok_and(|count| count > 0) {
             source.discard();
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -10,7 +10,7 @@
 use crate::shared::Shared;
 use dispatch::attempt::{self, AttemptHistory, Cause, Failure, PendingAttempt, RetryDecision, Wait};
 use dispatch::fleet::{Choice, Outcome, PickContext, PickedEndpoint, Staleness};
-use http::raw::{Answer, ExchangeError, Headers, Source, exchange};
+use http::raw::{ExchangeError, Headers, Response, Source, exchange};
 use ids::EndpointId;
 use lifecycle::events::EventSplitter;
 use lifecycle::request::{Request, RequestEvent, RequestState, RequestStep, RetryPolicy};
@@ -379,7 +379,7 @@
         &self,
         picked: &PickedEndpoint,
         connection: PooledConnection,
-    ) -> Result<(Answer, Source), ExchangeError> {
+    ) -> Result<(Response, Source), ExchangeError> {
         let request = self.encode(picked);
         let method = &self.request.incoming.head.method;
         let parse = self.shared.dialect.parse_response;
@@ -390,7 +390,7 @@
             Ok(answer) => Ok((answer, source)),
             // The endpoint closed the reused connection while the request was in transit. Sending it again is safe,
             // because only repeatable requests use such connections.
-            Err(err) if connection.used && err.closed() => {
+            Err(err) if connection.used && err.is_closed() => {
                 let limit = self.remaining();
                 let fresh = self
                     .shared
@@ -407,7 +407,7 @@
     async fn handle_response(
         &mut self,
         in_flight: &mut InFlightAttempt<'_>,
-        answer: Answer,
+        answer: Response,
         source: Source,
     ) -> AttemptResult {
         let info = (self.shared.dialect.parse_response)(&answer.head);
@@ -489,12 +489,12 @@
     async fn read_response(
         &mut self,
         in_flight: &mut InFlightAttempt<'_>,
-        mut answer: Answer,
+        mut answer: Response,
         mut source: Source,
         info: &ResponseInfo,
     ) -> AttemptResult {
         let conn = self.request.incoming.conn.clone();
-        let reading = answer.body.whole(&mut source, MAX_RESPONSE_BYTES);
+        let reading = answer.body.read_to_end(&mut source, MAX_RESPONSE_BYTES);
         let body = match wait(&conn, self.remaining(), reading).await {
             WaitOutcome::Done(Ok(body)) => body,
             WaitOutcome::Done(Err(_)) => return self.response_broken(in_flight),
@@ -503,7 +503,7 @@
         };
         let status = answer.head.status;
         let headers = (self.shared.dialect.response_headers)(&answer.head.headers);
-        if answer.clean && answer.head.keeps() {
+        if answer.reusable && answer.head.keeps_alive() {
             self.shared
                 .connections
                 .put_back(&in_flight.picked.endpoint, source, info.keep_alive);
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,7 @@
 //! Bounded HTTP/1.1 client and server around async-h1.
 //!
-//! async-h1 reads and writes heads and bodies; this crate adds what it leaves open: limits on connections, heads
-//! and bodies, a watch for callers that go away, a pool of connections, and the check that a body is as long as
-//! its head declared.
+//! async-h1 reads and writes heads and bodies. This crate adds limits on connections, heads and bodies, detection of
+//! clients that disconnect, a connection pool, and the check that a body is as long as its head declares.
 
 mod client;
 mod conn;
@@ -15,10 +14,10 @@
 
 pub use client::{Client, SendError};
 pub use conn::Conn;
-pub use progress::progressing;
+pub use progress::progress_timeout;
 pub use reply::{BodyError, Reply};
-pub use server::{Limits, ReadError, Serving, read_body, serve};
-pub use sse::{Piece, PieceError, Pieces};
+pub use server::{Limits, ReadError, ServerState, read_body, serve};
+pub use sse::{EventError, EventStream, SseEvent};
 pub use timeout::{Elapsed, timeout};
 
 pub use http_types::{Body, Method, Request, Response, StatusCode, Url};
--- a/crates/http/src/raw/mod.rs
+++ b/crates/http/src/raw/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 with every byte kept.
+//! HTTP/1.1 that forwards messages unchanged.
 //!
 //! async-h1 resolves targets through a URL type, merges headers into a map, loses bytes that follow a request in the
-//! same segment, and cannot tell how an answer ended. Where method, target, headers and body have to go on as they
-//! came, heads are parsed by `httparse` and bodies are framed here.
+//! same segment, and cannot tell how a response ended. Where method, target, headers and body must be forwarded
+//! unchanged, `httparse` parses the heads and this module frames the bodies.
 
 mod body;
 mod call;
@@ -12,8 +12,8 @@
 mod source;
 
 pub use body::{BodyReader, RawBodyError};
-pub use call::{Call, Called};
-pub use exchange::{Answer, ExchangeError, connect, exchange, watch_peer};
+pub use call::{Call, CallResponse};
+pub use exchange::{ExchangeError, Response, connect, exchange, set_socket_options};
 pub use framing::{Framing, FramingError, request_framing, response_framing};
 pub use head::{HeadError, Headers, RequestHead, ResponseHead};
 pub use source::Source;
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events of an answer.
+//! Server-sent events of a response.
 
 use crate::conn::Conn;
 use async_sse::{Decoder, Event};
@@ -7,37 +7,37 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why no further piece came.
+    /// Why the next event could not be read.
     #[derive(Debug)]
-    pub enum PieceError {
-        /// The stream broke off or cannot be read.
+    pub enum EventError {
+        /// The connection failed or the stream is malformed.
         Broken(err: http_types::Error) {
             from()
-            display("the stream broke off: {err}")
+            display("the event stream failed: {err}")
         }
-        /// An event without a number where one is needed, or data that is not UTF-8.
+        /// The data of an event is not UTF-8.
         Malformed {
-            display("the stream holds an event that cannot be read")
+            display("the stream contains a malformed event")
         }
     }
 }
 
 /// One event with data.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Piece {
+pub struct SseEvent {
     /// Its `id`, if it is a number.
     pub number: Option<u64>,
     /// Its data.
     pub data: String,
 }
 
-/// The events of one answer in order.
-pub struct Pieces {
+/// The events of one response in order.
+pub struct EventStream {
     decoder: Decoder<Body>,
     conn: Conn,
 }
 
-impl Pieces {
+impl EventStream {
     pub(crate) fn new(body: Body, conn: Conn) -> Self {
         Self {
             decoder: async_sse::decode(body),
@@ -45,8 +45,8 @@
         }
     }
 
-    /// The next event; `None` at the end of the body, which does not tell that the stream is complete.
-    pub async fn next(&mut self) -> Result<Option<Piece>, PieceError> {
+    /// The next event; `None` at the end of the body, which does not mean that the stream is complete.
+    pub async fn next(&mut self) -> Result<Option<SseEvent>, EventError> {
         loop {
             let Some(event) = self.decoder.next().await else {
                 return Ok(None);
@@ -55,12 +55,12 @@
                 continue;
             };
             let number = message.id().as_deref().and_then(|id| id.parse().ok());
-            let data = String::from_utf8(message.into_bytes()).map_err(|_| PieceError::Malformed)?;
-            return Ok(Some(Piece { number, data }));
+            let data = String::from_utf8(message.into_bytes()).map_err(|_| EventError::Malformed)?;
+            return Ok(Some(SseEvent { number, data }));
         }
     }
 
-    /// Closes the connection, so that the peer notices that nobody reads on.
+    /// Closes the connection, so that the peer stops sending.
     pub fn close(&self) {
         self.conn.close();
     }
--- a/crates/peers/src/relay.rs
+++ b/crates/peers/src/relay.rs
@@ -12,7 +12,7 @@
 use dispatch::prefixes::PartKey;
 use futures::StreamExt;
 use futures::future::BoxFuture;
-use http::progressing;
+use http::progress_timeout;
 use ids::{ModelId, Revision, ServiceId, VmId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -390,7 +390,7 @@
         call: impl Future<Output = Result<T, RpcError>>,
     ) -> Result<T, PeerError> {
         let before = self.received();
-        let outcome = progressing(within, || self.received(), call).await;
+        let outcome = progress_timeout(within, || self.received(), call).await;
         Ok(outcome.map_err(|_| PeerError::ResponseTimeout(self.received() - before))??)
     }
 }
--- a/crates/router/src/client/attempt.rs
+++ b/crates/router/src/client/attempt.rs
@@ -203,7 +203,7 @@
     /// Classifies an engine's refusal. The engine has not run the request.
     async fn classify_refusal(&self, attempt: &EndpointAttempt, reply: Reply) -> Failure {
         let incarnation = incarnation(&reply);
-        let body = reply.whole(REFUSAL_BYTES).await.unwrap_or_default();
+        let body = reply.read_body(REFUSAL_BYTES).await.unwrap_or_default();
         let Ok(refused) = serde_json::from_slice::<wire::engine::Refused>(&body) else {
             return Failure::Declined;
         };
--- a/crates/router/src/client/call.rs
+++ b/crates/router/src/client/call.rs
@@ -88,7 +88,7 @@
         .bodies
         .try_reserve(declared.min(limits.body_bytes), limits.held_bytes);
     reservation.ok_or_else(|| {
-        conn.shut_reads();
+        conn.disable_reads();
         Refused::not_run(Cause::BodyMemory).retry_after(MEMORY_RETRY_MS)
     })
 }
@@ -101,7 +101,7 @@
         Ok(Ok(body)) => Ok(body),
         Ok(Err(ReadError::TooLarge(limit))) => Err(Refused::not_run(Cause::TooLarge(limit))),
         Ok(Err(ReadError::Io(_) | ReadError::Short)) | Err(_) => {
-            conn.shut_reads();
+            conn.disable_reads();
             Err(Refused::not_run(Cause::BodyIncomplete))
         }
     }
--- a/crates/router/src/client/stream.rs
+++ b/crates/router/src/client/stream.rs
@@ -13,7 +13,7 @@
 use async_std::task;
 use futures::future::{Either, select};
 use futures::{StreamExt, TryStreamExt};
-use http::{Body, Piece, Pieces, Reply, Response, StatusCode};
+use http::{Body, EventStream, Reply, Response, SseEvent, StatusCode};
 use ids::WeightsVersion;
 use lifecycle::request::RequestEvent;
 use lifecycle::stream::{ConnectionEnd, HeadVerdict, PieceVerdict as Verdict, StreamAssembler};
@@ -53,7 +53,7 @@
         .collect();
     let pieces = opened
         .reply
-        .pieces()
+        .into_events()
         .map_err(|_| Refused::new(Cause::EndpointFailed, attempts.lifecycle.ran()))?;
     let (sender, receiver) = async_channel::bounded(PIECE_BUFFER);
     let relay = Relay {
@@ -102,7 +102,7 @@
 }
 
 impl Relay {
-    async fn run(mut self, mut attempt: EndpointAttempt, mut pieces: Pieces) {
+    async fn run(mut self, mut attempt: EndpointAttempt, mut pieces: EventStream) {
         loop {
             let end = self.forward_pieces(&attempt, &mut pieces).await;
             pieces.close();
@@ -125,7 +125,7 @@
     }
 
     /// Forwards pieces until the connection ends.
-    async fn forward_pieces(&mut self, attempt: &EndpointAttempt, pieces: &mut Pieces) -> RelayEnd {
+    async fn forward_pieces(&mut self, attempt: &EndpointAttempt, pieces: &mut EventStream) -> RelayEnd {
         loop {
             let piece = match self.next(pieces).await {
                 Ok(piece) => piece,
@@ -162,13 +162,13 @@
     }
 
     /// Returns the next piece, unless the client disconnects, the deadline passes or the connection fails first.
-    async fn next(&self, pieces: &mut Pieces) -> Result<Piece, RelayEnd> {
+    async fn next(&self, pieces: &mut EventStream) -> Result<SseEvent, RelayEnd> {
         let Some(remaining) = self.attempts.call.remaining(&self.attempts.shared) else {
             return Err(RelayEnd::DeadlineExceeded);
         };
         let wait = remaining.min(self.stall_timeout());
         let next = http::timeout(wait, pieces.next());
-        let gone = self.attempts.call.conn.peer_gone();
+        let gone = self.attempts.call.conn.peer_closed();
         futures::pin_mut!(next, gone);
         match select(next, gone).await {
             Either::Left((Ok(Ok(Some(piece))), _)) => Ok(piece),
@@ -198,7 +198,7 @@
     }
 
     /// Resumes from the first undelivered piece, at another engine with the same weights if there is one.
-    async fn resume(&mut self, broken: EndpointAttempt) -> Option<(EndpointAttempt, Pieces)> {
+    async fn resume(&mut self, broken: EndpointAttempt) -> Option<(EndpointAttempt, EventStream)> {
         let mut last = broken.key;
         drop(broken);
         while self.resumes < MAX_RESUMES {
@@ -226,7 +226,7 @@
                 continue;
             }
             self.attempts.lifecycle.on(RequestEvent::HeadArrived);
-            if let Ok(pieces) = reply.pieces() {
+            if let Ok(pieces) = reply.into_events() {
                 self.attempts.shared.metrics.resumed.inc();
                 return Some((attempt, pieces));
             }
--- a/crates/router/src/client/transmit.rs
+++ b/crates/router/src/client/transmit.rs
@@ -34,7 +34,7 @@
                 .send(to, Request::new(Method::Post, url), &[], CANCEL_TIMEOUT)
                 .await
             {
-                let _ = reply.whole(CANCEL_BYTES).await;
+                let _ = reply.read_body(CANCEL_BYTES).await;
             }
         });
     }
@@ -77,7 +77,7 @@
 
 /// Returns the result of `work`, or `None` if the client disconnects first.
 pub async fn unless_disconnected<T>(conn: &Conn, work: impl Future<Output = T>) -> Option<T> {
-    let gone = conn.peer_gone();
+    let gone = conn.peer_closed();
     futures::pin_mut!(work, gone);
     match select(work, gone).await {
         Either::Left((result, _)) => Some(result),
--- a/crates/router/src/control/endpoint_feed.rs
+++ b/crates/router/src/control/endpoint_feed.rs
@@ -115,10 +115,10 @@
     let reply = match sent {
         Ok(reply) => reply,
         Err(SendError::NotSent(_)) => return Observation::ConnectFailed,
-        Err(SendError::Timeout(_) | SendError::Withheld) => return Observation::Timeout,
+        Err(SendError::Timeout(_) | SendError::Cancelled) => return Observation::Timeout,
         Err(SendError::NoAnswer) => return Observation::ConnectionLost,
     };
-    let Ok(Ok(body)) = http::timeout(REPORT_TIMEOUT, reply.whole(REPORT_BYTES)).await else {
+    let Ok(Ok(body)) = http::timeout(REPORT_TIMEOUT, reply.read_body(REPORT_BYTES)).await else {
         return Observation::ConnectionLost;
     };
     parse(&spec.role, &body, requested).map_or(Observation::ConnectionLost, Observation::Reported)
--- a/crates/router/src/control/fetching.rs
+++ b/crates/router/src/control/fetching.rs
@@ -14,7 +14,7 @@
     /// A peer offers a newer configuration. It is fetched from there, so that a router that is partitioned from the
     /// platform gets it too.
     pub(super) fn fetch_offer(&mut self, from: Member, revision: Revision, digest: Digest) {
-        if !matches!(self.revisions.weigh(revision, digest), config::Adopt::Newer) {
+        if !matches!(self.revisions.check(revision, digest), config::Adopt::Newer) {
             return;
         }
         if !self.peering.fetching.insert((from.id.clone(), revision)) {
--- a/crates/router/src/orders/engine_calls.rs
+++ b/crates/router/src/orders/engine_calls.rs
@@ -28,11 +28,11 @@
         .await;
     let reply = match sent {
         Ok(reply) => reply,
-        Err(SendError::NotSent(_) | SendError::Withheld) => return Event::Refused(endpoint),
+        Err(SendError::NotSent(_) | SendError::Cancelled) => return Event::Refused(endpoint),
         Err(_) => return Event::NoAnswer(endpoint),
     };
     let status = reply.status();
-    if reply.whole(ANSWER_BYTES).await.is_err() {
+    if reply.read_body(ANSWER_BYTES).await.is_err() {
         return Event::NoAnswer(endpoint);
     }
     match status {
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -8,7 +8,7 @@
 use async_std::net::TcpListener;
 use async_std::task;
 use futures::future::{Either, select};
-use http::{Limits, Serving, serve};
+use http::{Limits, ServerState, serve};
 use quick_error::quick_error;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -116,7 +116,7 @@
     };
     let state = shared.clone();
     let handler = move |request, conn| operator::handle(state.clone(), request, conn);
-    task::spawn(serve(listener, limits, Serving::default(), handler));
+    task::spawn(serve(listener, limits, ServerState::default(), handler));
 }
 
 /// Shuts down in three phases: reports that it is not ready, so that the balancer sends no new requests; refuses new
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -14,7 +14,7 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use async_channel::Sender;
 use clock::Clock;
-use http::{Client, Serving};
+use http::{Client, ServerState};
 use ids::RequestId;
 use lifecycle::claims::ClaimLease;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// State of the client-facing server.
-    pub serving: Serving,
+    pub serving: ServerState,
     /// Event queue of the control thread.
     pub events: Sender<Event>,
     /// Memory budget for the bodies of requests in flight.
@@ -81,7 +81,7 @@
             client: Client::new(),
             platform,
             metrics: Metrics::new(),
-            serving: Serving::default(),
+            serving: ServerState::default(),
             events,
             follow_mode: ArcSwap::from_pointee(Follow::Watch),
             recent_peers: ArcSwap::default(),
--- a/crates/store/src/calls.rs
+++ b/crates/store/src/calls.rs
@@ -52,7 +52,7 @@
         let reply = self.send(request, &[], self.timeout).await?;
         if reply.status() == StatusCode::NotFound {
             // A deleted key keeps its version, which is needed to write the key again.
-            let bytes = or_lost(reply.whole(MAX_RESPONSE_BYTES).await)?;
+            let bytes = or_lost(reply.read_body(MAX_RESPONSE_BYTES).await)?;
             let entry: Entry = serde_json::from_slice(&bytes)?;
             return Ok(Some(entry).filter(|entry| entry.version > Version(0)));
         }
@@ -73,7 +73,7 @@
         let reply = self.send(request, &body, self.timeout).await?;
         let conflict = reply.status() == StatusCode::Conflict;
         let bytes = if conflict {
-            or_lost(reply.whole(MAX_RESPONSE_BYTES).await)?
+            or_lost(reply.read_body(MAX_RESPONSE_BYTES).await)?
         } else {
             success(reply).await?
         };
@@ -183,7 +183,7 @@
 
 async fn success(reply: Reply) -> Result<Vec<u8>, PlatformError> {
     let status = reply.status();
-    let bytes = or_lost(reply.whole(MAX_RESPONSE_BYTES).await)?;
+    let bytes = or_lost(reply.read_body(MAX_RESPONSE_BYTES).await)?;
     if !status.is_success() {
         return Err(PlatformError::Refused(status.into()));
     }
@@ -195,5 +195,5 @@
 }
 
 async fn discard(reply: Reply) -> Result<(), PlatformError> {
-    or_lost(reply.whole(MAX_RESPONSE_BYTES).await).map(|_| ())
+    or_lost(reply.read_body(MAX_RESPONSE_BYTES).await).map(|_| ())
 }
--- a/crates/store/src/items/client.rs
+++ b/crates/store/src/items/client.rs
@@ -4,7 +4,7 @@
     Call, Changes, Codec, CommitOutcome, Granted, Item, ItemsError, Page, Position, Transaction, WatchOutcome,
 };
 use async_std::sync::Mutex;
-use http::progressing;
+use http::progress_timeout;
 use http::raw::{Headers, Source, connect};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -159,9 +159,9 @@
         let conn = source.conn().clone();
         let before = conn.received();
         let sent = call.send(source, self.address, &headers, MAX_RESPONSE_BYTES);
-        match progressing(remaining(deadline), || conn.received(), sent).await {
+        match progress_timeout(remaining(deadline), || conn.received(), sent).await {
             Ok(Ok(response)) => {
-                *idle = response.kept;
+                *idle = response.reusable;
                 Ok(Response {
                     status: response.status,
                     era: (self.codec.era)(&response.headers),
