--- a/crates/gateway/src/follow/members.rs
+++ b/crates/gateway/src/follow/members.rs
@@ -2,7 +2,7 @@
 
 use crate::shared::Shared;
 use async_std::future::timeout;
-use control::following::{UpdateSource, eligible_leaders, update_source};
+use control::following::{UpdateSource, eligible_upstreams, update_source};
 use control::rendezvous;
 use ids::{DomainId, VmId};
 use rand::seq::IteratorRandom;
@@ -114,7 +114,7 @@
             .iter()
             .map(|(vm, member)| (vm.clone(), member.link))
             .collect();
-        let followed = eligible_leaders(&link_speeds);
+        let followed = eligible_upstreams(&link_speeds);
         let UpdateSource::Routers(leaders) = update_source(own, domain, &followed) else {
             return Vec::new();
         };
--- a/crates/gateway/src/serve/outgoing.rs
+++ b/crates/gateway/src/serve/outgoing.rs
@@ -25,7 +25,7 @@
             weights: picked.weights.filter(|_| salt.is_some()),
             transfers,
             rank: self.request.info.prompt.as_ref().map(|_| self.request.rank),
-            last_event: self.events.last(),
+            last_event: self.events.last_number(),
         };
         let headers = (self.shared.dialect.request_headers)(&incoming.head.headers, &context);
         let line = format!("{} {} HTTP/1.1\r\n", incoming.head.method, incoming.head.target);
