--- a/crates/gateway/src/follow/prefixes.rs
+++ b/crates/gateway/src/follow/prefixes.rs
@@ -7,7 +7,7 @@
 use async_std::task;
 use dispatch::prefixes::PrefixEvents;
 use ids::VmId;
-use peers::{Leader, PeerError, PrefixFollow, PrefixPage};
+use peers::{PeerError, PrefixPage, PrefixQuery, Upstream};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -43,7 +43,7 @@
 /// A connection to the followed router.
 struct LeaderConnection {
     vm: VmId,
-    leader: Leader,
+    leader: Upstream,
     /// When the last call was made.
     last: Duration,
 }
@@ -75,9 +75,13 @@
     }
 }
 
-fn positions(shared: &Shared) -> Vec<PrefixFollow> {
+fn positions(shared: &Shared) -> Vec<PrefixQuery> {
     let prefixes = shared.prefixes();
-    let follow = |(store, life, next)| PrefixFollow { store, life, next };
+    let follow = |(store, incarnation, next)| PrefixQuery {
+        store,
+        incarnation,
+        next,
+    };
     prefixes.positions().map(follow).collect()
 }
 
@@ -118,7 +122,7 @@
 async fn ask_store(
     shared: &Shared,
     connection: &mut CallConnection,
-    position: &PrefixFollow,
+    position: &PrefixQuery,
 ) -> Result<Option<PrefixEvents>, String> {
     let (call, headers) = (shared.dialect.events_call)(position.next, EVENT_WAIT);
     match connection.call(&call, &headers, EVENT_WAIT + RESPONSE_GRACE).await {
@@ -164,13 +168,13 @@
 
 async fn ask_leader(
     shared: &Shared,
-    connected: Option<Leader>,
+    connected: Option<Upstream>,
     address: SocketAddr,
     last: Duration,
-) -> Result<(Leader, Vec<PrefixPage>, Duration), PeerError> {
+) -> Result<(Upstream, Vec<PrefixPage>, Duration), PeerError> {
     let leader = match connected {
         Some(leader) => leader,
-        None => Leader::connect(address, FOLLOW_TIMEOUT).await?,
+        None => Upstream::connect(address, FOLLOW_TIMEOUT).await?,
     };
     let asked = shared.clock.now();
     loads::exchange(shared, &leader, last).await?;
--- a/crates/gateway/src/follow/weight_ages.rs
+++ b/crates/gateway/src/follow/weight_ages.rs
@@ -10,7 +10,7 @@
 use async_std::task;
 use dispatch::fleet::TargetAge;
 use ids::ModelId;
-use peers::{Leader, NameTold};
+use peers::{TargetAgeMessage, Upstream};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -35,41 +35,41 @@
 }
 
 /// This router's response to another router.
-pub fn response(shared: &Shared) -> Vec<NameTold> {
+pub fn response(shared: &Shared) -> Vec<TargetAgeMessage> {
     let ages = shared.fleet().target_ages(shared.clock.now());
-    let message = |(model, weights, age): (ModelId, u64, TargetAge)| NameTold {
+    let message = |(model, weights, age): (ModelId, u64, TargetAge)| TargetAgeMessage {
         model,
         weights,
-        least_ms: age.lower.as_millis() as u64,
-        most_ms: age.upper.map(|most| most.as_millis() as u64),
+        lower_ms: age.lower.as_millis() as u64,
+        upper_ms: age.upper.map(|most| most.as_millis() as u64),
     };
     ages.into_iter().map(message).collect()
 }
 
 async fn ask(shared: &Shared) {
     let sent = shared.clock.now();
-    let request = |other: Leader| async move {
-        apply(shared, &other.names(CALL_TIMEOUT).await?, sent);
+    let request = |other: Upstream| async move {
+        apply(shared, &other.target_ages(CALL_TIMEOUT).await?, sent);
         Ok(())
     };
     ask_others(shared, "weights: cannot get their age from a router", request).await;
 }
 
 /// Applies a response. The response may be as old as the request, so that time is added to the upper limit.
-fn apply(shared: &Shared, ages: &[NameTold], sent: Duration) {
+fn apply(shared: &Shared, ages: &[TargetAgeMessage], sent: Duration) {
     let now = shared.clock.now();
     let transit = now.saturating_sub(sent);
     let mut fleet = shared.fleet();
     for told in ages {
         let age = TargetAge {
-            lower: Duration::from_millis(told.least_ms),
-            upper: told.most_ms.map(|most| Duration::from_millis(most) + transit),
+            lower: Duration::from_millis(told.lower_ms),
+            upper: told.upper_ms.map(|most| Duration::from_millis(most) + transit),
         };
         if fleet.merge_target_age(&told.model, told.weights, age, now) {
             log::info!(
                 model = told.model.as_str(),
                 weights = told.weights,
-                least_ms = told.least_ms,
+                least_ms = told.lower_ms,
                 most_ms = age.upper.unwrap_or_default().as_millis() as u64;
                 "weights: age received from another router"
             );
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -5,7 +5,7 @@
 //! before the first byte is sent, and no later state reports "not run", unless the endpoint itself refused that send.
 
 use derive_more::Display;
-use wire::caller::Ran;
+use wire::client::Ran;
 
 /// State of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display)]
--- a/crates/lifecycle/tests/request.rs
+++ b/crates/lifecycle/tests/request.rs
@@ -2,7 +2,7 @@
 
 use lifecycle::request::{Request, RequestEvent as E, RequestState as S, RequestStep as T, RetryPolicy};
 use quickcheck::{Gen, QuickCheck};
-use wire::caller::Ran;
+use wire::client::Ran;
 
 /// Fixed, so that every run tests the same cases.
 const SEED: u64 = 9;
