--- a/crates/apricotfork/src/arguments.rs
+++ b/crates/apricotfork/src/arguments.rs
@@ -13,36 +13,36 @@
     example = "{command_name} check router.json",
     example = "{command_name} status --router 127.0.0.1:9090",
     error_code(0, "done"),
-    error_code(1, "refused, or something is wrong with the input"),
-    error_code(2, "the program failed or something cannot be reached"),
-    error_code(3, "requests in flight were cut at the end of a shutdown")
+    error_code(1, "request refused or input invalid"),
+    error_code(2, "internal failure, or a remote address cannot be reached"),
+    error_code(3, "requests in flight were aborted at the end of a shutdown")
 )]
 pub struct Arguments {
     /// print the version
     #[argh(switch)]
     pub version: bool,
-    /// what to do
+    /// the subcommand
     #[argh(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What to do.
+/// The subcommands.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
     /// Run a router.
     Serve(Serve),
-    /// Run a router on the users' platform.
+    /// Run a router in front of the routed services of the users' platform.
     Gateway(Gateway),
-    /// Check a file.
+    /// Check a settings file or a configuration document.
     Check(Check),
-    /// The configuration.
+    /// Show or change the configuration.
     Config(Config),
-    /// Ask a router.
+    /// Print the status of a router.
     Status(Status),
 }
 
-/// Run a router until a signal ends it: the first one gracefully, the second at once.
+/// Run a router. The first SIGTERM or SIGINT shuts it down gracefully, the second one immediately.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 pub struct Serve {
@@ -51,8 +51,8 @@
     pub settings: PathBuf,
 }
 
-/// Run a router in front of the routed services of the users' platform until a signal ends it: the first one
-/// gracefully, the second at once. Settings are read again on SIGHUP and whenever the file changes.
+/// Run a router in front of the routed services of the users' platform. The first SIGTERM or SIGINT shuts it down
+/// gracefully, the second one immediately. Settings are reloaded on SIGHUP and when the file changes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "gateway")]
 pub struct Gateway {
@@ -65,16 +65,16 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct Check {
-    /// the file; a document is told from settings by its sections, a gateway's settings by `readiness`
+    /// the file; a document is recognized by its sections, gateway settings by `readiness`
     #[argh(positional)]
     pub file: PathBuf,
 }
 
-/// Ask a running router for its state.
+/// Print the status of a running router.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct Status {
-    /// the router's address for operators
+    /// the router's operator address
     #[argh(option)]
     pub router: SocketAddr,
 }
--- a/crates/apricotfork/src/check.rs
+++ b/crates/apricotfork/src/check.rs
@@ -1,4 +1,4 @@
-//! `apricotfork check`.
+//! The `apricotfork check` command.
 
 use crate::arguments::Check;
 use crate::exit;
@@ -23,7 +23,7 @@
     }
 }
 
-/// Only a gateway's settings say where the balancer asks.
+/// Only gateway settings have `readiness`, the address that the load balancer probes.
 fn is_gateway(text: &str) -> bool {
     let Ok(Value::Object(fields)) = serde_json::from_str(text) else {
         return false;
@@ -31,7 +31,7 @@
     fields.contains_key("readiness")
 }
 
-/// A document's fields are sections, which are objects; settings have `operators` too, as an address.
+/// The sections of a document are JSON objects. Settings also have a field `operators`, but it is an address.
 fn is_document(text: &str) -> bool {
     let Ok(Value::Object(fields)) = serde_json::from_str(text) else {
         return false;
--- a/crates/apricotfork/src/config_command/arguments.rs
+++ b/crates/apricotfork/src/config_command/arguments.rs
@@ -15,30 +15,30 @@
     example = "{command_name} set --platform 10.0.0.2:2379 --operator asha --key-file asha.key --before DIGEST models models.json"
 )]
 pub struct Config {
-    /// what to do
+    /// the subcommand
     #[argh(subcommand)]
-    pub verb: Verb,
+    pub command: ConfigCommand,
 }
 
-/// What to do with the configuration.
+/// The subcommands of `apricotfork config`.
 #[derive(FromArgs)]
 #[argh(subcommand)]
-pub enum Verb {
-    /// The first document.
+pub enum ConfigCommand {
+    /// Write the first document.
     Init(Init),
-    /// Print.
+    /// Print the document or a section.
     Show(Show),
     /// Replace a section.
     Set(Set),
     /// Edit a section.
     Edit(Edit),
-    /// Compare.
+    /// Compare a section with a file.
     Diff(Diff),
-    /// The audit trail.
+    /// Print the audit trail.
     History(History),
     /// Check the audit trail.
     Verify(Verify),
-    /// Take a change back.
+    /// Undo a revision.
     Undo(Undo),
 }
 
@@ -49,13 +49,13 @@
     /// the platform's address
     #[argh(option)]
     pub platform: SocketAddr,
-    /// who you are; must be an operator of the document
+    /// your operator name, which must be in the document
     #[argh(option)]
     pub operator: String,
-    /// file with your key
+    /// file that contains your operator key
     #[argh(option)]
     pub key_file: PathBuf,
-    /// the whole document, JSON
+    /// the complete document, a JSON file
     #[argh(positional)]
     pub document: PathBuf,
 }
@@ -67,47 +67,47 @@
     /// the platform's address
     #[argh(option)]
     pub platform: SocketAddr,
-    /// the section; all without it
+    /// the section; the whole document if omitted
     #[argh(positional, from_str_fn(section))]
     pub section: Option<Section>,
 }
 
-/// Replace a section by a file.
+/// Replace a section with the content of a file.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "set")]
 pub struct Set {
     /// the platform's address
     #[argh(option)]
     pub platform: SocketAddr,
-    /// who you are
+    /// your operator name
     #[argh(option)]
     pub operator: String,
-    /// file with your key
+    /// file that contains your operator key
     #[argh(option)]
     pub key_file: PathBuf,
-    /// digest of the section as you saw it, as `show` prints it on standard error: what others changed since is not
-    /// overwritten unread
+    /// digest of the section that your change is based on, as `show` prints it on standard error; the change is refused
+    /// if the section was changed since
     #[argh(option)]
     pub before: Digest,
     /// the section
     #[argh(positional, from_str_fn(section))]
     pub section: Section,
-    /// its new content, JSON
+    /// the new content, a JSON file
     #[argh(positional)]
     pub file: PathBuf,
 }
 
-/// Edit a section with the editor in EDITOR.
+/// Edit a section with the editor named by the environment variable EDITOR.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "edit")]
 pub struct Edit {
     /// the platform's address
     #[argh(option)]
     pub platform: SocketAddr,
-    /// who you are
+    /// your operator name
     #[argh(option)]
     pub operator: String,
-    /// file with your key
+    /// file that contains your operator key
     #[argh(option)]
     pub key_file: PathBuf,
     /// the section
@@ -125,7 +125,7 @@
     /// the section
     #[argh(positional, from_str_fn(section))]
     pub section: Section,
-    /// what to compare with, JSON
+    /// the JSON file to compare with
     #[argh(positional)]
     pub file: PathBuf,
 }
@@ -142,7 +142,7 @@
     pub refused: bool,
 }
 
-/// Check that the audit trail is whole.
+/// Check the integrity of the audit trail.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "verify")]
 pub struct Verify {
@@ -151,17 +151,17 @@
     pub platform: SocketAddr,
 }
 
-/// Undo a revision by a new change.
+/// Undo a revision with a new change.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "undo")]
 pub struct Undo {
     /// the platform's address
     #[argh(option)]
     pub platform: SocketAddr,
-    /// who you are
+    /// your operator name
     #[argh(option)]
     pub operator: String,
-    /// file with your key
+    /// file that contains your operator key
     #[argh(option)]
     pub key_file: PathBuf,
     /// the revision to undo
@@ -170,9 +170,9 @@
 }
 
 fn section(text: &str) -> Result<Section, String> {
-    let known = Section::ALL.into_iter().find(|section| section.to_string() == text);
-    known.ok_or_else(|| {
+    let found = Section::ALL.into_iter().find(|section| section.to_string() == text);
+    found.ok_or_else(|| {
         let names: Vec<String> = Section::ALL.iter().map(ToString::to_string).collect();
-        format!("sections are {}", names.join(", "))
+        format!("unknown section; expected one of {}", names.join(", "))
     })
 }
--- a/crates/apricotfork/src/config_command/calls.rs
+++ b/crates/apricotfork/src/config_command/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform for the machines of the `config` crate.
+//! Makes the platform calls requested by the state machines of the `config` crate.
 
 use super::ConfigError;
 use async_std::task;
@@ -9,26 +9,26 @@
 use store::{Platform, Written};
 use wire::platform::{Entry, Put};
 
-/// Longest wait for one answer.
+/// Timeout of one call.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a command goes on while the platform does not answer.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Pause before a call is made again.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Time for which a command retries failed calls.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay before a retry.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A client for commands.
+/// Creates a platform client with the timeout for commands.
 pub fn client(address: SocketAddr) -> Platform {
     Platform::new(vec![address], TIMEOUT)
 }
 
-/// Reads what is in force.
+/// Reads the configuration in force.
 pub async fn load(platform: &Platform) -> Result<View, ConfigError> {
     let mut loader = Loader::new();
     let mut call = loader.call();
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + RETRY_TIMEOUT;
     loop {
-        let Answer::Found(stored) = make(platform, &call).await else {
-            pause(until).await?;
+        let Answer::Found(stored) = execute(platform, &call).await else {
+            wait_for_retry(deadline).await?;
             continue;
         };
         match loader.on(stored) {
@@ -40,17 +40,17 @@
     }
 }
 
-/// Carries a change through.
+/// Submits a change and retries failed calls.
 pub async fn submit(platform: &Platform, submission: &mut Submission) -> Outcome {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + RETRY_TIMEOUT;
     let mut call = submission.call();
     loop {
-        let answer = make(platform, &call).await;
+        let answer = execute(platform, &call).await;
         match submission.on(answer) {
             Next::Call(next) => call = next,
             Next::Later(next) => {
                 call = next;
-                if pause(until).await.is_err() {
+                if wait_for_retry(deadline).await.is_err() {
                     return submission.give_up();
                 }
             }
@@ -59,7 +59,7 @@
     }
 }
 
-/// Deletes keys that nothing needs any more. One that stays costs some bytes, no more.
+/// Deletes unused keys. Failures are ignored, because an unused key only takes up a few bytes.
 pub async fn delete(platform: &Platform, keys: &[String]) {
     for key in keys {
         if let Ok(Some(entry)) = platform.get(key).await {
@@ -74,15 +74,15 @@
     }
 }
 
-async fn pause(until: Instant) -> Result<(), ConfigError> {
-    if Instant::now() > until {
+async fn wait_for_retry(deadline: Instant) -> Result<(), ConfigError> {
+    if Instant::now() > deadline {
         return Err(ConfigError::Platform);
     }
-    task::sleep(PAUSE).await;
+    task::sleep(RETRY_DELAY).await;
     Ok(())
 }
 
-async fn make(platform: &Platform, call: &Call) -> Answer {
+async fn execute(platform: &Platform, call: &Call) -> Answer {
     match call {
         Call::Read(key) => match platform.get(key).await {
             Ok(entry) => Answer::Found(stored(entry)),
--- a/crates/apricotfork/src/config_command/change.rs
+++ b/crates/apricotfork/src/config_command/change.rs
@@ -15,8 +15,8 @@
 use store::Platform;
 use wire::platform::Put;
 
-/// Editor of a machine that names none.
-const EDITOR: &str = "vi";
+/// Used if the environment variable EDITOR is not set.
+const DEFAULT_EDITOR: &str = "vi";
 
 /// Writes the first document.
 pub async fn init(args: &Init) -> Result<(), ConfigError> {
@@ -46,17 +46,17 @@
     .await
 }
 
-/// Edits a section and replaces it.
+/// Opens a section in an editor and submits the result.
 pub async fn edit(args: &Edit) -> Result<(), ConfigError> {
     let platform = calls::client(args.platform);
     let view = calls::load(&platform).await?;
     let before = serde_json::to_string_pretty(&read::value(&view, args.section)?)?;
     let path = std::env::temp_dir().join(format!("apricotfork-{}-{}.json", args.section, new_id()));
     fs::write(&path, before).map_err(|err| ConfigError::File(path.clone(), err))?;
-    let editor = std::env::var("EDITOR").unwrap_or_else(|_| EDITOR.to_owned());
+    let editor = std::env::var("EDITOR").unwrap_or_else(|_| DEFAULT_EDITOR.to_owned());
     Command::new(editor).arg(&path).status().map_err(ConfigError::Editor)?;
     let after = file(&path)?;
-    println!("your text stays in {} if the change is refused", path.display());
+    println!("if the change is refused, your text is kept in {}", path.display());
     let change = Change {
         id: new_id(),
         operator: args.operator.clone(),
@@ -68,7 +68,7 @@
     fs::remove_file(&path).map_err(|err| ConfigError::File(path, err))
 }
 
-/// Undoes a revision by a new change.
+/// Undoes a revision with a new change.
 pub async fn undo(args: &Undo) -> Result<(), ConfigError> {
     let platform = calls::client(args.platform);
     let view = calls::load(&platform).await?;
@@ -98,13 +98,14 @@
             if let Intent::Change(change) = &intent {
                 record_refused(platform, change, &refused, at).await;
             }
-            Err(ConfigError::Ended(Outcome::Refused(refused)))
+            Err(ConfigError::NotAccepted(Outcome::Refused(refused)))
         }
-        other => Err(ConfigError::Ended(other)),
+        other => Err(ConfigError::NotAccepted(other)),
     }
 }
 
-/// Writes a refused attempt to its trail, as well as can be: one that races another goes unrecorded.
+/// Appends a refused attempt to the trail of refused attempts on a best-effort basis. An attempt that conflicts with
+/// a concurrent write is not recorded.
 async fn record_refused(platform: &Platform, change: &Change, refused: &ChangeRefused, at: UnixMillis) {
     let Ok(entry) = platform.get(REFUSED_KEY).await else {
         return;
@@ -125,18 +126,18 @@
     let _ = platform.put(&put).await;
 }
 
-/// What an outcome means, for people.
+/// Describes an outcome to the operator.
 pub fn explain(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Accepted { revision, .. } => format!("accepted as revision {revision}"),
         Outcome::Refused(refused) => explain_refused(refused),
-        Outcome::Damaged => "what is stored is damaged; nothing was changed".to_owned(),
-        Outcome::NotSent => "the platform does not answer; nothing was changed".to_owned(),
+        Outcome::Damaged => "the stored configuration is damaged; nothing was changed".to_owned(),
+        Outcome::NotSent => "the platform does not respond; nothing was changed".to_owned(),
         Outcome::Undecided => {
-            "the platform's answer was lost: the change may be accepted; look at `apricotfork config history`"
+            "the platform's response was lost and the change may have been accepted; see `apricotfork config history`"
                 .to_owned()
         }
-        Outcome::Unknown => "the audit trail no longer reaches back to this change".to_owned(),
+        Outcome::Unknown => "outcome unknown: the audit trail no longer covers the time of this change".to_owned(),
     }
 }
 
@@ -156,7 +157,7 @@
                     record.revision, record.operator, record.at
                 );
             }
-            let _ = write!(text, "\n  now its digest is {}", conflict.current);
+            let _ = write!(text, "\n  the current digest is {}", conflict.current);
         }
         _ => {}
     }
@@ -167,13 +168,13 @@
     fs::read_to_string(path).map_err(|err| ConfigError::File(path.to_owned(), err))
 }
 
-/// A key file holds the key and perhaps a line end.
+/// Reads a key file, which may end with a newline.
 fn key(path: &Path) -> Result<OperatorKey, ConfigError> {
     Ok(OperatorKey::from(file(path)?.trim().to_owned()))
 }
 
-/// Unique for each command, and kept over its retries. Two operators at two machines may well have the same process
-/// number at the same millisecond, so that random bits go with it.
+/// Creates an id that is unique to one command and stays the same for its retries. Two operators on different VMs may
+/// run commands in the same millisecond with the same process id, so the id has random bits.
 fn new_id() -> ChangeId {
     let random = RandomState::new().build_hasher().finish();
     ChangeId::from(format!("{:x}-{random:016x}", now_ms()))
--- a/crates/apricotfork/src/config_command/mod.rs
+++ b/crates/apricotfork/src/config_command/mod.rs
@@ -1,6 +1,6 @@
-//! `apricotfork config`: shows and changes the configuration in the platform.
+//! The `apricotfork config` command, which shows and changes the configuration stored in the platform.
 //!
-//! The machines of the `config` crate say which call comes next; this folder makes the calls and prints.
+//! State machines of the `config` crate decide which call to make next. This module makes the calls and prints results.
 
 mod arguments;
 mod calls;
@@ -10,7 +10,7 @@
 pub use arguments::Config;
 
 use crate::exit;
-use arguments::Verb;
+use arguments::ConfigCommand;
 use async_std::task;
 use config::{AssembleError, ChainBroken, Outcome, UndoRefused};
 use quick_error::quick_error;
@@ -18,7 +18,7 @@
 use std::process::ExitCode;
 
 quick_error! {
-    /// Why a command on the configuration did not do what was asked.
+    /// Why a configuration command failed.
     #[derive(Debug)]
     pub enum ConfigError {
         /// A file cannot be read or written.
@@ -27,52 +27,52 @@
         }
         /// The editor could not be run.
         Editor(err: std::io::Error) {
-            display("the editor in EDITOR cannot be run: {err}")
+            display("cannot run the editor named by EDITOR: {err}")
         }
         /// The platform did not answer in time.
         Platform {
-            display("the platform does not answer; nothing was changed")
+            display("the platform does not respond; nothing was changed")
         }
-        /// There is no document yet.
+        /// The platform has no document.
         Empty {
-            display("there is no document yet; write the first with `apricotfork config init`")
+            display("the platform has no document; create it with `apricotfork config init`")
         }
-        /// What is stored does not make a document.
+        /// The stored configuration is not a valid document.
         Damaged(err: AssembleError) {
             from()
-            display("what is stored is damaged: {err}")
+            display("the stored configuration is damaged: {err}")
         }
-        /// A text is not JSON.
+        /// Invalid JSON.
         Json(err: serde_json::Error) {
             from()
-            display("not JSON: {err}")
+            display("invalid JSON: {err}")
         }
-        /// The audit trail does not hold together.
+        /// The hash chain of the audit trail is broken.
         Chain(err: ChainBroken) {
             from()
             display("{err}")
         }
-        /// The trail of refused attempts does not hold together.
+        /// The hash chain of the refused attempts is broken.
         RefusedChain {
-            display("the trail of refused attempts does not hold together")
+            display("the hash chain of the refused attempts is broken")
         }
         /// The revision cannot be undone.
         Undo(err: UndoRefused) {
             from()
             display("{err}")
         }
-        /// The change did not come to its end.
-        Ended(outcome: Outcome) {
+        /// The change was not accepted, or its outcome is unknown.
+        NotAccepted(outcome: Outcome) {
             display("{}", change::explain(outcome))
         }
     }
 }
 
 impl ConfigError {
-    /// Whether the fault lies in what was asked, not in what could not be reached.
+    /// Whether the request itself was at fault, rather than the platform or the environment.
     fn refused(&self) -> bool {
         match self {
-            Self::Ended(outcome) => matches!(outcome, Outcome::Refused(_)),
+            Self::NotAccepted(outcome) => matches!(outcome, Outcome::Refused(_)),
             Self::Empty | Self::Json(_) | Self::Undo(_) => true,
             _ => false,
         }
@@ -81,19 +81,19 @@
 
 /// Runs the command.
 pub fn run(args: &Config) -> ExitCode {
-    let done = task::block_on(async {
-        match &args.verb {
-            Verb::Init(init) => change::init(init).await,
-            Verb::Show(show) => read::show(show).await,
-            Verb::Set(set) => change::set(set).await,
-            Verb::Edit(edit) => change::edit(edit).await,
-            Verb::Diff(diff) => read::diff(diff).await,
-            Verb::History(history) => read::history(history).await,
-            Verb::Verify(verify) => read::verify(verify).await,
-            Verb::Undo(undo) => change::undo(undo).await,
+    let result = task::block_on(async {
+        match &args.command {
+            ConfigCommand::Init(init) => change::init(init).await,
+            ConfigCommand::Show(show) => read::show(show).await,
+            ConfigCommand::Set(set) => change::set(set).await,
+            ConfigCommand::Edit(edit) => change::edit(edit).await,
+            ConfigCommand::Diff(diff) => read::diff(diff).await,
+            ConfigCommand::History(history) => read::history(history).await,
+            ConfigCommand::Verify(verify) => read::verify(verify).await,
+            ConfigCommand::Undo(undo) => change::undo(undo).await,
         }
     });
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) if err.refused() => exit::refused(err),
         Err(err) => exit::failed(err),
--- a/crates/apricotfork/src/config_command/read.rs
+++ b/crates/apricotfork/src/config_command/read.rs
@@ -1,4 +1,4 @@
-//! Commands that change nothing.
+//! Read-only commands.
 
 use super::arguments::{Diff, History, Show, Verify};
 use super::{ConfigError, calls};
@@ -6,7 +6,7 @@
 use serde_json::{Map, Value};
 use std::fs;
 
-/// Prints the document or a section; its digest goes to standard error, so that the output is plain JSON.
+/// Prints the document or a section. The digest goes to standard error, so that standard output is plain JSON.
 pub async fn show(args: &Show) -> Result<(), ConfigError> {
     let view = calls::load(&calls::client(args.platform)).await?;
     let shown = match args.section {
@@ -19,19 +19,19 @@
         }
         None => {
             eprintln!("revision {}", view.head.revision);
-            whole(&view)?
+            all_sections(&view)?
         }
     };
     println!("{}", serde_json::to_string_pretty(&shown)?);
     Ok(())
 }
 
-/// Prints what a file would change.
+/// Prints the changes that a file would make to a section.
 pub async fn diff(args: &Diff) -> Result<(), ConfigError> {
     let text = fs::read_to_string(&args.file).map_err(|err| ConfigError::File(args.file.clone(), err))?;
-    let wanted: Value = serde_json::from_str(&text)?;
+    let proposed: Value = serde_json::from_str(&text)?;
     let view = calls::load(&calls::client(args.platform)).await?;
-    print_differences(&value(&view, args.section)?, &wanted);
+    print_differences(&value(&view, args.section)?, &proposed);
     Ok(())
 }
 
@@ -50,7 +50,7 @@
     let view = calls::load(&platform).await?;
     if view.log.checkpoint.revision.0 > 0 {
         println!(
-            "earlier revisions, up to {}, are no longer kept",
+            "earlier revisions, up to {}, are no longer stored",
             view.log.checkpoint.revision
         );
     }
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-/// Checks the audit trail.
+/// Checks the integrity of the audit trail.
 pub async fn verify(args: &Verify) -> Result<(), ConfigError> {
     let platform = calls::client(args.platform);
     let view = calls::load(&platform).await?;
@@ -66,11 +66,11 @@
     if !refused(&platform).await?.verify() {
         return Err(ConfigError::RefusedChain);
     }
-    println!("the audit trail is whole up to revision {}", view.head.revision);
+    println!("the audit trail is intact up to revision {}", view.head.revision);
     Ok(())
 }
 
-/// Prints differences, one a line.
+/// Prints the differences, one per line.
 pub fn print_differences(before: &Value, after: &Value) {
     for Difference { path, before, after } in config::diff(before, after) {
         let text = |value: Option<Value>| value.map_or_else(|| "nothing".to_owned(), |value| value.to_string());
@@ -78,7 +78,7 @@
     }
 }
 
-/// A section as JSON.
+/// Returns a section as JSON.
 pub fn value(view: &View, section: Section) -> Result<Value, ConfigError> {
     Ok(serde_json::from_str(&section_text(&view.document, section))?)
 }
@@ -88,7 +88,7 @@
     let sections: Vec<String> = record
         .moves
         .iter()
-        .map(|step| format!("{} {}", step.section, step.to))
+        .map(|change| format!("{} {}", change.section, change.to))
         .collect();
     println!(
         "revision {} at {} by {}: {}",
@@ -99,14 +99,14 @@
     );
 }
 
-/// The trail of refused attempts, empty if there is none.
+/// Reads the trail of refused attempts. It is empty if the key does not exist.
 pub async fn refused(platform: &store::Platform) -> Result<RefusedLog, ConfigError> {
     let entry = platform.get(REFUSED_KEY).await.map_err(|_| ConfigError::Platform)?;
     let text = entry.and_then(|entry| entry.value);
     text.map_or_else(|| Ok(RefusedLog::default()), |text| Ok(serde_json::from_str(&text)?))
 }
 
-fn whole(view: &View) -> Result<Value, ConfigError> {
+fn all_sections(view: &View) -> Result<Value, ConfigError> {
     let mut sections = Map::new();
     for section in Section::ALL {
         sections.insert(section.to_string(), value(view, section)?);
--- a/crates/apricotfork/src/exit.rs
+++ b/crates/apricotfork/src/exit.rs
@@ -3,34 +3,34 @@
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// Refused, or something is wrong with the input.
+/// The request was refused or the input is invalid.
 const REFUSED: u8 = 1;
-/// The program failed or something cannot be reached.
+/// Internal failure, or a remote address cannot be reached.
 const FAILED: u8 = 2;
-/// Requests in flight were cut.
+/// Requests in flight were aborted at the end of a shutdown.
 const CUT: u8 = 3;
 
-/// Something is wrong with the input.
+/// Reports a refused request or invalid input.
 pub fn refused(err: impl Display) -> ExitCode {
-    tell(err, REFUSED)
+    report(err, REFUSED)
 }
 
-/// The program failed.
+/// Reports an internal failure or an unreachable address.
 pub fn failed(err: impl Display) -> ExitCode {
-    tell(err, FAILED)
+    report(err, FAILED)
 }
 
-/// Requests in flight were cut.
+/// Reports that requests in flight were aborted.
 pub fn cut(err: impl Display) -> ExitCode {
-    tell(err, CUT)
+    report(err, CUT)
 }
 
-/// The command line is not one.
+/// Reports an invalid command line.
 pub fn usage(err: impl Display) -> ExitCode {
-    tell(err, REFUSED)
+    report(err, REFUSED)
 }
 
-fn tell(err: impl Display, code: u8) -> ExitCode {
+fn report(err: impl Display, code: u8) -> ExitCode {
     eprintln!("apricotfork: {err}");
     ExitCode::from(code)
 }
--- a/crates/apricotfork/src/gateway_command.rs
+++ b/crates/apricotfork/src/gateway_command.rs
@@ -1,4 +1,4 @@
-//! `apricotfork gateway`.
+//! The `apricotfork gateway` command.
 
 use crate::arguments::Gateway;
 use crate::{exit, logs, settings};
@@ -12,12 +12,12 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// How often the settings file is looked at: it may change without a signal, and nothing in it is urgent.
-const LOOK: Duration = Duration::from_secs(2);
-/// What is told waits here; more than a few signals at once mean the same.
-const QUEUE: usize = 8;
+/// Interval between checks for a settings file that changed without a signal. Changes of settings are not urgent.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
+/// Capacity of the signal channel. A few entries suffice, because repeated signals have the same effect.
+const SIGNAL_CAPACITY: usize = 8;
 
-/// Runs a router until it is told to stop.
+/// Runs a router until it receives a stop signal.
 pub fn run(args: &Gateway) -> ExitCode {
     let (settings, text) = match settings::read(&args.settings, read_settings) {
         Ok(read) => read,
@@ -35,52 +35,52 @@
 
 async fn serve(settings: Settings, file: PathBuf, text: String) -> Result<(), RunError> {
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(RunError::Thread)?;
-    let (sender, told) = async_channel::bounded(QUEUE);
+    let (sender, receiver) = async_channel::bounded(SIGNAL_CAPACITY);
     task::spawn(watch(signals, sender, file, text));
-    gateway::run(settings, platform::dialect(), announce, told).await
+    gateway::run(settings, platform::dialect(), announce, receiver).await
 }
 
-/// Passes signals on, and settings that have changed.
-async fn watch(mut signals: Signals, told: Sender<Signal>, file: PathBuf, mut known: String) {
+/// Forwards process signals and changed settings to the router.
+async fn watch(mut signals: Signals, sender: Sender<Signal>, file: PathBuf, mut current: String) {
     loop {
-        let next = async_std::future::timeout(LOOK, signals.next()).await;
+        let next = async_std::future::timeout(RELOAD_INTERVAL, signals.next()).await;
         let message = match next {
             Ok(Some(SIGTERM | SIGINT)) => Some(Signal::Stop),
             Ok(None) => return,
-            Ok(Some(_)) | Err(_) => reread(&file, &mut known),
+            Ok(Some(_)) | Err(_) => reload(&file, &mut current),
         };
         let Some(message) = message else { continue };
-        if told.send(message).await.is_err() {
+        if sender.send(message).await.is_err() {
             return;
         }
     }
 }
 
-/// Settings that differ from those that are known; ones with errors leave the last ones in force.
-fn reread(file: &Path, known: &mut String) -> Option<Signal> {
+/// Reads the file and returns its settings if it has changed. Invalid settings are logged and not applied.
+fn reload(file: &Path, current: &mut String) -> Option<Signal> {
     let text = match std::fs::read_to_string(file) {
         Ok(text) => text,
         Err(err) => {
-            log::error!("settings cannot be read again: {err}");
+            log::error!("cannot reload settings: {err}");
             return None;
         }
     };
-    if text == *known {
+    if text == *current {
         return None;
     }
-    *known = text;
-    match read_settings(known) {
+    *current = text;
+    match read_settings(current) {
         Ok(settings) => Some(Signal::Reload(Box::new(settings))),
         Err(problems) => {
             for problem in problems {
-                log::error!("settings: {problem}");
+                log::error!("invalid settings: {problem}");
             }
             None
         }
     }
 }
 
-/// One line for whoever started this process, with the ports the system gave.
+/// Prints the bound addresses for the parent process. The system may have chosen the ports.
 fn announce(addresses: Addresses) {
     println!("listening on {} readiness {}", addresses.callers, addresses.readiness);
 }
--- a/crates/apricotfork/src/logs/lines.rs
+++ b/crates/apricotfork/src/logs/lines.rs
@@ -1,8 +1,8 @@
-//! Compact JSON lines that never hold up whoever writes them.
+//! Non-blocking output of compact JSON lines.
 //!
-//! What goes wrong without it: whoever reads standard output is slow, the pipe is full, and a thread that answers callers
-//! waits in a write. So lines go through a bounded queue to a thread of their own; when it is full they are dropped and
-//! counted, and the count is told with the next line.
+//! If standard output is a full pipe with a slow reader, a write blocks. Threads that serve requests must not block, so
+//! lines go through a bounded queue to a writer thread. Lines that do not fit are dropped and counted, and the next
+//! queued line reports the count.
 
 use log::Record;
 use log::kv::{Key, Value, VisitSource};
@@ -14,10 +14,10 @@
 use std::thread;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Lines that wait at most: some seconds of a busy router, about a megabyte.
-const QUEUE: usize = 4096;
+/// Capacity of the queue in lines: some seconds of output of a busy router, about a megabyte.
+const QUEUE_LINES: usize = 4096;
 
-/// An appender that queues lines.
+/// An appender that queues lines for the writer thread.
 #[derive(Debug)]
 pub struct Lines {
     queue: SyncSender<Vec<u8>>,
@@ -25,9 +25,9 @@
 }
 
 impl Lines {
-    /// Starts the writing thread.
+    /// Starts the writer thread.
     pub fn start() -> std::io::Result<Self> {
-        let (queue, lines) = sync_channel(QUEUE);
+        let (queue, lines) = sync_channel(QUEUE_LINES);
         let builder = thread::Builder::new().name("log".to_owned());
         builder.spawn(move || write(&lines))?;
         Ok(Self {
@@ -52,12 +52,12 @@
 fn write(lines: &Receiver<Vec<u8>>) {
     let mut out = std::io::stdout();
     while let Ok(line) = lines.recv() {
-        // Nobody is left to tell when standard output has gone.
+        // If standard output is closed, the error cannot be reported.
         let _ = out.write_all(&line);
     }
 }
 
-/// Time of day in milliseconds, level, message, then the keys.
+/// Formats a record: Unix time in milliseconds, level, message, then the key-value pairs.
 fn line(record: &Record<'_>, dropped: u64) -> Vec<u8> {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let mut fields = Map::new();
@@ -67,7 +67,7 @@
     if dropped > 0 {
         fields.insert("dropped".to_owned(), dropped.into());
     }
-    // The visitor below never fails.
+    // `Fields` never returns an error.
     let _ = record.key_values().visit(&mut Fields(&mut fields));
     let mut bytes = serde_json::to_vec(&fields).unwrap_or_default();
     bytes.push(b'\n');
@@ -81,7 +81,7 @@
         let json = match (value.to_u64(), value.to_i64(), value.to_bool()) {
             (Some(number), _, _) => number.into(),
             (_, Some(number), _) => number.into(),
-            (_, _, Some(truth)) => truth.into(),
+            (_, _, Some(flag)) => flag.into(),
             _ => value.to_string().into(),
         };
         self.0.insert(key.to_string(), json);
--- a/crates/apricotfork/src/logs/mod.rs
+++ b/crates/apricotfork/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! Logs by log4rs: of `serve` on standard error, of `gateway` in compact lines on standard output.
+//! Logging with log4rs: `serve` logs to standard error, `gateway` writes compact lines to standard output.
 
 mod lines;
 
@@ -13,32 +13,32 @@
 use quick_error::quick_error;
 use router::{LogFormat, LogSettings};
 
-/// Time, level and text, for people; the keys of a line are in the JSON form only.
+/// Time, level and message. Only the JSON format has the key-value pairs.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {m}{n}";
 
 quick_error! {
     /// Why logs cannot be set up.
     #[derive(Debug)]
     pub enum LogError {
-        /// The logging configuration is refused.
+        /// The logging configuration is invalid.
         Config(err: ConfigErrors) {
             from()
             display("{err}")
         }
-        /// The thread that writes lines cannot be started.
+        /// The writer thread cannot be started.
         Thread(err: std::io::Error) {
             from()
             display("{err}")
         }
-        /// Another logger is in place.
-        Taken(err: log::SetLoggerError) {
+        /// A logger is already set.
+        AlreadySet(err: log::SetLoggerError) {
             from()
             display("{err}")
         }
     }
 }
 
-/// Sets up logs for the process.
+/// Sets up logging for the process.
 pub fn start(settings: &LogSettings) -> Result<(), LogError> {
     let encoder: Box<dyn Encode> = match settings.format {
         LogFormat::Json => Box::new(JsonEncoder::new()),
@@ -48,26 +48,36 @@
         .target(Target::Stderr)
         .encoder(encoder)
         .build();
-    // The settings' check knows the same levels.
+    // The settings check rejects levels that do not parse.
     let level = settings.level.parse().unwrap_or(LevelFilter::Info);
     let appender = Appender::builder().build("console", Box::new(console));
     let root = Root::builder().appender("console").build(level);
-    log4rs::init_config(Config::builder().appender(appender).logger(calls(level)).build(root)?)?;
+    log4rs::init_config(
+        Config::builder()
+            .appender(appender)
+            .logger(tarpc_logger(level))
+            .build(root)?,
+    )?;
     Ok(())
 }
 
-/// Sets up compact lines on standard output for the process.
+/// Sets up logging for the process, in compact lines on standard output.
 pub fn start_lines(level: &str) -> Result<(), LogError> {
-    // The settings' check knows the same levels.
+    // The settings check rejects levels that do not parse.
     let level = level.parse().unwrap_or(LevelFilter::Info);
     let appender = Appender::builder().build("lines", Box::new(Lines::start()?));
     let root = Root::builder().appender("lines").build(level);
-    log4rs::init_config(Config::builder().appender(appender).logger(calls(level)).build(root)?)?;
+    log4rs::init_config(
+        Config::builder()
+            .appender(appender)
+            .logger(tarpc_logger(level))
+            .build(root)?,
+    )?;
     Ok(())
 }
 
-/// tarpc writes two or three lines for each call between routers. Those would be nine in ten of a quiet router's lines, and what is
-/// kept of its log would reach back seconds instead of minutes.
-fn calls(level: LevelFilter) -> Logger {
+/// Suppresses tarpc messages below `warn`. tarpc writes two or three lines for each call between routers, which would be
+/// nine in ten lines of an idle router. The retained part of its log would then cover seconds instead of minutes.
+fn tarpc_logger(level: LevelFilter) -> Logger {
     Logger::builder().build("tarpc", level.min(LevelFilter::Warn))
 }
--- a/crates/apricotfork/src/main.rs
+++ b/crates/apricotfork/src/main.rs
@@ -1,4 +1,4 @@
-//! The shipped binary: command line, logs, signals.
+//! The `apricotfork` binary: command line, logs and signals.
 
 mod arguments;
 mod check;
@@ -25,6 +25,6 @@
         Some(Command::Check(check)) => check::run(&check),
         Some(Command::Config(config)) => config_command::run(&config),
         Some(Command::Status(status)) => status::run(&status),
-        None => exit::usage("a command is needed; see `apricotfork --help`"),
+        None => exit::usage("missing command; see `apricotfork --help`"),
     }
 }
--- a/crates/apricotfork/src/serve.rs
+++ b/crates/apricotfork/src/serve.rs
@@ -1,4 +1,4 @@
-//! `apricotfork serve`.
+//! The `apricotfork serve` command.
 
 use crate::arguments::Serve;
 use crate::{exit, logs, settings};
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// Runs a router until it is told to stop.
+/// Runs a router until it receives a stop signal.
 pub fn run(args: &Serve) -> ExitCode {
     let (settings, _) = match settings::read(&args.settings, read_settings) {
         Ok(read) => read,
@@ -29,16 +29,16 @@
 async fn serve(settings: Settings) -> Result<(), RunError> {
     let signals = Signals::new([SIGTERM, SIGINT]).map_err(RunError::Thread)?;
     let signals = Arc::new(async_std::sync::Mutex::new(signals));
-    let next = move || {
+    let next_signal = move || {
         let signals = signals.clone();
         async move {
             signals.lock().await.next().await;
         }
     };
-    router::run(settings, announce, next).await
+    router::run(settings, announce, next_signal).await
 }
 
-/// One line for whoever started this process, with the ports the system gave.
+/// Prints the bound addresses for the parent process. The system may have chosen the ports.
 fn announce(addresses: Addresses) {
     println!(
         "listening on {} operators {} peers {}",
--- a/crates/apricotfork/src/status.rs
+++ b/crates/apricotfork/src/status.rs
@@ -1,4 +1,4 @@
-//! `apricotfork status`.
+//! The `apricotfork status` command.
 
 use crate::arguments::Status;
 use crate::exit;
@@ -8,26 +8,26 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Longest wait for a router.
-const WAIT: Duration = Duration::from_secs(5);
-/// Longest status, bytes.
-const STATUS_BYTES: u64 = 1 << 20;
+/// Timeout of the request to the router.
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum size of a status.
+const MAX_STATUS_BYTES: u64 = 1 << 20;
 
 quick_error! {
     /// Why a router's status cannot be shown.
     #[derive(Debug)]
     enum StatusError {
-        /// No answer.
+        /// The request failed.
         Send(err: SendError) {
             from()
             display("{err}")
         }
-        /// The answer is not whole.
+        /// The response body is incomplete or too large.
         Body(err: BodyError) {
             from()
             display("{err}")
         }
-        /// The answer is not a status.
+        /// The response is not a valid status.
         Json(err: serde_json::Error) {
             from()
             display("{err}")
@@ -37,7 +37,7 @@
 
 /// Prints a router's status as JSON.
 pub fn run(args: &Status) -> ExitCode {
-    match task::block_on(ask(args)) {
+    match task::block_on(fetch(args)) {
         Ok(text) => {
             println!("{text}");
             ExitCode::SUCCESS
@@ -46,12 +46,12 @@
     }
 }
 
-async fn ask(args: &Status) -> Result<String, StatusError> {
+async fn fetch(args: &Status) -> Result<String, StatusError> {
     let url = Url::parse(&format!("http://{}/status", args.router)).expect("a socket address makes a URL");
-    let reply = Client::new()
-        .send(args.router, Request::new(Method::Get, url), &[], WAIT)
+    let response = Client::new()
+        .send(args.router, Request::new(Method::Get, url), &[], TIMEOUT)
         .await?;
-    let body = reply.whole(STATUS_BYTES).await?;
+    let body = response.whole(MAX_STATUS_BYTES).await?;
     let status: router::Status = serde_json::from_slice(&body)?;
     Ok(serde_json::to_string_pretty(&status)?)
 }
