--- a/crates/apricotfork/tests/bad_input.rs
+++ b/crates/apricotfork/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input at the callers' interface: a typed error or a closed connection, and the router serves on.
+//! Invalid input from clients: the router sends a typed error or closes the connection, and continues to serve.
 
 mod support;
 
@@ -7,9 +7,9 @@
 use std::cell::RefCell;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
-use support::{KEY, OTHER_KEY, PATIENCE, Plan, Site, bearer, call, get, until};
+use support::{KEY, OTHER_KEY, Plan, Site, TIMEOUT, bearer, call, get, wait_until};
 
-struct Refusal {
+struct InvalidRequest {
     name: &'static str,
     method: Method,
     path: &'static str,
@@ -20,7 +20,7 @@
     code: &'static str,
 }
 
-impl Refusal {
+impl InvalidRequest {
     fn new(name: &'static str, status: u16, code: &'static str) -> Self {
         let body = json!({"model": "advisory", "prompt": "p"}).to_string().into_bytes();
         let path = "/v1/completions";
@@ -37,13 +37,13 @@
     }
 }
 
-fn check(site: &Site, case: &Refusal) {
+fn check(site: &Site, case: &InvalidRequest) {
     let mut headers = vec![("authorization", bearer(case.key))];
     headers.extend(case.header.map(|(name, value)| (name, value.to_owned())));
     let answer = call(site.routers[0].address, case.method, case.path, &headers, &case.body).expect(case.name);
     assert_eq!(u16::from(answer.status), case.status, "{}: {answer:?}", case.name);
     assert_eq!(
-        answer.refusal(),
+        answer.error_fields(),
         (case.code.to_owned(), "not_run".to_owned()),
         "{}",
         case.name
@@ -51,102 +51,102 @@
 }
 
 #[test]
-fn each_wrong_request_gets_its_typed_refusal() {
+fn each_invalid_request_gets_a_typed_error() {
     let site = Site::start(&Plan::default());
-    let own = |body: &[u8]| body.to_vec();
+    let bytes = |body: &[u8]| body.to_vec();
     let cases = [
-        Refusal {
+        InvalidRequest {
             key: "",
-            ..Refusal::new("no key", 401, "unauthorized")
+            ..InvalidRequest::new("no key", 401, "unauthorized")
         },
-        Refusal {
+        InvalidRequest {
             key: "guess",
-            ..Refusal::new("unknown key", 401, "unauthorized")
+            ..InvalidRequest::new("unknown key", 401, "unauthorized")
         },
-        Refusal {
+        InvalidRequest {
             key: OTHER_KEY,
-            ..Refusal::new("another workspace's model", 404, "not_found")
+            ..InvalidRequest::new("another workspace's model", 404, "not_found")
         },
-        Refusal {
-            body: own(b"{\"model\""),
-            ..Refusal::new("broken JSON", 400, "invalid_request")
+        InvalidRequest {
+            body: bytes(b"{\"model\""),
+            ..InvalidRequest::new("broken JSON", 400, "invalid_request")
         },
-        Refusal {
-            body: own(b"{\"model\":\"\xff\xfe\"}"),
-            ..Refusal::new("not UTF-8", 400, "invalid_request")
+        InvalidRequest {
+            body: bytes(b"{\"model\":\"\xff\xfe\"}"),
+            ..InvalidRequest::new("not UTF-8", 400, "invalid_request")
         },
-        Refusal {
-            body: own(b"{\"model\":\"advisory\"}"),
-            ..Refusal::new("no prompt", 400, "invalid_request")
+        InvalidRequest {
+            body: bytes(b"{\"model\":\"advisory\"}"),
+            ..InvalidRequest::new("no prompt", 400, "invalid_request")
         },
-        Refusal {
-            body: own(b"{\"model\":7,\"prompt\":\"p\"}"),
-            ..Refusal::new("wrong type", 400, "invalid_request")
+        InvalidRequest {
+            body: bytes(b"{\"model\":7,\"prompt\":\"p\"}"),
+            ..InvalidRequest::new("wrong type", 400, "invalid_request")
         },
-        Refusal {
+        InvalidRequest {
             body: vec![b' '; 1_100_000],
-            ..Refusal::new("body too large", 413, "body_too_large")
+            ..InvalidRequest::new("body too large", 413, "body_too_large")
         },
-        Refusal {
+        InvalidRequest {
             body: vec![b' '; 8 << 20],
-            ..Refusal::new("body many times too large", 413, "body_too_large")
+            ..InvalidRequest::new("body many times too large", 413, "body_too_large")
         },
-        Refusal {
+        InvalidRequest {
             path: "/v1/nothing",
-            ..Refusal::new("no such path", 404, "not_found")
+            ..InvalidRequest::new("no such path", 404, "not_found")
         },
-        Refusal {
+        InvalidRequest {
             path: "/services/none/x",
-            ..Refusal::new("no such service", 404, "not_found")
+            ..InvalidRequest::new("no such service", 404, "not_found")
         },
-        Refusal {
+        InvalidRequest {
             path: "/services/silo/doors",
-            ..Refusal::new("no such operation", 404, "not_found")
+            ..InvalidRequest::new("no such operation", 404, "not_found")
         },
-        Refusal {
+        InvalidRequest {
             path: "/services/silo/fansite",
-            ..Refusal::new("only a prefix of a name", 404, "not_found")
+            ..InvalidRequest::new("only a prefix of a name", 404, "not_found")
         },
-        Refusal {
+        InvalidRequest {
             method: Method::Get,
-            ..Refusal::new("wrong method", 405, "not_found")
+            ..InvalidRequest::new("wrong method", 405, "not_found")
         },
-        Refusal {
+        InvalidRequest {
             header: Some(("apricotfork-deadline-ms", "10s")),
-            ..Refusal::new("deadline with a unit", 400, "invalid_request")
+            ..InvalidRequest::new("deadline with a unit", 400, "invalid_request")
         },
-        Refusal {
+        InvalidRequest {
             header: Some(("apricotfork-priority", "royal")),
-            ..Refusal::new("unknown priority", 400, "invalid_request")
+            ..InvalidRequest::new("unknown priority", 400, "invalid_request")
         },
-        Refusal {
+        InvalidRequest {
             header: Some(("apricotfork-prefix-levels", "9,5")),
-            ..Refusal::new("levels that descend", 400, "invalid_request")
+            ..InvalidRequest::new("levels that descend", 400, "invalid_request")
         },
-        Refusal {
+        InvalidRequest {
             path: "/services/silo/fans/1",
             header: Some(("apricotfork-attempt", "second")),
-            ..Refusal::new("unknown attempt", 400, "invalid_request")
+            ..InvalidRequest::new("unknown attempt", 400, "invalid_request")
         },
     ];
     for case in &cases {
         check(&site, case);
     }
-    assert!(serves(&site), "the router serves on");
+    assert!(serves(&site), "the router continues to serve");
     assert!(site.executions().by_request.is_empty(), "nothing was run");
 }
 
-struct Raw {
+struct RawRequest {
     name: &'static str,
-    /// Sent as it stands; then nothing more is sent.
+    /// All bytes sent on the connection.
     bytes: Vec<u8>,
 }
 
-/// The connection is closed or answered with an error, and in the end nothing of it is left.
-fn check_raw(site: &Site, case: &Raw) {
+/// Checks that the connection is closed, with an error response or none, and that the router continues to serve.
+fn check_raw(site: &Site, case: &RawRequest) {
     let mut stream = TcpStream::connect(site.routers[0].address).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
-    // The router may close before all is written.
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
+    // The router may close the connection before everything is written.
     let _ = stream.write_all(&case.bytes);
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer).map_err(|err| err.kind());
@@ -161,11 +161,11 @@
         "{}: {text}",
         case.name
     );
-    assert!(serves(site), "{}: the router serves on", case.name);
+    assert!(serves(site), "{}: the router continues to serve", case.name);
 }
 
 #[test]
-fn broken_and_endless_requests_end_with_their_connection() {
+fn malformed_and_endless_requests_are_rejected_and_closed() {
     let site = Site::start(&Plan::default());
     let head = |more: &str| {
         let key = bearer(KEY);
@@ -179,35 +179,35 @@
         endless.extend_from_slice(b"\r\n");
     }
     let cases = [
-        Raw {
+        RawRequest {
             name: "nothing at all",
             bytes: Vec::new(),
         },
-        Raw {
+        RawRequest {
             name: "no HTTP",
             bytes: b"\x16\x03\x01\x02\x00\r\n\r\n".to_vec(),
         },
-        Raw {
+        RawRequest {
             name: "a head that never ends",
             bytes: head("x-more: "),
         },
-        Raw {
+        RawRequest {
             name: "a head that is too long",
             bytes: head(&long),
         },
-        Raw {
-            name: "a length that is no number",
+        RawRequest {
+            name: "a length that is not a number",
             bytes: head("content-length: ten\r\n\r\n"),
         },
-        Raw {
+        RawRequest {
             name: "a body that stops",
             bytes: head("content-length: 100\r\n\r\n{\"model\""),
         },
-        Raw {
-            name: "a chunk that lies",
+        RawRequest {
+            name: "an invalid chunk length",
             bytes: head("transfer-encoding: chunked\r\n\r\nzz\r\n"),
         },
-        Raw {
+        RawRequest {
             name: "a body without end",
             bytes: endless,
         },
@@ -217,24 +217,24 @@
     }
 }
 
-/// A caller keeps its connection and uses it again after a while. Were it closed as soon as one that never sends a head,
-/// calls would go out on connections that are just closing, and nobody could tell whether they ran.
+/// A client reuses a connection that was idle for longer than the head timeout. If the router closed it then, requests
+/// could be sent on a connection that is just closing, and clients could not know whether they ran.
 #[test]
-fn a_connection_that_has_served_is_kept() {
+fn an_idle_connection_is_kept_beyond_the_head_timeout() {
     let site = Site::start(&Plan::default());
     let mut stream = TcpStream::connect(site.routers[0].address).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     let request = format!(
         "GET /v1/models HTTP/1.1\r\nhost: r\r\nauthorization: {}\r\n\r\n",
         bearer(KEY)
     );
     for _ in 0..2 {
         stream.write_all(request.as_bytes()).expect("a request");
-        // Head and body may come apart.
+        // Head and body may arrive separately.
         let mut answer = Vec::new();
         while !answer.ends_with(b"]}") {
             let mut part = [0; 4096];
-            let count = stream.read(&mut part).expect("an answer");
+            let count = stream.read(&mut part).expect("a response");
             assert!(
                 count > 0,
                 "the connection is closed: {}",
@@ -247,45 +247,45 @@
             "{}",
             String::from_utf8_lossy(&answer)
         );
-        // Three times the second that a head may take here.
+        // Three times the head timeout of 1 s set for these routers.
         std::thread::sleep(std::time::Duration::from_secs(3));
     }
 }
 
-/// Many callers send large bodies slowly. Each is within its limit, and together they could take all memory; the
-/// process would be killed with every request it had. Beyond the budget a request is refused before its body is read,
-/// truthfully, and once a slow body is given up there is room again.
+/// Many clients send large bodies slowly. Each body is within its limit, but together they could exhaust memory and the
+/// process would be killed. Beyond the budget, a request must be refused as `not_run` before its body is read. The budget
+/// must be released when a slow body times out.
 #[test]
-fn bodies_share_a_budget() {
+fn request_bodies_share_a_memory_budget() {
     let mut site = Site::start(&Plan {
         routers: 0,
         ..Plan::default()
     });
     let router = site.start_router_with(0, |settings| settings["limits"]["held_bytes"] = json!(1_048_576));
     site.routers.push(router);
-    site.until_ready(0);
+    site.wait_until_ready(0);
     let key = bearer(KEY);
     let head =
         format!("POST /v1/completions HTTP/1.1\r\nhost: r\r\nauthorization: {key}\r\ncontent-length: 1048000\r\n\r\n");
     let slow = RefCell::new(Vec::new());
     let body = json!({"model": "advisory", "prompt": "wheat ".repeat(1000)});
-    until("the slow body takes the budget", || {
-        // One that comes while a completion's body is held does not fit itself, and is refused.
+    wait_until("the slow body uses up the budget", || {
+        // A slow body that arrives while a completion's body is in memory exceeds the budget and is refused.
         let mut stream = TcpStream::connect(site.routers[0].address).expect("a connection");
         stream.write_all(head.as_bytes()).expect("a head");
         slow.borrow_mut().push(stream);
         let answer = site.complete("/v1/completions", &body);
-        !answer.status.is_success() && answer.refusal() == ("overloaded".to_owned(), "not_run".to_owned())
+        !answer.status.is_success() && answer.error_fields() == ("overloaded".to_owned(), "not_run".to_owned())
     });
-    until("it is given up", || {
+    wait_until("the slow body has timed out", || {
         site.complete("/v1/completions", &body).status.is_success()
     });
 }
 
-/// A caller closes its connection while the engine still prefills its prompt. Without a watch on the socket the
-/// engine would go on for nobody, and callers behind it would wait; here the engine is told to cancel.
+/// A client closes its connection during the prefill. If the router did not watch the socket, the engine would continue
+/// with the unused request and delay queued ones. The router must cancel the request at the engine.
 #[test]
-fn a_caller_that_goes_away_frees_the_engine() {
+fn a_disconnected_client_cancels_its_prefill() {
     let slow = vec!["--prefill-rate", "100"];
     let site = Site::start(&Plan {
         engines: vec![slow],
@@ -305,9 +305,9 @@
         let load: wire::engine::Load = serde_json::from_slice(&report.body).expect("a report");
         load.running + load.waiting
     };
-    until("the engine works on it", || running() == 1);
+    wait_until("the engine processes the request", || running() == 1);
     drop(stream);
-    until("the engine was told to stop", || running() == 0);
+    wait_until("the request is cancelled", || running() == 0);
 }
 
 fn serves(site: &Site) -> bool {
--- a/crates/apricotfork/tests/check_command.rs
+++ b/crates/apricotfork/tests/check_command.rs
@@ -1,4 +1,4 @@
-//! `apricotfork check` and the exit codes of wrong settings.
+//! `apricotfork check` and the exit codes for invalid settings.
 
 use serde_json::{Value, json};
 use std::process::Command;
@@ -7,8 +7,8 @@
     name: &'static str,
     text: String,
     exit: i32,
-    /// All of these are printed.
-    says: &'static [&'static str],
+    /// Texts that must all be printed.
+    expected: &'static [&'static str],
 }
 
 fn check(case: &Case) {
@@ -19,8 +19,8 @@
     let output = command.arg("check").arg(&path).output().expect("the command");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert_eq!(output.status.code(), Some(case.exit), "{}: {text}", case.name);
-    for says in case.says {
-        assert!(text.contains(says), "{}: no {says} in {text}", case.name);
+    for expected in case.expected {
+        assert!(text.contains(expected), "{}: no {expected} in {text}", case.name);
     }
 }
 
@@ -35,37 +35,37 @@
 }
 
 #[test]
-fn every_error_is_named_with_its_path() {
+fn every_error_is_reported_with_its_path() {
     let cases = [
         Case {
             name: "good",
             text: settings(|_| ()),
             exit: 0,
-            says: &["settings: no errors"],
+            expected: &["settings: no errors"],
         },
         Case {
             name: "not JSON",
             text: "{".to_owned(),
             exit: 1,
-            says: &["EOF"],
+            expected: &["EOF"],
         },
         Case {
             name: "unknown field",
             text: settings(|all| all["limits"] = json!({"body": 1})),
             exit: 1,
-            says: &["limits.body", "unknown field"],
+            expected: &["limits.body", "unknown field"],
         },
         Case {
             name: "a time with a unit",
             text: settings(|all| all["limits"] = json!({"head_ms": "10s"})),
             exit: 1,
-            says: &["limits.head_ms", "invalid type"],
+            expected: &["limits.head_ms", "invalid type"],
         },
         Case {
-            name: "a name in place of an IP number",
+            name: "a host name instead of an IP address",
             text: settings(|all| all["callers"] = json!("localhost:80")),
             exit: 1,
-            says: &["callers"],
+            expected: &["callers"],
         },
         Case {
             name: "several contradictions at once",
@@ -78,7 +78,7 @@
                 all["log"] = json!({"level": "loud"});
             }),
             exit: 1,
-            says: &[
+            expected: &[
                 "vm: must not be empty",
                 "operators: is the same address as callers",
                 "platform.addresses",
@@ -97,7 +97,7 @@
             })
             .to_string(),
             exit: 1,
-            says: &["workspaces.board", "priorities.urgent.rank", "no model none"],
+            expected: &["workspaces.board", "priorities.urgent.rank", "no model none"],
         },
     ];
     for case in &cases {
@@ -105,7 +105,7 @@
     }
 }
 
-/// What the users' platform makes of `deploy/settings.json`, with `change` made to it.
+/// Settings as the users' platform generates them from `deploy/settings.json`, modified by `change`.
 fn gateway_settings(change: impl Fn(&mut Value)) -> String {
     let mut settings = json!({
         "vm": "front-1", "domain": "lahore", "callers": "10.1.0.30:8782", "readiness": "10.1.0.30:8789",
@@ -118,43 +118,43 @@
 }
 
 #[test]
-fn settings_of_a_gateway_are_checked() {
+fn gateway_settings_are_checked() {
     let cases = [
         Case {
             name: "good",
             text: gateway_settings(|_| ()),
             exit: 0,
-            says: &["gateway settings: no errors"],
+            expected: &["gateway settings: no errors"],
         },
         Case {
             name: "a field of a newer platform",
             text: gateway_settings(|all| all["shade"] = json!("green")),
             exit: 0,
-            says: &["no errors"],
+            expected: &["no errors"],
         },
         Case {
             name: "no bounds",
             text: gateway_settings(|all| all["bounds"] = json!({})),
             exit: 0,
-            says: &["no errors"],
+            expected: &["no errors"],
         },
         Case {
             name: "no store",
             text: gateway_settings(|all| all["store"] = Value::Null),
             exit: 1,
-            says: &["store"],
+            expected: &["store"],
         },
         Case {
             name: "bounds out of range",
             text: gateway_settings(|all| all["bounds"] = json!({"revoke_ms": 0, "retry_ratio": -1, "grace_s": 0})),
             exit: 1,
-            says: &["bounds.revoke_ms", "bounds.retry_ratio", "bounds.grace_s"],
+            expected: &["bounds.revoke_ms", "bounds.retry_ratio", "bounds.grace_s"],
         },
         Case {
             name: "an unknown level",
             text: gateway_settings(|all| all["log_level"] = json!("loud")),
             exit: 1,
-            says: &["log_level"],
+            expected: &["log_level"],
         },
     ];
     cases.iter().for_each(check);
--- a/crates/apricotfork/tests/config_command.rs
+++ b/crates/apricotfork/tests/config_command.rs
@@ -1,19 +1,19 @@
-//! Operators' commands, run as an operator runs them.
+//! The `apricotfork config` commands.
 
 mod support;
 
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::process::{Command, Output};
-use support::{OPERATOR_KEY, Plan, Site, fault, get, operators, until};
+use support::{OPERATOR_KEY, Plan, Site, fault, get, operators, wait_until};
 
-/// A site, and a folder with an operator's files.
-struct Desk {
+/// A site and a folder with an operator's files.
+struct Fixture {
     site: Site,
     folder: tempfile::TempDir,
 }
 
-impl Desk {
+impl Fixture {
     fn new(plan: &Plan) -> Self {
         Self {
             site: Site::start(plan),
@@ -37,15 +37,15 @@
         command.output().expect("the command")
     }
 
-    /// Sets the section of priorities as `operator` with `key`.
-    fn set(&self, operator: &str, key: &str, more: &[&str], priorities: &Value) -> Output {
+    /// Replaces the section `priorities` as `operator` with `key`.
+    fn set(&self, operator: &str, key: &str, before: &[&str], priorities: &Value) -> Output {
         let key = self.file("key", key);
         let text = self.file("priorities.json", &priorities.to_string());
         let (key, text) = (key.display().to_string(), text.display().to_string());
-        let now = self.digest();
+        let digest = self.digest();
         let mut args = vec!["--operator", operator, "--key-file", key.as_str()];
-        let seen = ["--before", now.as_str()];
-        args.extend(if more.is_empty() { &seen } else { more });
+        let current = ["--before", digest.as_str()];
+        args.extend(if before.is_empty() { &current } else { before });
         args.extend(["priorities", text.as_str()]);
         self.run("set", &args)
     }
@@ -61,34 +61,34 @@
     key: &'static str,
     priorities: Value,
     exit: i32,
-    says: &'static str,
+    expected: &'static str,
 }
 
-fn check(desk: &Desk, case: &Case) {
-    let output = desk.set(case.operator, case.key, &[], &case.priorities);
+fn check(fixture: &Fixture, case: &Case) {
+    let output = fixture.set(case.operator, case.key, &[], &case.priorities);
     let text = format!(
         "{}{}",
         String::from_utf8_lossy(&output.stdout),
         String::from_utf8_lossy(&output.stderr)
     );
     assert_eq!(output.status.code(), Some(case.exit), "{}: {text}", case.name);
-    assert!(text.contains(case.says), "{}: {text}", case.name);
+    assert!(text.contains(case.expected), "{}: {text}", case.name);
 }
 
 #[test]
 fn each_change_is_accepted_or_refused_with_its_reason() {
-    let desk = Desk::new(&Plan {
+    let fixture = Fixture::new(&Plan {
         routers: 0,
         ..Plan::default()
     });
     let good = json!({"urgent": {"rank": 1}});
-    let case = |name, exit, says| Case {
+    let case = |name, exit, expected| Case {
         name,
         operator: "ops",
         key: OPERATOR_KEY,
         priorities: good.clone(),
         exit,
-        says,
+        expected,
     };
     let cases = [
         Case {
@@ -107,99 +107,100 @@
         case("the same again", 1, "like that already"),
     ];
     for case in &cases {
-        check(&desk, case);
+        check(&fixture, case);
     }
-    let history = desk.run("history", &["--refused"]);
+    let history = fixture.run("history", &["--refused"]);
     assert_eq!(
         String::from_utf8_lossy(&history.stdout).lines().count(),
         4,
         "refused attempts are kept"
     );
-    assert!(desk.run("verify", &[]).status.success());
+    assert!(fixture.run("verify", &[]).status.success());
 }
 
-/// Two operators read the same section, and both change it. Without the check of what each saw, the second would
-/// silently take the first one's change back; it is shown that change instead.
+/// Two operators read the same section and both change it. The digest check prevents the second from silently
+/// overwriting the first one's change: the second change is refused and the first one is shown.
 #[test]
-fn the_second_of_two_editors_is_shown_what_the_first_changed() {
-    let desk = Desk::new(&Plan {
+fn a_conflicting_change_is_refused_and_shows_the_other_change() {
+    let fixture = Fixture::new(&Plan {
         routers: 0,
         ..Plan::default()
     });
-    let seen = desk.digest();
-    let first = desk.set(
+    let seen = fixture.digest();
+    let first = fixture.set(
         "ops",
         OPERATOR_KEY,
         &["--before", &seen],
         &json!({"urgent": {"rank": 1}}),
     );
     assert!(first.status.success(), "{first:?}");
-    let second = desk.set(
+    let second = fixture.set(
         "ops",
         OPERATOR_KEY,
         &["--before", &seen],
         &json!({"urgent": {"rank": 2}}),
     );
-    let says = String::from_utf8_lossy(&second.stderr).into_owned();
-    assert_eq!(second.status.code(), Some(1), "{says}");
-    assert!(says.contains("revision 2 by ops"), "{says}");
+    let stderr = String::from_utf8_lossy(&second.stderr).into_owned();
+    assert_eq!(second.status.code(), Some(1), "{stderr}");
+    assert!(stderr.contains("revision 2 by ops"), "{stderr}");
 }
 
-/// More writes than there are in a test.
-const EVERY: u32 = 1000;
+/// Larger than the number of writes in a test.
+const ALL_WRITES: u32 = 1000;
 
-/// The platform's answers are lost, that to the write that accepts the change among them. Guessing would either report a change as lost
-/// that is in force, or apply it twice; the command reads back and reports the one revision.
+/// The platform's responses are lost, including the one to the write that accepts the change. Without reading back, the
+/// command could report a change that is in force as failed, or apply it twice. It must report exactly one revision.
 #[test]
-fn a_change_whose_answer_was_lost_is_settled_by_reading_back() {
-    let desk = Desk::new(&Plan {
+fn a_change_with_lost_responses_is_resolved_by_reading_back() {
+    let fixture = Fixture::new(&Plan {
         routers: 1,
         ..Plan::default()
     });
     let lose = wire::platform::Fault {
-        lose_answers: Some(EVERY),
+        lose_answers: Some(ALL_WRITES),
         ..Default::default()
     };
-    fault(desk.site.platform.address, &lose);
-    let output = desk.set("ops", OPERATOR_KEY, &[], &json!({"urgent": {"rank": 3}}));
+    fault(fixture.site.platform.address, &lose);
+    let output = fixture.set("ops", OPERATOR_KEY, &[], &json!({"urgent": {"rank": 3}}));
     assert!(
         String::from_utf8_lossy(&output.stdout).contains("accepted as revision 2"),
         "{output:?}"
     );
-    until("the change is in force in the router", || {
-        let metrics = get(operators(&desk.site.routers[0]), "/metrics").expect("metrics");
+    wait_until("the change is in force in the router", || {
+        let metrics = get(operators(&fixture.site.routers[0]), "/metrics").expect("metrics");
         String::from_utf8_lossy(&metrics.body).contains("apricotfork_config_revision 2")
     });
 }
 
-/// An operator regrets a change. Putting the old revision back would break the order of revisions; the undo is a new
-/// change, and it is refused once somebody else has built on what it would take away.
+/// Restoring an old revision would break the order of revisions, so an undo is a new change. It is refused if the section
+/// was changed again since, because it would overwrite that later change.
 #[test]
-fn undo_is_a_new_change() {
-    let desk = Desk::new(&Plan {
+fn undo_is_a_new_change_and_keeps_later_changes() {
+    let fixture = Fixture::new(&Plan {
         routers: 0,
         ..Plan::default()
     });
-    let before = desk.run("show", &["priorities"]).stdout;
+    let before = fixture.run("show", &["priorities"]).stdout;
     assert!(
-        desk.set("ops", OPERATOR_KEY, &[], &json!({"urgent": {"rank": 1}}))
+        fixture
+            .set("ops", OPERATOR_KEY, &[], &json!({"urgent": {"rank": 1}}))
             .status
             .success()
     );
-    let key = desk.folder.path().join("key").display().to_string();
-    let undo = |revision| desk.run("undo", &["--operator", "ops", "--key-file", &key, revision]);
+    let key = fixture.folder.path().join("key").display().to_string();
+    let undo = |revision| fixture.run("undo", &["--operator", "ops", "--key-file", &key, revision]);
     let undone = undo("2");
     assert!(
         String::from_utf8_lossy(&undone.stdout).contains("accepted as revision 3"),
         "{undone:?}"
     );
-    assert_eq!(desk.run("show", &["priorities"]).stdout, before);
-    let later = desk.set("ops", OPERATOR_KEY, &[], &json!({"urgent": {"rank": 2}}));
+    assert_eq!(fixture.run("show", &["priorities"]).stdout, before);
+    let later = fixture.set("ops", OPERATOR_KEY, &[], &json!({"urgent": {"rank": 2}}));
     assert!(later.status.success(), "{later:?}");
-    let built_on = desk.run("show", &["priorities"]).stdout;
+    let latest = fixture.run("show", &["priorities"]).stdout;
     let refused = undo("2");
-    assert_eq!(refused.status.code(), Some(1), "it was changed again since");
-    let says = String::from_utf8_lossy(&refused.stderr).into_owned();
-    assert!(says.contains("changed again in revision"), "{says}");
-    assert_eq!(desk.run("show", &["priorities"]).stdout, built_on);
+    assert_eq!(refused.status.code(), Some(1), "the section was changed again");
+    let stderr = String::from_utf8_lossy(&refused.stderr).into_owned();
+    assert!(stderr.contains("changed again in revision"), "{stderr}");
+    assert_eq!(fixture.run("show", &["priorities"]).stdout, latest);
 }
--- a/crates/apricotfork/tests/cut_off.rs
+++ b/crates/apricotfork/tests/cut_off.rs
@@ -1,13 +1,13 @@
-//! Routers that are cut from the platform, from their peers, or from both.
+//! Routers without a connection to the platform, to their peers, or to both.
 
 mod support;
 
 use serde_json::{Value, json};
 use standins::process::Running;
 use std::process::Command;
-use support::{OPERATOR_KEY, Plan, Site, fault, get, metric, operators, peers, until};
+use support::{OPERATOR_KEY, Plan, Site, fault, get, metric, operators, peers, wait_until};
 
-/// Makes a router look for the platform where nobody listens.
+/// Sets a platform address where nothing listens.
 fn no_platform(settings: &mut Value) {
     settings["platform"]["addresses"] = json!(["127.0.0.1:1"]);
 }
@@ -45,11 +45,10 @@
     metric(router, "apricotfork_config_revision")
 }
 
-/// A failure domain loses the platform and one of its routers is replaced. The new one has nothing of its own; without
-/// its peers it could serve nobody until the platform is back. A change that is accepted meanwhile reaches the peers
-/// that still see the platform, and through them the one that does not.
+/// A router starts in a failure domain that cannot reach the platform. Without its peers' configuration it could not serve
+/// until the platform is reachable. Configuration changes must also reach it through peers that reach the platform.
 #[test]
-fn a_router_without_the_platform_starts_and_follows_by_its_peers() {
+fn a_router_without_the_platform_gets_its_configuration_from_peers() {
     let mut site = Site::start(&Plan {
         routers: 2,
         ..Plan::default()
@@ -60,16 +59,17 @@
         settings["seeds"] = seeds.clone();
     });
     site.routers.push(cut);
-    site.until_ready(2);
+    site.wait_until_ready(2);
     change_priorities(&site);
     for router in &site.routers {
-        until("the change is in force", || revision(router).as_deref() == Some("2"));
+        wait_until("the change is in force", || revision(router).as_deref() == Some("2"));
     }
 }
 
-/// The platform is down for a long while. Routers that run go on serving, and one that starts beside them serves too.
+/// During an outage of the platform, running routers must continue to serve, and a router started during the outage must
+/// serve too.
 #[test]
-fn an_outage_of_the_platform_stops_nobody() {
+fn routers_serve_and_start_during_an_outage_of_the_platform() {
     let mut site = Site::start(&Plan {
         routers: 1,
         ..Plan::default()
@@ -86,32 +86,32 @@
     assert!(site.complete("/v1/completions", &body).status.is_success());
     let started = site.start_router_with(1, |settings| settings["seeds"] = seeds.clone());
     site.routers.push(started);
-    site.until_ready(1);
-    let probe = site.silo(1, "/probes/1", &[], "{}").expect("an answer");
+    site.wait_until_ready(1);
+    let probe = site.silo(1, "/probes/1", &[], "{}").expect("a response");
     assert!(probe.status.is_success(), "{probe:?}");
 }
 
-/// A router finds neither the platform nor a peer. Serving by guesswork could break promises; it says why it is not
-/// ready, so that an operator need not search.
+/// A router that reaches neither the platform nor a peer has no configuration and must not serve. `/readyz` must give the
+/// reason for the operator.
 #[test]
-fn a_router_alone_says_why_it_is_not_ready() {
+fn an_isolated_router_reports_why_it_is_not_ready() {
     let site = Site::start(&Plan {
         routers: 0,
         ..Plan::default()
     });
     let alone = site.start_router_with(0, no_platform);
-    until("it says why", || {
-        let answer = get(operators(&alone), "/readyz").expect("an answer");
+    wait_until("it reports the reason", || {
+        let answer = get(operators(&alone), "/readyz").expect("a response");
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         answer.status == http::StatusCode::ServiceUnavailable && text.contains("neither the platform nor a peer")
     });
 }
 
-/// Routers learn of each other from the platform's list and by heartbeats. One dies without a word; the list goes on
-/// naming it, and only the silence tells. Without it the dead one's share of every limit would stay unused, and the
-/// endpoints it watched would be read by one router less.
+/// Routers detect each other through the platform's list and by heartbeats. A router that dies stays in the list, and only
+/// missing heartbeats show its death. If it counted as live, its share of every limit would stay unused and fewer routers
+/// would read the endpoints that it watched.
 #[test]
-fn routers_know_who_is_live() {
+fn a_dead_router_no_longer_counts_as_live() {
     let mut site = Site::start(&Plan {
         routers: 3,
         ..Plan::default()
@@ -119,10 +119,10 @@
     site.list_routers();
     let live = |router: &Running, count: &str| metric(router, "apricotfork_live_routers").as_deref() == Some(count);
     for router in &site.routers {
-        until("three live routers are seen", || live(router, "3"));
+        wait_until("three routers are live", || live(router, "3"));
     }
     drop(site.routers.pop());
     for router in &site.routers {
-        until("the dead router is missed", || live(router, "2"));
+        wait_until("the dead router no longer counts as live", || live(router, "2"));
     }
 }
--- a/crates/apricotfork/tests/endpoints.rs
+++ b/crates/apricotfork/tests/endpoints.rs
@@ -1,28 +1,28 @@
-//! Endpoints that leave, die and come back empty.
+//! Endpoints that drain, die, hang or restart with an empty cache.
 
 mod support;
 
 use http::Method;
 use ids::DomainId;
 use serde_json::{Value, json};
-use support::{KEY, Plan, Site, bearer, call, fault, get, metric, signal, standin, until};
+use support::{KEY, Plan, Site, bearer, call, fault, get, metric, signal, standin, wait_until};
 use wire::headers;
 use wire::platform::{Vm, VmState};
 
-const OUT: &str = "apricotfork_endpoints{standing=\"out\"}";
+const OUT_OF_SERVICE: &str = "apricotfork_endpoints{standing=\"out\"}";
 
 fn body() -> Value {
     json!({"model": "advisory", "prompt": "wheat ".repeat(2000), "max_tokens": 2})
 }
 
-/// The number of the engine that answers the prompt: the next ones go there as well, for its cache.
-fn home(site: &Site) -> usize {
+/// Index of the engine that answers the prompt. Later requests with it go there too, because its cache has the prompt.
+fn preferred(site: &Site) -> usize {
     let answers = |engine: &usize| answered_by(site, *engine, 1) == 1;
     let found = (0..site.engines.len()).cycle().take(100).find(answers);
     found.expect("an engine that answers")
 }
 
-/// How many of the next requests the engine of this number answers.
+/// Number of the next requests that the engine with this index answers.
 fn answered_by(site: &Site, engine: usize, requests: usize) -> usize {
     let address = site.engines[engine].address;
     let mut count = 0;
@@ -35,30 +35,30 @@
     count
 }
 
-fn until_out(site: &Site) {
-    until("the endpoint gets no more work", || {
-        metric(&site.routers[0], OUT).as_deref() == Some("1")
+fn wait_until_out_of_service(site: &Site) {
+    wait_until("the endpoint gets no more requests", || {
+        metric(&site.routers[0], OUT_OF_SERVICE).as_deref() == Some("1")
     });
 }
 
-/// An engine's VM is to be replaced. Whoever says so first, the platform's list or the engine itself, no new request
-/// goes there any more: it would be cut when the VM goes.
+/// An engine's VM is to be replaced. As soon as the platform's list or the engine itself reports it, no new request may go
+/// there, because it would be aborted when the VM is removed.
 #[test]
-fn a_leaving_engine_gets_no_new_work() {
+fn a_draining_engine_gets_no_new_requests() {
     struct Case {
         name: &'static str,
-        /// Says of the engine of this number that it leaves.
-        tell: fn(&Site, usize),
+        /// Reports the engine with this index as draining.
+        report: fn(&Site, usize),
     }
     let cases = [
         Case {
             name: "the platform's list",
-            tell: |site, leaving| {
+            report: |site, draining| {
                 let vm = |index: usize| Vm {
                     id: format!("e{index}"),
                     address: site.engines[index].address.to_string(),
                     domain: DomainId::from("lahore"),
-                    state: if index == leaving {
+                    state: if index == draining {
                         VmState::Leaving
                     } else {
                         VmState::Live
@@ -81,43 +81,43 @@
             },
         },
         Case {
-            name: "the engine's own word",
-            tell: |site, leaving| {
-                let leave = wire::engine::Fault {
+            name: "the engine's load report",
+            report: |site, draining| {
+                let drain = wire::engine::Fault {
                     leaving: Some(true),
                     ..Default::default()
                 };
-                fault(site.engines[leaving].address, &leave);
+                fault(site.engines[draining].address, &drain);
             },
         },
     ];
     for case in &cases {
         let site = Site::start(&Plan::default());
-        let home = home(&site);
-        (case.tell)(&site, home);
-        until_out(&site);
-        assert_eq!(answered_by(&site, home, 10), 0, "{}", case.name);
+        let preferred = preferred(&site);
+        (case.report)(&site, preferred);
+        wait_until_out_of_service(&site);
+        assert_eq!(answered_by(&site, preferred, 10), 0, "{}", case.name);
     }
 }
 
-/// An engine dies without a word while the platform's list still names it. Requests that meet it are tried elsewhere,
-/// and after two failures none is sent there; callers notice nothing.
+/// An engine dies while the platform's list still contains it. Requests sent to it must be retried at another engine, and
+/// after two failures no request may go there. All requests must succeed.
 #[test]
-fn a_dead_engine_is_noticed_by_its_failures() {
+fn a_dead_engine_is_detected_by_failed_requests() {
     let mut site = Site::start(&Plan::default());
-    let home = home(&site);
-    drop(site.engines.remove(home));
+    let preferred = preferred(&site);
+    drop(site.engines.remove(preferred));
     for _ in 0..20 {
         let answer = site.complete("/v1/completions", &body());
         assert!(answer.status.is_success(), "{answer:?}");
     }
-    until_out(&site);
+    wait_until_out_of_service(&site);
 }
 
-/// An engine accepts requests and never answers. Without a second attempt beside a slow one, each request that meets it
-/// would wait there until its deadline, and callers would get nothing in time.
+/// An engine accepts requests and never answers. Without a hedged second attempt, each request sent to it would wait until
+/// its deadline and fail.
 #[test]
-fn a_hanging_engine_delays_and_fails_nobody() {
+fn no_request_fails_at_a_hanging_engine() {
     let site = Site::start(&Plan::default());
     fault(
         site.engines[0].address,
@@ -133,10 +133,10 @@
     }
 }
 
-/// An engine stops in the middle of a stream, with its connections open. Nothing breaks, so that without a bound on its
-/// silence the caller would wait until its deadline; the stream goes on at another engine, and is whole.
+/// An engine stops during a stream with its connections open. Without an idle timeout the client would wait until its
+/// deadline. The stream must be resumed at another engine and be complete.
 #[test]
-fn a_stream_leaves_an_engine_that_falls_silent() {
+fn a_stream_is_resumed_elsewhere_if_its_engine_stops() {
     let slow = || vec!["--decode-ms", "20"];
     let site = Site::start(&Plan {
         engines: vec![slow(), slow()],
@@ -144,20 +144,20 @@
     });
     let body = json!({"model": "advisory", "prompt": "p", "max_tokens": 100, "stream": true});
     let answer = std::thread::scope(|scope| {
-        let caller = scope.spawn(|| site.complete("/v1/completions", &body));
+        let client = scope.spawn(|| site.complete("/v1/completions", &body));
         let busy = |engine: &standins::process::Running| {
             let report = get(engine.address, "/v1/load").expect("a report");
             let load: wire::engine::Load = serde_json::from_slice(&report.body).expect("a report");
             load.running > 0
         };
-        until("an engine streams", || site.engines.iter().any(busy));
+        wait_until("an engine streams", || site.engines.iter().any(busy));
         let streaming = site
             .engines
             .iter()
             .find(|engine| busy(engine))
             .expect("the engine that streams");
         signal(streaming, "STOP");
-        let answer = caller.join().expect("an answer");
+        let answer = client.join().expect("a response");
         signal(streaming, "CONT");
         answer
     });
@@ -166,10 +166,10 @@
     assert_eq!(text.matches("id: ").count(), 101, "{text}");
 }
 
-/// An engine crashes and comes back empty under a new incarnation, at once or after it was taken for dead. The next prompt
-/// counts as uncached, and later ones are cached again. An engine that was forgotten for good would stand idle.
+/// An engine restarts with an empty cache and a new incarnation, at once or after it was marked out of service. The router
+/// must use it again. The next prompt is uncached, and later ones are cached again.
 #[test]
-fn an_engine_that_comes_back_is_empty_and_serves() {
+fn a_restarted_engine_serves_with_an_empty_cache() {
     let mut site = Site::start(&Plan {
         engines: vec![vec![]],
         ..Plan::default()
@@ -191,42 +191,44 @@
             ..Default::default()
         },
     );
-    until("it is back", || incarnation(&site) != before);
-    until("it gets work", || metric(&site.routers[0], OUT).as_deref() == Some("0"));
-    assert_eq!(cached(&site), 0, "the new life is empty");
-    assert!(cached(&site) > 0, "and fills again");
+    wait_until("the engine has restarted", || incarnation(&site) != before);
+    wait_until("the engine is in service", || {
+        metric(&site.routers[0], OUT_OF_SERVICE).as_deref() == Some("0")
+    });
+    assert_eq!(cached(&site), 0, "the cache is empty after the first restart");
+    assert!(cached(&site) > 0, "the cache fills again");
     restart_after_a_while(&mut site);
-    until("it gets work again", || {
-        metric(&site.routers[0], OUT).as_deref() == Some("0")
+    wait_until("the engine is in service again", || {
+        metric(&site.routers[0], OUT_OF_SERVICE).as_deref() == Some("0")
     });
-    assert_eq!(cached(&site), 0, "the third life is empty");
-    assert!(cached(&site) > 0, "and fills again");
+    assert_eq!(cached(&site), 0, "the cache is empty after the second restart");
+    assert!(cached(&site) > 0, "the cache fills again");
 }
 
-/// Ends the engine, waits until it is taken for dead, and starts it again at the same address.
+/// Ends the engine, waits until it is out of service, and starts it again at the same address.
 fn restart_after_a_while(site: &mut Site) {
     let address = site.engines[0].address.to_string();
     site.engines.clear();
-    until_out(site);
+    wait_until_out_of_service(site);
     let args = ["--id", "e0", "--model", "advisory", "--listen", address.as_str()];
     site.engines.push(standin("standin-engine", &args));
 }
 
-/// Bytes of a cache block, and a prompt of so many blocks.
-const BLOCK: usize = 4096;
+/// Size of a cache block.
+const BLOCK_BYTES: usize = 4096;
 
 fn prompt(blocks: usize) -> Value {
-    json!({"model": "advisory", "prompt": "w".repeat(blocks * BLOCK + 1), "max_tokens": 2})
+    json!({"model": "advisory", "prompt": "w".repeat(blocks * BLOCK_BYTES + 1), "max_tokens": 2})
 }
 
-/// Cached tokens of an answer, and the number of the engine that gave it. Only the first block counts as shared with other
-/// prompts: of the rest, a router believes what answers showed.
-fn cached_where(site: &Site, blocks: usize) -> (u64, usize) {
-    let level = BLOCK.to_string();
+/// Returns the cached tokens of a response and the index of the engine that sent it. The prefix level marks only the first
+/// block as shared with other prompts. For the rest, the router relies on the cached tokens of earlier responses.
+fn cached_at(site: &Site, blocks: usize) -> (u64, usize) {
+    let level = BLOCK_BYTES.to_string();
     let headers = [("authorization", bearer(KEY)), (headers::PREFIX_LEVELS, level)];
     let body = prompt(blocks).to_string();
     let router = site.routers[0].address;
-    let answer = call(router, Method::Post, "/v1/completions", &headers, body.as_bytes()).expect("an answer");
+    let answer = call(router, Method::Post, "/v1/completions", &headers, body.as_bytes()).expect("a response");
     assert!(answer.status.is_success(), "{answer:?}");
     let tokens = &answer.json()["usage"]["prompt_tokens_details"]["cached_tokens"];
     let sent = |engine: &usize| {
@@ -240,44 +242,48 @@
     (tokens.as_u64().expect("a count"), engine)
 }
 
-/// Makes the router know by the engine's own word that it leaves, or that it stays.
-fn leave(site: &Site, engine: usize, leaving: bool) {
-    let word = wire::engine::Fault {
-        leaving: Some(leaving),
+/// Sets whether the engine reports that it is draining, and waits until the router has applied it.
+fn set_draining(site: &Site, engine: usize, draining: bool) {
+    let report = wire::engine::Fault {
+        leaving: Some(draining),
         ..Default::default()
     };
-    fault(site.engines[engine].address, &word);
-    let wanted = if leaving { "1" } else { "0" };
-    until("the router knows it", || {
-        metric(&site.routers[0], OUT).as_deref() == Some(wanted)
+    fault(site.engines[engine].address, &report);
+    let expected = if draining { "1" } else { "0" };
+    wait_until("the router has applied the report", || {
+        metric(&site.routers[0], OUT_OF_SERVICE).as_deref() == Some(expected)
     });
 }
 
-/// One engine holds a prompt, another one most of it. The first crashes and comes back empty. Were its cache believed
-/// in still, the prompt would go there and be computed from its beginning; the caller would wait for all of it.
+/// One engine has a prompt in its cache and another one most of it. The first restarts with an empty cache. If the router
+/// still relied on the old cache, the prompt would go there and be computed in full.
 #[test]
-fn nothing_is_believed_of_a_former_life() {
+fn cache_entries_of_a_former_incarnation_are_not_used() {
     let site = Site::start(&Plan::default());
-    let (_, first) = cached_where(&site, 8);
+    let (_, first) = cached_at(&site, 8);
     let other = 1 - first;
-    leave(&site, first, true);
-    assert_eq!(cached_where(&site, 7).1, other);
-    leave(&site, first, false);
+    set_draining(&site, first, true);
+    assert_eq!(cached_at(&site, 7).1, other);
+    set_draining(&site, first, false);
     assert_eq!(
-        cached_where(&site, 8),
+        cached_at(&site, 8),
         (8 * 1024, first),
-        "the longest part is looked for"
+        "the engine with the longest cached prefix is chosen"
     );
     let crash = wire::engine::Fault {
         crash: Some(true),
         ..Default::default()
     };
     fault(site.engines[first].address, &crash);
-    // The new life says that it leaves, and then that it stays: the router has heard of it.
-    leave(&site, first, true);
-    assert_eq!(cached_where(&site, 7), (7 * 1024, other));
-    leave(&site, first, false);
-    assert_eq!(cached_where(&site, 8), (7 * 1024, other), "the other holds most of it");
+    // A report of the new incarnation as draining, and then as not draining, ensures that the router has seen it.
+    set_draining(&site, first, true);
+    assert_eq!(cached_at(&site, 7), (7 * 1024, other));
+    set_draining(&site, first, false);
+    assert_eq!(
+        cached_at(&site, 8),
+        (7 * 1024, other),
+        "the other engine has most of the prompt"
+    );
 }
 
 fn incarnation(site: &Site) -> u64 {
--- a/crates/apricotfork/tests/path.rs
+++ b/crates/apricotfork/tests/path.rs
@@ -1,4 +1,4 @@
-//! One request served end to end by separate processes.
+//! Requests served end to end by separate processes.
 
 mod support;
 
@@ -12,7 +12,7 @@
     body: Value,
 }
 
-/// The caller's answer is, byte by byte, what the engine says it sent.
+/// Checks that the client receives exactly the bytes that the engine reports to have sent.
 fn check(site: &Site, case: &Case) {
     let answer = site.complete(case.path, &case.body);
     assert_eq!(answer.status, StatusCode::Ok, "{}: {answer:?}", case.name);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn each_kind_of_request_is_answered_as_it_was_sent() {
+fn responses_are_forwarded_unchanged() {
     let site = Site::start(&Plan::default());
     let cases = [
         Case {
@@ -36,7 +36,7 @@
             body: json!({"model": "advisory", "prompt": "silo 7 is at 31 degrees", "max_tokens": 20, "stream": true}),
         },
         Case {
-            name: "whole completion",
+            name: "completion without streaming",
             path: "/v1/completions",
             body: json!({"model": "advisory", "prompt": "silo 7 is at 31 degrees", "max_tokens": 20}),
         },
@@ -55,8 +55,8 @@
     for case in &cases {
         check(&site, case);
     }
-    let answer = site.silo(0, "/fans/12", &[], "{\"run\": true}").expect("an answer");
-    let done: wire::service::Done = serde_json::from_slice(&answer.body).expect("the service's answer");
+    let answer = site.silo(0, "/fans/12", &[], "{\"run\": true}").expect("a response");
+    let done: wire::service::Done = serde_json::from_slice(&answer.body).expect("the service's response");
     assert_eq!(
         (done.path.as_str(), done.echo.as_str(), done.execution),
         ("/fans/12", "{\"run\": true}", 1)
--- a/crates/apricotfork/tests/rollout.rs
+++ b/crates/apricotfork/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! New weights reach the engines by orders, and callers notice nothing.
+//! Rollout of new weights to engines without failed requests.
 
 mod support;
 
@@ -7,46 +7,45 @@
 use serde_json::json;
 use standins::process::Running;
 use std::collections::BTreeMap;
-use support::{OPERATOR_KEY, Plan, Site, get, metric, until};
+use support::{OPERATOR_KEY, Plan, Site, get, metric, wait_until};
 use wire::platform::Put;
 
-/// Operators want other weights. The engines are ordered to load them, at most two at once and never the last that
-/// serves. Without the order holder nothing would load; without the care for the last runner no engine would serve
-/// while two of two load.
+/// Changes the target weights. The lease holder orders at most two engines at a time to load them, and never the last
+/// serving engine: with two engines, both would otherwise load at once and none would serve.
 fn check(engines: usize) {
     let slow_load = vec!["--load-ms", "300", "--report-lag-ms", "0", "--fenced"];
     let site = Site::start(&Plan {
         engines: vec![slow_load; engines],
         ..Plan::default()
     });
-    want(&site, "w2");
+    set_target(&site, "w2");
     let body = json!({"model": "advisory", "prompt": "p", "max_tokens": 2});
-    until("all engines serve w2", || {
+    wait_until("all engines serve w2", || {
         let answer = site.complete("/v1/completions", &body);
         assert!(answer.status.is_success(), "{answer:?}");
-        let served: Vec<Option<String>> = site.engines.iter().map(serves).collect();
-        // Each engine loads once: one that loads before and after the others were asked has loaded all the while.
-        let none = served.iter().all(Option::is_none) && serves(&site.engines[0]).is_none();
+        let served: Vec<Option<String>> = site.engines.iter().map(served_weights).collect();
+        // Each engine loads only once, so engine 0 was loading throughout if it was loading before and after the others were
+        // queried.
+        let none = served.iter().all(Option::is_none) && served_weights(&site.engines[0]).is_none();
         assert!(!none, "no engine serves");
         served.iter().all(|weights| weights.as_deref() == Some("w2"))
     });
 }
 
 #[test]
-fn wanted_weights_are_loaded_while_callers_are_served() {
+fn target_weights_are_loaded_while_requests_are_served() {
     check(3);
 }
 
 #[test]
-fn the_last_runner_goes_on_serving() {
+fn the_last_serving_engine_is_not_ordered_to_load() {
     check(2);
 }
 
-/// The router that gives orders dies. Its lease lapses, and the key it held is gone but for its version. A successor that
-/// takes that for a key that never was cannot write it, and nobody would give orders any more: new weights would never
-/// be loaded.
+/// The lease holder dies, its order lease expires and its key is deleted. The platform still keeps the version of the
+/// key. A successor that expected the version of a new key could not write it, and new weights would never be loaded.
 #[test]
-fn another_router_gives_the_orders_after_the_holder_died() {
+fn another_router_takes_the_order_lease_after_the_holder_died() {
     let mut site = Site::start(&Plan {
         routers: 2,
         engines: vec![vec![]; 3],
@@ -57,32 +56,32 @@
         let fence = metric(&site.routers[index], "apricotfork_order_fence");
         fence.is_some_and(|fence| fence != "0")
     };
-    until("one router holds the lease", || holds(0) || holds(1));
+    wait_until("one router holds the lease", || holds(0) || holds(1));
     let holder = usize::from(holds(1));
     drop(site.routers.remove(holder));
-    want(&site, "w2");
-    until("a successor holds the lease", || {
+    set_target(&site, "w2");
+    wait_until("a successor holds the lease", || {
         let fence = metric(&site.routers[0], "apricotfork_order_fence");
         fence.is_some_and(|fence| fence != "0")
     });
-    until("all engines serve w2", || all_serve(&site, "w2"));
+    wait_until("all engines serve w2", || all_serve(&site, "w2"));
 }
 
 fn all_serve(site: &Site, weights: &str) -> bool {
     site.engines
         .iter()
-        .all(|engine| serves(engine).as_deref() == Some(weights))
+        .all(|engine| served_weights(engine).as_deref() == Some(weights))
 }
 
-/// The weights that an engine serves, none while it loads.
-fn serves(engine: &Running) -> Option<String> {
+/// The weights that an engine serves. `None` while it loads.
+fn served_weights(engine: &Running) -> Option<String> {
     let report = get(engine.address, "/v1/load").expect("a report");
     let load: wire::engine::Load = serde_json::from_slice(&report.body).expect("a report");
     load.weights.map(|weights| weights.to_string())
 }
 
-/// Changes the section of models as the operators' command does.
-fn want(site: &Site, weights: &str) {
+/// Changes the target weights in the section `models`, with the same writes as `apricotfork config set`.
+fn set_target(site: &Site, weights: &str) {
     let platform = site.platform_client();
     async_std::task::block_on(async {
         let entry = platform.get(HEAD_KEY).await.expect("the platform").expect("a head");
--- a/crates/apricotfork/tests/shutdown.rs
+++ b/crates/apricotfork/tests/shutdown.rs
@@ -1,18 +1,19 @@
-//! The end of a router's process: nothing in flight is cut, nothing new is taken, and the next life serves at once.
+//! Shutdown and restart of a router: requests in flight complete, new ones are refused, and a restarted router serves
+//! at once.
 
 mod support;
 
 use async_std::task;
 use http::{Client, Method, Pieces, Request, StatusCode, Url};
 use serde_json::json;
-use support::{KEY, PATIENCE, Plan, Site, bearer, get, operators, signal, until};
+use support::{KEY, Plan, Site, TIMEOUT, bearer, get, operators, signal, wait_until};
 
-/// An engine whose answers take long enough to be in flight when the signal comes.
-const SLOW: &[&str] = &["--decode-ms", "40"];
+/// Arguments of an engine whose responses are still in flight when the signal arrives.
+const SLOW_ENGINE: &[&str] = &["--decode-ms", "40"];
 const TOKENS: u64 = 50;
 
-/// Begins a stream and reads its first piece.
-async fn stream(site: &Site) -> Pieces {
+/// Starts a stream and reads its first piece.
+async fn start_stream(site: &Site) -> Pieces {
     let to = site.routers[0].address;
     let mut request = Request::new(
         Method::Post,
@@ -21,7 +22,7 @@
     request.insert_header("authorization", bearer(KEY));
     let body = json!({"model": "advisory", "prompt": "p", "max_tokens": TOKENS, "stream": true}).to_string();
     let reply = Client::new()
-        .send_once(to, request, body.as_bytes(), PATIENCE, || true)
+        .send_once(to, request, body.as_bytes(), TIMEOUT, || true)
         .await
         .expect("a head");
     assert_eq!(reply.status(), StatusCode::Ok);
@@ -30,8 +31,8 @@
     pieces
 }
 
-/// Reads to the end; the data of the last event, and how many there were.
-async fn rest(mut pieces: Pieces) -> (String, u64) {
+/// Reads to the end. Returns the data of the last event and the number of events.
+async fn read_rest(mut pieces: Pieces) -> (String, u64) {
     let (mut last, mut count) = (String::new(), 1);
     while let Ok(Some(piece)) = pieces.next().await {
         last = piece.data;
@@ -40,26 +41,26 @@
     (last, count)
 }
 
-/// Tells the router to stop, and waits until the balancer could see it.
+/// Sends SIGTERM to the router and waits until `/readyz` reports that it is not ready.
 fn stop_and_wait_unready(site: &Site) {
     signal(&site.routers[0], "TERM");
-    until("it is not ready", || {
+    wait_until("the router is not ready", || {
         get(operators(&site.routers[0]), "/readyz").is_ok_and(|answer| !answer.status.is_success())
     });
 }
 
-/// A router is replaced while an advisory streams. If the process simply ended, the depot keeper would see half an
-/// answer. The stream ends whole, `/readyz` tells the balancer at once, and the process exits with 0.
+/// A router is stopped during a stream. If the process ended at once, the client would get half an answer. The stream
+/// must complete, `/readyz` must fail at once for the load balancer, and the process must exit with 0.
 #[test]
-fn a_stream_in_flight_ends_whole() {
+fn a_stream_in_flight_completes_during_shutdown() {
     let mut site = Site::start(&Plan {
-        engines: vec![SLOW.to_vec()],
+        engines: vec![SLOW_ENGINE.to_vec()],
         ..Plan::default()
     });
     task::block_on(async {
-        let pieces = stream(&site).await;
+        let pieces = start_stream(&site).await;
         stop_and_wait_unready(&site);
-        let (last, count) = rest(pieces).await;
+        let (last, count) = read_rest(pieces).await;
         assert_eq!(last, "[DONE]");
         assert!(count > TOKENS, "{count} events");
     });
@@ -67,77 +68,76 @@
     assert_eq!(code.expect("an end").code(), Some(0));
 }
 
-/// An operator cannot wait and signals twice. The process ends at once, and its exit code says that requests were cut,
-/// so that it is not taken for a clean end.
+/// A second signal ends the process at once. Its exit code must show that requests were aborted, so that it is not
+/// mistaken for a graceful shutdown.
 #[test]
-fn a_second_signal_says_what_was_cut() {
+fn a_second_signal_exits_with_the_code_for_aborted_requests() {
     let mut site = Site::start(&Plan {
-        engines: vec![SLOW.to_vec()],
+        engines: vec![SLOW_ENGINE.to_vec()],
         ..Plan::default()
     });
     task::block_on(async {
-        let pieces = stream(&site).await;
+        let pieces = start_stream(&site).await;
         stop_and_wait_unready(&site);
         signal(&site.routers[0], "TERM");
-        let (last, _) = rest(pieces).await;
-        assert_ne!(last, "[DONE]", "a cut stream must not look complete");
+        let (last, _) = read_rest(pieces).await;
+        assert_ne!(last, "[DONE]", "an aborted stream must not look complete");
     });
     let code = site.routers.pop().expect("a router").wait();
     assert_eq!(code.expect("an end").code(), Some(3));
 }
 
-/// A balancer that is slow to notice goes on sending to a router that drains. A request on a connection that is still
-/// open is refused as not run, with a time to come back, instead of being cut half-way.
+/// A load balancer that reacts late still sends to a draining router. A request on an open connection must be refused as
+/// `not_run` with `retry-after`, not aborted half-way.
 #[test]
-fn a_draining_router_refuses_truthfully() {
+fn a_draining_router_refuses_requests_as_not_run() {
     let site = Site::start(&Plan {
-        engines: vec![SLOW.to_vec()],
+        engines: vec![SLOW_ENGINE.to_vec()],
         ..Plan::default()
     });
     let to = site.routers[0].address;
     let client = Client::new();
-    let ask = |body: serde_json::Value| {
+    let send = |body: serde_json::Value| {
         let mut request = Request::new(
             Method::Post,
             Url::parse(&format!("http://{to}/v1/completions")).expect("a URL"),
         );
         request.insert_header("authorization", bearer(KEY));
         let client = client.clone();
-        async move { client.send(to, request, body.to_string().as_bytes(), PATIENCE).await }
+        async move { client.send(to, request, body.to_string().as_bytes(), TIMEOUT).await }
     };
     task::block_on(async {
         let short = json!({"model": "advisory", "prompt": "p", "max_tokens": 1});
-        let first = ask(short.clone()).await.expect("an answer");
+        let first = send(short.clone()).await.expect("a response");
         first.whole(1 << 20).await.expect("a body");
-        let pieces = stream(&site).await;
+        let pieces = start_stream(&site).await;
         signal(&site.routers[0], "TERM");
-        // The connection of the first request stays open in the pool; new ones are refused once the router drains.
-        until("it drains", || {
-            std::net::TcpStream::connect(to).is_err() || refuses(&site)
+        // The connection of the first request stays open in the pool. New connections are refused during draining.
+        wait_until("the router drains", || {
+            std::net::TcpStream::connect(to).is_err() || is_draining(&site)
         });
-        let refused = ask(short).await.expect("an answer on the open connection");
+        let refused = send(short).await.expect("a response on the open connection");
         assert_eq!(refused.status(), StatusCode::ServiceUnavailable);
         assert_eq!(refused.header("apricotfork-ran"), Some("not_run"));
         assert!(refused.header("retry-after").is_some());
-        assert_eq!(rest(pieces).await.0, "[DONE]");
+        assert_eq!(read_rest(pieces).await.0, "[DONE]");
     });
 }
 
-/// Whether the router has begun to drain, as its status tells.
-fn refuses(site: &Site) -> bool {
+/// Whether the status reports that the router is draining.
+fn is_draining(site: &Site) -> bool {
     let answer = get(operators(&site.routers[0]), "/status").expect("a status");
     answer.json()["draining"] == json!(true)
 }
 
-/// A router's process is killed and started again. It keeps nothing, and needs no warm-up: the first request that
-/// reaches it is served.
+/// A killed and restarted router has no state from before. It must serve its first request without a warm-up.
 #[test]
 fn a_restarted_router_serves_its_first_request() {
     let mut site = Site::start(&Plan::default());
     drop(site.routers.pop());
     let router = site.start_router(0);
     site.routers.push(router);
-    site.until_ready(0);
+    site.wait_until_ready(0);
     let answer = site.complete(
         "/v1/completions",
         &json!({"model": "advisory", "prompt": "p", "max_tokens": 2}),
--- a/crates/apricotfork/tests/single_run.rs
+++ b/crates/apricotfork/tests/single_run.rs
@@ -1,21 +1,23 @@
-//! Calls that may run once, with real processes: the runners count what they execute.
+//! Calls that must not run twice, with real processes. The runners count executions.
 
 mod support;
 
 use std::thread;
 use std::time::Duration;
-use support::single_run::{BODY, FANS, check, executions, fan, fan_at, in_service, retry, runners, site, told};
-use support::{Answer, Plan, Site, fault, signal, until};
+use support::single_run::{
+    BODY, FANS, check_key, executions, fan, fan_at, inject_into_runners, outcome, retry, site, wait_until_in_service,
+};
+use support::{Plan, Response, Site, fault, signal, wait_until};
 use wire::platform::Fault as PlatformFault;
 use wire::service::{CutAt, Fault};
 
-/// Where the runner's connection is cut, and how often the call has run then.
+/// Where the runner's connection is closed, and how often the call has run by then.
 struct Cut(CutAt, u64);
 
-// A runner's connection breaks at some byte of the exchange. The caller must never read "not run" of a fan that may
-// be running, nor half an answer; and no retry, here or at another router, may start the fan again.
+// A runner's connection breaks in each part of the exchange. The client must not receive `not_run` for a command that may
+// be running, or an incomplete response. No retry, at this router or another, may run the command again.
 #[test]
-fn a_connection_cut_at_each_byte_class_runs_nothing_twice() {
+fn no_command_runs_twice_after_a_broken_connection() {
     let site = site(2);
     let cuts = [
         Cut(CutAt::BeforeWork, 0),
@@ -32,58 +34,59 @@
             ..Fault::default()
         };
         let [first, unkeyed] = [Some(key.as_str()), None].map(|key| {
-            in_service(&site);
-            runners(&site, &cut);
+            wait_until_in_service(&site);
+            inject_into_runners(&site, &cut);
             let answer = match key {
                 Some(key) => fan(&site, 0, key, "first"),
                 None => site.silo(0, FANS, &[], BODY).ok(),
             };
-            runners(
+            inject_into_runners(
                 &site,
                 &Fault {
                     cut: Some(0),
                     ..Fault::default()
                 },
             );
-            assert_eq!(told(&answer), "endpoint_failed unknown", "{at:?} {key:?}");
+            assert_eq!(outcome(&answer), "endpoint_failed unknown", "{at:?} {key:?}");
             answer.expect("a refusal")
         });
         let later = retry(&site, 1, &key);
-        assert_eq!(told(&later), "endpoint_failed unknown", "{key} again");
-        check(&site, &key, &[Some(first), later]);
+        assert_eq!(outcome(&later), "endpoint_failed unknown", "{key} again");
+        check_key(&site, &key, &[Some(first), later]);
         let by_request = site.executions().by_request.get(&unkeyed.request).copied();
         assert_eq!((executions(&site, &key), by_request.unwrap_or(0)), (ran, ran), "{at:?}");
     }
 }
 
-// A runner that is about to leave refuses and says that it has not run the call. The fan has to be switched by the
-// other runner, still only once; a caller that read "unknown" would have to send somebody to look.
+// A draining runner refuses a call and reports that it has not run it. The router must send the call to the other runner,
+// where it runs once. With an `unknown` instead, the client could not retry safely.
 #[test]
-fn a_runner_that_refuses_has_not_run_the_call() {
-    // Which runner is asked first is the router's choice.
-    for leaving in 0..2 {
+fn a_call_refused_by_a_draining_runner_runs_at_the_other() {
+    // The router chooses which runner gets the call first.
+    for draining in 0..2 {
         let site = site(2);
-        let leave = Fault {
+        let drain = Fault {
             leaving: Some(true),
             ..Fault::default()
         };
-        fault(site.services[leaving].address, &leave);
+        fault(site.services[draining].address, &drain);
         for router in 0..2 {
-            let key = format!("leaving-{router}");
+            let key = format!("draining-{router}");
             let answers = [fan(&site, router, &key, "first"), fan(&site, 1 - router, &key, "")];
-            assert!(answers.iter().all(|answer| told(answer) == "ok"), "{answers:?}");
-            check(&site, &key, &answers);
+            assert!(answers.iter().all(|answer| outcome(answer) == "ok"), "{answers:?}");
+            check_key(&site, &key, &answers);
             let unkeyed = site.silo(router, FANS, &[], BODY).ok();
-            assert_eq!(told(&unkeyed), "ok", "without a key");
+            assert_eq!(outcome(&unkeyed), "ok", "without a key");
         }
     }
 }
 
-// An answer bears the id of another request. Passed on, it would tell one depot about another depot's fan.
+// A runner's response has the id of another request. If it were forwarded, a client would receive another client's
+// response.
 #[test]
-fn a_crossed_answer_is_never_passed_on() {
+fn a_response_to_another_request_is_never_forwarded() {
     let site = site(2);
-    runners(
+    inject_into_runners(
         &site,
         &Fault {
             cross_answers: Some(1),
@@ -91,16 +94,16 @@
         },
     );
     let first = fan(&site, 0, "crossed", "first");
-    assert_eq!(told(&first), "endpoint_failed unknown");
-    check(&site, "crossed", &[first, retry(&site, 1, "crossed")]);
+    assert_eq!(outcome(&first), "endpoint_failed unknown");
+    check_key(&site, "crossed", &[first, retry(&site, 1, "crossed")]);
 }
 
-// A caller that got no answer in time asks three routers at once. The fan must run once, and each of them gives the
-// same whole answer in the end.
+// A client retries at three routers at once after a timeout. The command must run once, and each router must eventually
+// return the same complete response.
 #[test]
 fn one_key_at_three_routers_at_once_runs_once() {
     let site = site(3);
-    runners(
+    inject_into_runners(
         &site,
         &Fault {
             work_ms: Some(100),
@@ -109,7 +112,7 @@
     );
     for round in 0..10 {
         let key = format!("thrice-{round}");
-        let mut answers: Vec<Option<Answer>> = thread::scope(|scope| {
+        let mut answers: Vec<Option<Response>> = thread::scope(|scope| {
             let calls = [0, 1, 2].map(|router| {
                 scope.spawn({
                     let (site, key) = (&site, &key);
@@ -121,60 +124,62 @@
         assert!(
             answers
                 .iter()
-                .map(told)
-                .all(|told| told == "ok" || told == "in_progress unknown")
+                .map(outcome)
+                .all(|outcome| outcome == "ok" || outcome == "in_progress unknown")
         );
         answers.extend([0, 1, 2].map(|router| retry(&site, router, &key)));
-        assert!(answers[3..].iter().all(|answer| told(answer) == "ok"));
-        check(&site, &key, &answers);
+        assert!(answers[3..].iter().all(|answer| outcome(answer) == "ok"));
+        check_key(&site, &key, &answers);
     }
 }
 
-/// A state of the platform, and what a keyed, a first keyed, an unkeyed and an idempotent call are told meanwhile.
-struct Trouble(PlatformFault, [&'static str; 4]);
+/// A platform fault, and the expected outcomes of a call with a key, a first attempt with a key, a call without a key and
+/// an idempotent call.
+struct FaultCase(PlatformFault, [&'static str; 4]);
 
-// The platform is out, slow, or its answers are lost after the write has taken effect. Whoever is refused must be told
-// the truth, what needs no claim goes on, and a retry after the trouble must neither repeat nor forget a fan command.
+// The platform is unreachable or slow, or its responses are lost after the write took effect. Refusals must state
+// truthfully whether the call ran, calls without a claim must succeed, and a retry after the fault must run a command that
+// has not run, and must not run one twice.
 #[test]
-fn calls_while_the_platform_is_in_trouble() {
+fn calls_are_answered_truthfully_during_platform_faults() {
     let site = site(2);
-    let quiet = PlatformFault {
+    let cleared = PlatformFault {
         down: Some(false),
         delay_ms: Some(0),
         lose_answers: Some(0),
         ..PlatformFault::default()
     };
-    let out = ["claim_unavailable unknown", "claim_unavailable not_run", "ok", "ok"];
-    let troubles = [
-        Trouble(
+    let unreachable = ["claim_unavailable unknown", "claim_unavailable not_run", "ok", "ok"];
+    let cases = [
+        FaultCase(
             PlatformFault {
                 down: Some(true),
                 ..PlatformFault::default()
             },
-            out,
+            unreachable,
         ),
-        Trouble(
+        FaultCase(
             PlatformFault {
                 delay_ms: Some(1_000),
                 ..PlatformFault::default()
             },
-            out,
+            unreachable,
         ),
-        Trouble(
+        FaultCase(
             PlatformFault {
                 delay_ms: Some(50),
                 ..PlatformFault::default()
             },
             ["ok"; 4],
         ),
-        Trouble(
+        FaultCase(
             PlatformFault {
                 lose_answers: Some(1),
                 ..PlatformFault::default()
             },
             ["ok"; 4],
         ),
-        Trouble(
+        FaultCase(
             PlatformFault {
                 lose_answers: Some(2),
                 ..PlatformFault::default()
@@ -182,30 +187,29 @@
             ["ok"; 4],
         ),
     ];
-    for (number, Trouble(trouble, expected)) in troubles.iter().enumerate() {
+    for (number, FaultCase(injected, expected)) in cases.iter().enumerate() {
         let keys = [format!("later-{number}"), format!("first-{number}")];
-        fault(site.platform.address, trouble);
+        fault(site.platform.address, injected);
         let keyed = [fan(&site, 0, &keys[0], ""), fan(&site, 0, &keys[1], "first")];
         let others = [FANS, "/probes/1"].map(|path| site.silo(0, path, &[], BODY).ok());
-        fault(site.platform.address, &quiet);
-        let all: Vec<String> = keyed.iter().chain(&others).map(told).collect();
-        assert_eq!(all, expected, "{trouble:?}");
+        fault(site.platform.address, &cleared);
+        let all: Vec<String> = keyed.iter().chain(&others).map(outcome).collect();
+        assert_eq!(all, expected, "{injected:?}");
         for (key, first) in keys.iter().zip(keyed) {
             let later = retry(&site, 1, key);
             assert_eq!(
-                told(&later),
+                outcome(&later),
                 "ok",
-                "{trouble:?}: {key} can be used once the platform is back"
+                "{injected:?}: {key} can be used once the platform is back"
             );
-            check(&site, key, &[first, later]);
+            check_key(&site, key, &[first, later]);
         }
     }
 }
 
-// A router has just started, and the platform's first answer to it that concerns a claim is lost. The caller must not be
-// refused for that.
+// The platform's first responses to a new router's claim are lost. The router must retry instead of refusing the call.
 #[test]
-fn the_first_claim_of_a_router_survives_a_lost_answer() {
+fn the_first_claim_of_a_router_is_retried_after_lost_responses() {
     let plan = Plan {
         engines: vec![vec![]],
         ..Plan::default()
@@ -217,57 +221,61 @@
     };
     fault(site.platform.address, &lose);
     let first = fan(&site, 0, "fresh", "first");
-    assert_eq!(told(&first), "ok");
-    check(&site, "fresh", &[first]);
+    assert_eq!(outcome(&first), "ok");
+    check_key(&site, "fresh", &[first]);
 }
 
-/// What is done to the router that has the call.
+/// How the router with the call is interrupted.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Blow {
-    /// `kill -9`; another life starts.
+enum Interruption {
+    /// Killed with SIGKILL and started again.
     Kill,
-    /// Stopped for a moment.
+    /// Stopped for 300 ms.
     Pause,
-    /// Stopped for longer than a claim may wait for its send.
+    /// Stopped for longer than the maximum time between a claim and its send.
     LongPause,
 }
 
-/// How far the call has come when it happens.
+/// Progress of the call at the interruption.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Stage {
-    /// The claim's write is on its way.
+    /// The claim is being written.
     Claiming,
-    /// The runner is stopped: bytes have left, and nothing has run.
+    /// The call was sent to a stopped runner and has not run.
     Sent,
-    /// The runner has begun.
+    /// The runner executes the call.
     Running,
-    /// The caller has its answer.
+    /// The client has its response.
     Answered,
 }
 
-/// Stage, blow, what the caller is told and what a retry elsewhere is told; empty where it depends on the instant.
-struct Case(Stage, Blow, &'static str, &'static str);
+/// Stage, interruption, expected outcome and expected outcome of a retry at another router. Empty if it depends on timing.
+struct Case(Stage, Interruption, &'static str, &'static str);
 
-fn strike(site: &mut Site, blow: Blow) {
-    if blow == Blow::Kill {
+fn interrupt(site: &mut Site, interruption: Interruption) {
+    if interruption == Interruption::Kill {
         signal(&site.routers[0], "KILL");
         site.routers[0] = site.start_router(0);
-        return site.until_ready(0);
+        return site.wait_until_ready(0);
     }
     signal(&site.routers[0], "STOP");
-    thread::sleep(Duration::from_millis(if blow == Blow::Pause { 300 } else { 6_000 }));
+    thread::sleep(Duration::from_millis(if interruption == Interruption::Pause {
+        300
+    } else {
+        6_000
+    }));
     signal(&site.routers[0], "CONT");
 }
 
-fn reach(site: &Site, stage: Stage, key: &str) {
+fn wait_for_stage(site: &Site, stage: Stage, key: &str) {
     match stage {
         Stage::Claiming | Stage::Sent => thread::sleep(Duration::from_millis(150)),
-        Stage::Running => until("the fan is running", || executions(site, key) == 1),
+        Stage::Running => wait_until("the command is running", || executions(site, key) == 1),
         Stage::Answered => {}
     }
 }
 
-fn prepare(site: &Site, stage: Stage) {
+fn set_up_stage(site: &Site, stage: Stage) {
     let delay = if stage == Stage::Claiming { 350 } else { 0 };
     fault(
         site.platform.address,
@@ -277,7 +285,7 @@
         },
     );
     let work = if stage == Stage::Running { 1_500 } else { 0 };
-    runners(
+    inject_into_runners(
         site,
         &Fault {
             work_ms: Some(work),
@@ -289,49 +297,52 @@
     }
 }
 
-fn suffer(site: &mut Site, case: &Case) {
-    let Case(stage, blow, first, later) = *case;
-    let key = format!("{stage:?}-{blow:?}");
-    in_service(site);
-    prepare(site, stage);
+fn check_interruption(site: &mut Site, case: &Case) {
+    let Case(stage, interruption, first, later) = *case;
+    let key = format!("{stage:?}-{interruption:?}");
+    wait_until_in_service(site);
+    set_up_stage(site, stage);
     let (to, name) = (site.routers[0].address, key.clone());
     let call = thread::spawn(move || fan_at(to, &name, "first"));
     let mut answers = Vec::new();
     if stage == Stage::Answered {
-        until("the answer is there", || call.is_finished());
+        wait_until("the client has its response", || call.is_finished());
     }
-    reach(site, stage, &key);
-    strike(site, blow);
+    wait_for_stage(site, stage, &key);
+    interrupt(site, interruption);
     site.services.iter().for_each(|runner| signal(runner, "CONT"));
-    prepare(site, Stage::Answered);
+    set_up_stage(site, Stage::Answered);
     answers.push(call.join().expect("no panic"));
-    assert!(first.is_empty() || told(&answers[0]) == first, "{key}: {answers:?}");
-    let again = if blow == Blow::Kill {
+    assert!(first.is_empty() || outcome(&answers[0]) == first, "{key}: {answers:?}");
+    let again = if interruption == Interruption::Kill {
         fan(site, 1, &key, "")
     } else {
         retry(site, 1, &key)
     };
-    assert!(later.is_empty() || told(&again) == later, "{key}, retried: {again:?}");
+    assert!(
+        later.is_empty() || outcome(&again) == later,
+        "{key}, retried: {again:?}"
+    );
     answers.push(again);
-    check(site, &key, &answers);
+    check_key(site, &key, &answers);
 }
 
-// A router dies or stops while it has a fan command, and wakes up believing that the command is still its own. The
-// caller asks another router. The fan must not be switched twice, and nobody may be told "not run" falsely.
+// A router dies or stops during a command, and a stopped one continues with a claim that may no longer be valid. The client
+// retries at another router. The command must not run twice, and no client may receive a false `not_run`.
 #[test]
-fn a_router_killed_or_stopped_at_each_stage() {
+fn no_command_runs_twice_if_a_router_is_killed_or_stopped() {
     let mut site = site(2);
     let running = "in_progress unknown";
     let cases = [
-        Case(Stage::Claiming, Blow::Kill, "nothing", running),
-        Case(Stage::Sent, Blow::Kill, "nothing", running),
-        Case(Stage::Running, Blow::Kill, "nothing", running),
-        Case(Stage::Answered, Blow::Kill, "ok", "ok"),
-        Case(Stage::Claiming, Blow::Pause, "ok", "ok"),
-        Case(Stage::Sent, Blow::Pause, "", ""),
-        Case(Stage::Running, Blow::Pause, "ok", "ok"),
-        Case(Stage::Claiming, Blow::LongPause, "", "ok"),
-        Case(Stage::Running, Blow::LongPause, "", ""),
+        Case(Stage::Claiming, Interruption::Kill, "nothing", running),
+        Case(Stage::Sent, Interruption::Kill, "nothing", running),
+        Case(Stage::Running, Interruption::Kill, "nothing", running),
+        Case(Stage::Answered, Interruption::Kill, "ok", "ok"),
+        Case(Stage::Claiming, Interruption::Pause, "ok", "ok"),
+        Case(Stage::Sent, Interruption::Pause, "", ""),
+        Case(Stage::Running, Interruption::Pause, "ok", "ok"),
+        Case(Stage::Claiming, Interruption::LongPause, "", "ok"),
+        Case(Stage::Running, Interruption::LongPause, "", ""),
     ];
-    cases.iter().for_each(|case| suffer(&mut site, case));
+    cases.iter().for_each(|case| check_interruption(&mut site, case));
 }
--- a/crates/apricotfork/tests/single_run_storm.rs
+++ b/crates/apricotfork/tests/single_run_storm.rs
@@ -1,4 +1,4 @@
-//! Many keys under random faults, with real processes; the runners count what they execute.
+//! Many idempotency keys under random faults, with real processes. The runners count executions.
 
 mod support;
 
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::thread;
 use std::time::Duration;
-use support::single_run::{check, fan, fan_at, in_service, runners, site, told};
-use support::{Answer, Site, fault, signal};
+use support::single_run::{check_key, fan, fan_at, inject_into_runners, outcome, site, wait_until_in_service};
+use support::{Response, Site, fault, signal};
 use wire::platform::Fault as PlatformFault;
 use wire::service::{CutAt, Fault};
 
-/// Faults of the short run; set `STORM_FAULTS` for a longer one.
+/// Default number of faults. The environment variable `STORM_FAULTS` overrides it.
 const FAULTS: u64 = 60;
 const CUTS: [CutAt; 5] = [
     CutAt::BeforeWork,
@@ -22,14 +22,14 @@
     CutAt::InBody,
 ];
 
-/// Sets a random fault and gives the router that is to be struck meanwhile, with the signal.
-fn trouble(site: &Site, random: &mut ChaCha8Rng) -> Option<(usize, &'static str)> {
+/// Injects a random fault, or chooses a router and the signal that it gets during the attempts.
+fn inject_fault(site: &Site, random: &mut ChaCha8Rng) -> Option<(usize, &'static str)> {
     let platform = site.platform.address;
     match random.random_range(0..26) {
         0..8 => {
             let cut_at = Some(CUTS[random.random_range(0..CUTS.len())]);
             let cut = Some(random.random_range(1..3));
-            runners(
+            inject_into_runners(
                 site,
                 &Fault {
                     cut,
@@ -38,7 +38,7 @@
                 },
             );
         }
-        8..10 => runners(
+        8..10 => inject_into_runners(
             site,
             &Fault {
                 cross_answers: Some(1),
@@ -86,7 +86,7 @@
     None
 }
 
-fn quiet(site: &Site) {
+fn clear_faults(site: &Site) {
     let none = PlatformFault {
         down: Some(false),
         delay_ms: Some(0),
@@ -94,7 +94,7 @@
         ..PlatformFault::default()
     };
     fault(site.platform.address, &none);
-    runners(
+    inject_into_runners(
         site,
         &Fault {
             cut: Some(0),
@@ -105,13 +105,13 @@
     );
 }
 
-/// Up to three attempts at random routers, one after the other or at once, while one router is struck.
-fn attempts(
+/// Sends up to three overlapping attempts to random routers, while one router may be killed or stopped.
+fn send_attempts(
     site: &mut Site,
     random: &mut ChaCha8Rng,
     key: &str,
-    struck: Option<(usize, &'static str)>,
-) -> Vec<Option<Answer>> {
+    interrupted: Option<(usize, &'static str)>,
+) -> Vec<Option<Response>> {
     let count = random.random_range(1..4);
     let first = if count == 1 { "first" } else { "" };
     let calls: Vec<_> = (0..count)
@@ -122,11 +122,11 @@
             call
         })
         .collect();
-    match struck {
+    match interrupted {
         Some((router, "KILL")) => {
             signal(&site.routers[router], "KILL");
             site.routers[router] = site.start_router(router);
-            site.until_ready(router);
+            site.wait_until_ready(router);
         }
         Some((router, stop)) => {
             signal(&site.routers[router], stop);
@@ -138,16 +138,16 @@
     calls.into_iter().map(|call| call.join().expect("no panic")).collect()
 }
 
-// Callers try and try again at several routers while connections are cut, answers are crossed or lost, the platform is
-// out or slow and routers die or stop. No fan may be switched twice, and each "not run" must be true.
+// Clients retry at several routers while connections break, responses are swapped or lost, the platform is unreachable
+// or slow, and routers die or stop. No command may run twice, and each `not_run` must be true.
 #[test]
-fn any_faults_run_nothing_twice() {
-    let wanted = std::env::var("STORM_FAULTS")
+fn no_command_runs_twice_under_random_faults() {
+    let faults = std::env::var("STORM_FAULTS")
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(FAULTS);
     let mut site = site(3);
-    runners(
+    inject_into_runners(
         &site,
         &Fault {
             work_ms: Some(30),
@@ -156,21 +156,21 @@
     );
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let mut all = BTreeMap::<String, u64>::new();
-    for number in 0..wanted {
+    for number in 0..faults {
         let key = format!("storm-{number}");
-        in_service(&site);
-        let struck = trouble(&site, &mut random);
-        let mut answers = attempts(&mut site, &mut random, &key, struck);
-        quiet(&site);
-        // Before the next attempt: what was refused as not run has not run.
-        check(&site, &key, &answers);
+        wait_until_in_service(&site);
+        let interrupted = inject_fault(&site, &mut random);
+        let mut answers = send_attempts(&mut site, &mut random, &key, interrupted);
+        clear_faults(&site);
+        // Checked before the next attempt, which could run the command and hide a false `not_run`.
+        check_key(&site, &key, &answers);
         answers.push(fan(&site, random.random_range(0..3), &key, ""));
-        check(&site, &key, &answers);
+        check_key(&site, &key, &answers);
         answers
             .iter()
-            .for_each(|answer| *all.entry(told(answer)).or_default() += 1);
+            .for_each(|answer| *all.entry(outcome(answer)).or_default() += 1);
     }
-    println!("{wanted} faults, callers were told {all:?}");
+    println!("{faults} faults, outcomes {all:?}");
     assert!(
         all.contains_key("ok") && all.contains_key("endpoint_failed unknown"),
         "{all:?}"
--- a/crates/apricotfork/tests/stream_faults.rs
+++ b/crates/apricotfork/tests/stream_faults.rs
@@ -1,4 +1,4 @@
-//! Completions whose engines break, die, stop or answer for others, with real processes.
+//! Completions at engines that break connections, die, stop or send responses of other requests, with real processes.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
 use std::time::Duration;
-use support::{Answer, KEY, Plan, Site, bearer, call, fault, get, metric, signal, until};
+use support::{KEY, Plan, Response, Site, bearer, call, fault, get, metric, signal, wait_until};
 use wire::engine::{Fault, Load};
 
 const PROMPT: &str = "silo 7 is at 31 degrees";
@@ -24,19 +24,20 @@
     })
 }
 
-/// What the caller is told: `whole`, the code of the refusal or error event with its `ran`, or what is wrong.
-fn told(answer: &Answer) -> String {
+/// Summarizes a response: `complete`, the fields `code` and `ran` of the error or error event, or a description of the
+/// fault.
+fn outcome(answer: &Response) -> String {
     let seed = text_seed("w1", PROMPT);
     let expected: String = (0..PIECES).map(|number| piece(seed, number)).collect();
     let body = String::from_utf8_lossy(&answer.body).into_owned();
     if !answer.status.is_success() {
-        let (code, ran) = answer.refusal();
+        let (code, ran) = answer.error_fields();
         return format!("{code} {ran}");
     }
     if body.starts_with('{') {
-        let whole = answer.json()["choices"][0]["text"].as_str() == Some(expected.as_str());
-        return if whole {
-            "whole".to_owned()
+        let complete = answer.json()["choices"][0]["text"].as_str() == Some(expected.as_str());
+        return if complete {
+            "complete".to_owned()
         } else {
             format!("wrong: {body}")
         };
@@ -48,77 +49,77 @@
     let mut text = String::new();
     for (number, event) in pieces.iter().enumerate() {
         let Some(data) = event.strip_prefix(&format!("id: {number}\ndata: ")) else {
-            return format!("doubled, missing or out of order at {number}: {event}");
+            return format!("duplicate, missing or out of order at {number}: {event}");
         };
         let data: Value = serde_json::from_str(data).expect("an event's data");
         text.push_str(data["choices"][0]["text"].as_str().unwrap_or_default());
     }
     if *last == "data: [DONE]" {
         return if text == expected {
-            "whole".to_owned()
+            "complete".to_owned()
         } else {
             format!("wrong: {text}")
         };
     }
     let Some(error) = last.strip_prefix("event: error\ndata: ") else {
-        return format!("a quiet end: {last}");
+        return format!("end without [DONE] or error: {last}");
     };
     assert!(
         expected.starts_with(&text),
-        "what came before the error is a part of the answer"
+        "the text before the error must be a prefix of the answer"
     );
     let error: Value = serde_json::from_str(error).expect("an error event's data");
     let part = |name: &str| error["error"][name].as_str().unwrap_or_default().to_owned();
     format!("{} {}", part("code"), part("ran"))
 }
 
-fn complete(to: SocketAddr, stream: bool, deadline_ms: u64) -> Answer {
+fn complete(to: SocketAddr, stream: bool, deadline_ms: u64) -> Response {
     let body = json!({"model": "advisory", "prompt": PROMPT, "max_tokens": PIECES, "stream": stream}).to_string();
     let headers = [
         ("authorization", bearer(KEY)),
         ("content-type", "application/json".to_owned()),
         ("apricotfork-deadline-ms", deadline_ms.to_string()),
     ];
-    call(to, Method::Post, PATH, &headers, body.as_bytes()).expect("a whole answer")
+    call(to, Method::Post, PATH, &headers, body.as_bytes()).expect("a complete answer")
 }
 
-fn engines(site: &Site, switch: &Fault) {
-    site.engines.iter().for_each(|engine| fault(engine.address, switch));
+fn inject_into_engines(site: &Site, injected: &Fault) {
+    site.engines.iter().for_each(|engine| fault(engine.address, injected));
 }
 
 fn load(engine: SocketAddr) -> Load {
     serde_json::from_slice(&get(engine, "/v1/load").expect("a report").body).expect("a report")
 }
 
-/// Waits until completions are answered again; a broken engine is left alone for a while.
-fn in_service(site: &Site) {
+/// Waits until completions succeed again. The router avoids a failed engine for a while.
+fn wait_until_in_service(site: &Site) {
     let to = site.routers[0].address;
-    until("an engine is in service", || {
-        told(&complete(to, false, 2_000)) == "whole"
+    wait_until("an engine is in service", || {
+        outcome(&complete(to, false, 2_000)) == "complete"
     });
 }
 
-/// Attempts and streams that the router saw fail.
+/// Number of failed attempts and resumed streams counted by the router.
 fn failures(site: &Site) -> u64 {
     let names = ["retries_total{why=\"broken\"}", "streams_resumed_total"].map(|name| format!("apricotfork_{name}"));
     let count = |name: &String| metric(&site.routers[0], name)?.parse::<u64>().ok();
     names.iter().filter_map(count).sum()
 }
 
-/// What goes wrong at an engine once, and whether the answer is a stream.
+/// Name, whether the response is a stream, and the fault that one engine has once.
 struct Case(&'static str, bool, Fault);
 
-// Engines break streams, cut answers short and send answers that bear another request's id. The caller of a completion
-// gets the whole text all the same: nothing doubled, nothing missing, nothing of somebody else's.
+// Engines break streams, truncate responses and send responses with the id of another request. The client must still get
+// the complete text, without duplicates, gaps or text of another request.
 #[test]
-fn answers_are_whole_whatever_engines_send() {
+fn responses_are_complete_despite_engine_faults() {
     let site = site();
     let broken = |at| Fault {
         break_streams: Some(1),
         break_at: at,
         ..Fault::default()
     };
-    let right = Fault {
+    let cleared = Fault {
         break_streams: Some(0),
         cross_answers: Some(0),
         cut_answers: Some(0),
@@ -155,46 +156,46 @@
             },
         ),
     ];
-    for Case(name, stream, wrong) in cases {
+    for Case(name, stream, injected) in cases {
         let before = failures(&site);
-        // Which engine is asked is the router's choice.
-        until("an engine did it", || {
+        // The router chooses the engine, so this repeats until the faulty one was used.
+        wait_until("an engine had the fault", || {
             for engine in &site.engines {
-                in_service(&site);
-                fault(engine.address, &wrong);
+                wait_until_in_service(&site);
+                fault(engine.address, &injected);
                 let answer = complete(site.routers[0].address, stream, 20_000);
-                fault(engine.address, &right);
-                assert_eq!(told(&answer), "whole", "{name}");
+                fault(engine.address, &cleared);
+                assert_eq!(outcome(&answer), "complete", "{name}");
             }
             failures(&site) > before
         });
     }
 }
 
-/// What is done to the engine that is streaming, or to both, and what the caller is told.
-struct Blow(&'static str, bool, &'static str);
+/// Crash or signal, whether it hits both engines or only the streaming one, and the expected outcome.
+struct Interruption(&'static str, bool, &'static str);
 
-// An engine dies, comes back empty or stops in the middle of a stream. The stream goes on at the other engine, or the
-// caller reads an explicit error by its deadline; an end that looks like the end of the text would be taken for it.
+// An engine dies, restarts with an empty cache or stops during a stream. The stream must be resumed at the other engine, or
+// the client must get an explicit error by its deadline. Without the error, it would take the text for complete.
 #[test]
-fn engines_that_die_or_stop_while_they_stream() {
-    for Blow(blow, both, expected) in [
-        Blow("crash", false, "whole"),
-        Blow("KILL", false, "whole"),
-        Blow("KILL", true, "endpoint_failed unknown"),
-        Blow("STOP", true, "deadline_exceeded unknown"),
+fn interrupted_streams_are_resumed_or_end_with_an_error() {
+    for Interruption(interruption, both, expected) in [
+        Interruption("crash", false, "complete"),
+        Interruption("KILL", false, "complete"),
+        Interruption("KILL", true, "endpoint_failed unknown"),
+        Interruption("STOP", true, "deadline_exceeded unknown"),
     ] {
         let site = site();
         let to = site.routers[0].address;
-        engines(
+        inject_into_engines(
             &site,
             &Fault {
                 slow_percent: Some(300),
                 ..Fault::default()
             },
         );
-        let caller = thread::spawn(move || complete(to, true, 4_000));
-        until("an engine streams", || {
+        let client = thread::spawn(move || complete(to, true, 4_000));
+        wait_until("an engine streams", || {
             site.engines.iter().any(|engine| load(engine.address).running > 0)
         });
         thread::sleep(Duration::from_millis(100));
@@ -207,7 +208,7 @@
             if !busy && !both {
                 continue;
             }
-            match blow {
+            match interruption {
                 "crash" => fault(
                     engine.address,
                     &Fault {
@@ -219,21 +220,21 @@
             }
         }
         assert_eq!(
-            told(&caller.join().expect("no panic")),
+            outcome(&client.join().expect("no panic")),
             expected,
-            "{blow}, both: {both}"
+            "{interruption}, both: {both}"
         );
     }
 }
 
-// A keeper closes the page while the answer is still being computed. An engine that goes on for nobody is missing to
-// those who wait.
+// A client disconnects before the end of its response. If the engine continued, it would have less capacity for other
+// requests.
 #[test]
-fn a_caller_that_goes_away_frees_the_engine() {
+fn a_disconnected_client_cancels_its_completion() {
     for stream in [false, true] {
         let site = site();
         // 40 pieces of 10 s each: the engine would be busy for longer than the test waits.
-        engines(
+        inject_into_engines(
             &site,
             &Fault {
                 slow_percent: Some(100_000),
@@ -241,21 +242,21 @@
             },
         );
         let body = json!({"model": "advisory", "prompt": PROMPT, "max_tokens": PIECES, "stream": stream}).to_string();
-        let mut caller = TcpStream::connect(site.routers[0].address).expect("the router");
+        let mut client = TcpStream::connect(site.routers[0].address).expect("the router");
         let head = format!("POST {PATH} HTTP/1.1\r\nhost: a\r\nauthorization: {}\r\n", bearer(KEY));
-        write!(caller, "{head}content-length: {}\r\n\r\n{body}", body.len()).expect("a request");
+        write!(client, "{head}content-length: {}\r\n\r\n{body}", body.len()).expect("a request");
         let running = || {
             site.engines
                 .iter()
                 .map(|engine| load(engine.address).running)
                 .sum::<u32>()
         };
-        until("an engine is busy", || running() == 1);
+        wait_until("an engine is busy", || running() == 1);
         if stream {
             let mut part = [0; 12];
-            caller.read_exact(&mut part).expect("the head of an answer");
+            client.read_exact(&mut part).expect("the head of an answer");
         }
-        drop(caller);
-        until("no engine is busy", || running() == 0);
+        drop(client);
+        wait_until("no engine is busy", || running() == 0);
     }
 }
--- a/crates/apricotfork/tests/support/mod.rs
+++ b/crates/apricotfork/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Starts a whole site as processes on loopback, ports given by the system, and speaks to it as callers do.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Starts a complete site as processes on loopback, on ports chosen by the system, and sends requests as clients do.
+#![allow(dead_code, reason = "no test file uses all of it")]
 
 pub mod single_run;
 
@@ -19,15 +19,15 @@
 
 /// Key of the workspace `board`.
 pub const KEY: &str = "board-key";
-/// Key of the workspace `other`, which may call nothing.
+/// Key of the workspace `other`, which has no models or services.
 pub const OTHER_KEY: &str = "other-key";
 /// Key of the operator `ops`.
 pub const OPERATOR_KEY: &str = "ops-key";
-/// Longest wait for what must happen in the end; a test never measures time.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-const BODY: u64 = 16 << 20;
+/// Timeout for conditions that must eventually hold. Tests never measure time.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
+const MAX_BODY_BYTES: u64 = 16 << 20;
 
-/// What a site consists of.
+/// The processes of a site.
 pub struct Plan<'a> {
     /// Arguments of each engine.
     pub engines: Vec<Vec<&'a str>>,
@@ -47,7 +47,7 @@
     }
 }
 
-/// A running site; its processes end with it.
+/// A running site. Dropping it ends its processes.
 pub struct Site {
     /// The platform.
     pub platform: Running,
@@ -60,25 +60,25 @@
     folder: tempfile::TempDir,
 }
 
-/// An answer as a caller sees it.
+/// A response as a client receives it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// Status.
     pub status: StatusCode,
-    /// The router's id of the request.
+    /// Request id assigned by the router.
     pub request: String,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
     /// The body as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).expect("a JSON body")
     }
 
-    /// Code and `ran` of a refusal.
-    pub fn refusal(&self) -> (String, String) {
+    /// Fields `code` and `ran` of an error response.
+    pub fn error_fields(&self) -> (String, String) {
         let error = &self.json()["error"];
         let text = |name: &str| error[name].as_str().unwrap_or_default().to_owned();
         (text("code"), text("ran"))
@@ -86,7 +86,7 @@
 }
 
 impl Site {
-    /// Starts everything, puts a configuration in force and waits until the routers are ready.
+    /// Starts all processes, publishes a configuration and waits until the routers are ready.
     pub fn start(plan: &Plan) -> Self {
         let platform = standin("standin-platform", &[]);
         let engines: Vec<Running> = plan
@@ -114,12 +114,12 @@
             site.routers.push(router);
         }
         for index in 0..plan.routers {
-            site.until_ready(index);
+            site.wait_until_ready(index);
         }
         site
     }
 
-    /// The document that names everything in this site.
+    /// The configuration document of this site.
     pub fn document(&self) -> Value {
         let digest = |key: &str| Digest::of(key.as_bytes()).to_string();
         let mut endpoints = serde_json::Map::new();
@@ -160,7 +160,7 @@
         put(&platform, config::HEAD_KEY, &plan.head.text());
     }
 
-    /// Tells the platform's list of the routers that run.
+    /// Puts the running routers into the platform's list of VMs.
     pub fn list_routers(&self) {
         let vm = |(index, router): (usize, &Running)| wire::platform::Vm {
             id: format!("r{index}"),
@@ -178,7 +178,7 @@
         );
     }
 
-    /// Digest of a section in force.
+    /// Digest of a section of the configuration in force.
     pub fn digest(&self, section: config::Section) -> String {
         let entry = task::block_on(self.platform_client().get(config::HEAD_KEY)).expect("the platform");
         let text = entry.and_then(|entry| entry.value).expect("a head");
@@ -188,15 +188,15 @@
 
     /// A client of the site's platform.
     pub fn platform_client(&self) -> Platform {
-        Platform::new(vec![self.platform.address], PATIENCE)
+        Platform::new(vec![self.platform.address], TIMEOUT)
     }
 
-    /// Starts a router of this number; several lives may follow each other.
+    /// Starts the router with this index. It can be started again after it has ended.
     pub fn start_router(&self, index: usize) -> Running {
         self.start_router_with(index, |_| ())
     }
 
-    /// Starts a router whose settings are changed first.
+    /// Starts a router with settings modified by `change`.
     pub fn start_router_with(&self, index: usize, change: impl Fn(&mut Value)) -> Running {
         let mut settings = json!({
             "vm": format!("r{index}"), "domain": "lahore",
@@ -215,15 +215,15 @@
     }
 
     /// Waits until a router is ready.
-    pub fn until_ready(&self, index: usize) {
+    pub fn wait_until_ready(&self, index: usize) {
         let operators = operators(&self.routers[index]);
-        until("the router is ready", || {
+        wait_until("the router is ready", || {
             get(operators, "/readyz").is_ok_and(|answer| answer.status.is_success())
         });
     }
 
-    /// A completion's answer by router 0.
-    pub fn complete(&self, path: &str, body: &Value) -> Answer {
+    /// Sends a completion request to router 0.
+    pub fn complete(&self, path: &str, body: &Value) -> Response {
         let headers = [
             ("authorization", bearer(KEY)),
             ("content-type", "application/json".to_owned()),
@@ -235,11 +235,11 @@
             &headers,
             body.to_string().as_bytes(),
         )
-        .expect("an answer")
+        .expect("a response")
     }
 
-    /// A call's answer of the service `silo` by a router.
-    pub fn silo(&self, router: usize, path: &str, headers: &[(&str, &str)], body: &str) -> Result<Answer, SendError> {
+    /// Calls the service `silo` through a router.
+    pub fn silo(&self, router: usize, path: &str, headers: &[(&str, &str)], body: &str) -> Result<Response, SendError> {
         let mut all = vec![("authorization", bearer(KEY))];
         all.extend(headers.iter().map(|(name, value)| (*name, (*value).to_owned())));
         call(
@@ -251,12 +251,12 @@
         )
     }
 
-    /// Executions of each key and request, over all runners.
+    /// Number of executions by key and by request, summed over all runners.
     pub fn executions(&self) -> wire::service::Executions {
         let mut sum = wire::service::Executions::default();
         for service in &self.services {
-            let answer = get(service.address, "/v1/executions").expect("the service's count");
-            let one: wire::service::Executions = serde_json::from_slice(&answer.body).expect("a count");
+            let answer = get(service.address, "/v1/executions").expect("the execution counts");
+            let one: wire::service::Executions = serde_json::from_slice(&answer.body).expect("execution counts");
             one.by_key
                 .into_iter()
                 .for_each(|(key, count)| *sum.by_key.entry(key).or_default() += count);
@@ -267,28 +267,28 @@
         sum
     }
 
-    /// What an engine says it sent for a request.
+    /// The bytes that an engine reports to have sent for a request.
     pub fn sent(&self, request: &str) -> Vec<u8> {
-        let asked = self
+        let responses = self
             .engines
             .iter()
             .map(|engine| get(engine.address, &format!("/v1/sent?request={request}")));
-        let found = asked.flatten().find(|answer| answer.status.is_success());
+        let found = responses.flatten().find(|answer| answer.status.is_success());
         found.expect("an engine that answered").body
     }
 }
 
-/// The address for operators, from the line the router printed.
+/// The operator address, from the line that the router printed.
 pub fn operators(router: &Running) -> SocketAddr {
-    named(router, "operators")
+    printed_address(router, "operators")
 }
 
-/// The address for other routers, from the line the router printed.
+/// The address for peers, from the line that the router printed.
 pub fn peers(router: &Running) -> SocketAddr {
-    named(router, "peers")
+    printed_address(router, "peers")
 }
 
-/// The value of a gauge or counter of a router, as it is shown; none if the router does not show it.
+/// The value of a gauge or counter as shown by a router. `None` if the router does not show it.
 pub fn metric(router: &Running, name: &str) -> Option<String> {
     let metrics = get(operators(router), "/metrics").ok()?;
     let text = String::from_utf8_lossy(&metrics.body).into_owned();
@@ -296,15 +296,15 @@
     line.rsplit(' ').next().map(str::to_owned)
 }
 
-fn named(router: &Running, name: &str) -> SocketAddr {
+fn printed_address(router: &Running, name: &str) -> SocketAddr {
     let mut words = router.line.split_whitespace().skip_while(|word| *word != name);
     words.nth(1).and_then(|text| text.parse().ok()).expect("an address")
 }
 
-/// Sets a fault switch.
+/// Injects a fault into a stand-in.
 pub fn fault<F: Serialize>(at: SocketAddr, fault: &F) {
     let body = serde_json::to_vec(fault).expect("a fault is JSON");
-    let answer = call(at, Method::Post, "/fault", &[], &body).expect("the fault switch");
+    let answer = call(at, Method::Post, "/fault", &[], &body).expect("a response to the fault");
     assert_eq!(answer.status, StatusCode::NoContent);
 }
 
@@ -315,43 +315,43 @@
     assert!(status.is_ok_and(|status| status.success()), "cannot send {name}");
 }
 
-/// Waits until `what` holds.
-pub fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < end, "in vain: {what}");
+/// Waits until `condition` is true; `what` describes it.
+pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let end = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// One call and its whole answer.
+/// Sends one request and reads the complete response.
 pub fn call(
     to: SocketAddr,
     method: Method,
     path: &str,
     headers: &[(&str, String)],
     body: &[u8],
-) -> Result<Answer, SendError> {
+) -> Result<Response, SendError> {
     let url = Url::parse(&format!("http://{to}{path}")).expect("a URL");
     let mut request = Request::new(method, url);
     for (name, value) in headers {
         request.insert_header(*name, value.as_str());
     }
     task::block_on(async {
-        let reply: Reply = Client::new().send_once(to, request, body, PATIENCE, || true).await?;
+        let reply: Reply = Client::new().send_once(to, request, body, TIMEOUT, || true).await?;
         let status = reply.status();
         let request = reply.header(wire::headers::REQUEST_ID).unwrap_or_default().to_owned();
-        let body = reply.whole(BODY).await.map_err(|_| SendError::NoAnswer)?;
-        Ok(Answer { status, request, body })
+        let body = reply.whole(MAX_BODY_BYTES).await.map_err(|_| SendError::NoAnswer)?;
+        Ok(Response { status, request, body })
     })
 }
 
-/// One `GET`.
-pub fn get(to: SocketAddr, path: &str) -> Result<Answer, SendError> {
+/// Sends a `GET` request.
+pub fn get(to: SocketAddr, path: &str) -> Result<Response, SendError> {
     call(to, Method::Get, path, &[], &[])
 }
 
-/// The header of a key.
+/// The `authorization` value for a key.
 pub fn bearer(key: &str) -> String {
     format!("Bearer {key}")
 }
@@ -363,7 +363,7 @@
     standin("standin-engine", &all)
 }
 
-/// Starts a stand-in, which `cargo xtask test` has built beside the router.
+/// Starts a stand-in. `cargo xtask test` builds it in the same folder as the router.
 pub fn standin(name: &str, args: &[&str]) -> Running {
     Running::start(&program(name), args).unwrap_or_else(|err| panic!("{name}: {err}; run `cargo build --workspace`"))
 }
@@ -380,5 +380,8 @@
         lease: None,
     };
     let written = task::block_on(platform.put(&put)).expect("the platform");
-    assert!(matches!(written, store::Written::Done(_)), "the key {key} is new");
+    assert!(
+        matches!(written, store::Written::Done(_)),
+        "the key {key} already exists"
+    );
 }
