--- a/crates/standins/src/bin/standin-engine.rs
+++ b/crates/standins/src/bin/standin-engine.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in as a process.
+//! Runs the engine stand-in.
 
 fn main() -> std::io::Result<()> {
     let args: standins::engine::Args = argh::from_env();
--- a/crates/standins/src/bin/standin-platform.rs
+++ b/crates/standins/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in as a process.
+//! Runs the platform stand-in.
 
 fn main() -> std::io::Result<()> {
     let args: standins::platform::Args = argh::from_env();
--- a/crates/standins/src/bin/standin-service.rs
+++ b/crates/standins/src/bin/standin-service.rs
@@ -1,4 +1,4 @@
-//! The service stand-in as a process.
+//! Runs the service stand-in.
 
 fn main() -> std::io::Result<()> {
     let args: standins::service::Args = argh::from_env();
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -1,34 +1,34 @@
-//! The block cache: least recently used blocks go first. No I/O, no clock.
+//! The block cache with LRU eviction. Does no I/O and reads no clock.
 
 use ids::Digest;
 use std::collections::{BTreeMap, HashMap};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Cached blocks by the hash of their chain.
+/// Cached blocks, keyed by their chained hash.
 #[derive(Debug)]
 pub struct BlockCache {
     capacity: usize,
-    blocks: HashMap<u64, Kept>,
+    blocks: HashMap<u64, CachedBlock>,
     by_use: BTreeMap<u64, u64>,
-    newest_use: u64,
+    last_use: u64,
 }
 
-/// A block was stored or evicted.
+/// A change of the cache's contents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Now in the cache.
+    /// A block was added.
     Stored(u64),
-    /// No longer in the cache.
+    /// A block was evicted.
     Evicted(u64),
 }
 
 #[derive(Debug)]
-struct Kept {
+struct CachedBlock {
     scope: String,
     used: u64,
 }
 
-/// Hashes of the whole blocks of `prompt`, each covering all before it; `seed` is scope, model and weights.
+/// Hashes the full blocks of `prompt`. Each hash also covers all earlier blocks; `seed` is scope, model and weights.
 pub fn chain(seed: [&str; 3], prompt: &[u8], block_bytes: usize) -> Vec<u64> {
     let mut text = Vec::new();
     for part in seed {
@@ -44,67 +44,67 @@
     hashes
 }
 
-/// A hash as it is written in messages.
-pub fn hash_text(hash: u64) -> String {
+/// Formats a hash for messages.
+pub fn format_hash(hash: u64) -> String {
     format!("{hash:016x}")
 }
 
-/// Reads a hash from a message.
-pub fn read_hash(text: &str) -> Option<u64> {
+/// Parses a hash from a message.
+pub fn parse_hash(text: &str) -> Option<u64> {
     u64::from_str_radix(text, 16).ok()
 }
 
 impl BlockCache {
-    /// An empty cache for `capacity` blocks.
+    /// Creates an empty cache for `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
             blocks: HashMap::new(),
             by_use: BTreeMap::new(),
-            newest_use: 0,
+            last_use: 0,
         }
     }
 
-    /// Blocks in it.
+    /// The number of cached blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether it holds nothing.
+    /// Whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Blocks that fit.
+    /// The maximum number of cached blocks.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Whether it holds this block for this scope.
+    /// Whether the block is cached for this scope.
     pub fn contains(&self, scope: &str, hash: u64) -> bool {
-        self.blocks.get(&hash).is_some_and(|kept| kept.scope == scope)
+        self.blocks.get(&hash).is_some_and(|block| block.scope == scope)
     }
 
-    /// How many of `hashes` are cached from the first on without a gap.
+    /// The length of the longest prefix of `hashes` that is cached for this scope.
     pub fn matched(&self, scope: &str, hashes: &[u64]) -> usize {
         hashes.iter().take_while(|hash| self.contains(scope, **hash)).count()
     }
 
-    /// Stores or uses all of `hashes`; what had to change comes back.
+    /// Stores `hashes`, or marks those already cached as used. Returns the changes.
     pub fn store(&mut self, scope: &str, hashes: &[u64]) -> Vec<Change> {
         let mut changes = Vec::new();
-        // From the end, so that a chain's start is newer than its tail and is evicted after it.
+        // In reverse order, so that the start of a chain is more recent than its tail and is evicted later.
         for hash in hashes.iter().take(self.capacity).rev() {
-            self.newest_use += 1;
-            let kept = Kept {
+            self.last_use += 1;
+            let block = CachedBlock {
                 scope: scope.to_owned(),
-                used: self.newest_use,
+                used: self.last_use,
             };
-            match self.blocks.insert(*hash, kept) {
+            match self.blocks.insert(*hash, block) {
                 Some(old) => drop(self.by_use.remove(&old.used)),
                 None => changes.push(Change::Stored(*hash)),
             }
-            self.by_use.insert(self.newest_use, *hash);
+            self.by_use.insert(self.last_use, *hash);
         }
         while self.blocks.len() > self.capacity {
             let Some((_, hash)) = self.by_use.pop_first() else {
@@ -116,7 +116,7 @@
         changes
     }
 
-    /// Drops everything.
+    /// Removes all blocks. Returns the evictions.
     pub fn clear(&mut self) -> Vec<Change> {
         self.blocks.clear();
         std::mem::take(&mut self.by_use)
--- a/crates/standins/src/engine/calls.rs
+++ b/crates/standins/src/engine/calls.rs
@@ -1,6 +1,6 @@
-//! The engine's calls over HTTP.
+//! The engine's HTTP API.
 
-use super::answer::Form;
+use super::answer::ApiKind;
 use super::state::{Args, Engine};
 use crate::http::{self, Call, Reply, status};
 use async_std::task;
@@ -9,36 +9,36 @@
 use std::time::Duration;
 use wire::engine::{Block, Events, Fault, Order, Refused, RefusedReason};
 
-const EVENT_TICK: Duration = Duration::from_millis(10);
-const HANG_TICK: Duration = Duration::from_millis(20);
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
-const LONGEST_HANG: Duration = Duration::from_secs(120);
+const EVENT_POLL: Duration = Duration::from_millis(10);
+const HANG_POLL: Duration = Duration::from_millis(20);
+const MAX_EVENT_WAIT: Duration = Duration::from_secs(60);
+const MAX_HANG: Duration = Duration::from_secs(120);
 
-/// Serves until the process is ended.
+/// Serves until the process ends.
 ///
 /// # Errors
-/// If an address can't be listened on.
+/// If an address can't be bound.
 pub async fn run(args: Args) -> std::io::Result<()> {
     let mut addresses = Vec::new();
-    let mut serving = Vec::new();
+    let mut servers = Vec::new();
     for _ in 0..args.copies.max(1) {
         let engine = Arc::new(Engine::new(args.clone()));
         let (listener, local) = http::bind(&engine.args.listen).await?;
-        task::spawn(report(engine.clone()));
+        task::spawn(update_report(engine.clone()));
         addresses.push(local.to_string());
         let connections = engine.connections.clone();
         let handler = move |call: Call| -> futures::future::BoxFuture<'static, Reply> {
             let engine = engine.clone();
-            Box::pin(async move { engine.answer(call).await })
+            Box::pin(async move { engine.handle(call).await })
         };
-        serving.push(task::spawn(http::serve(listener, connections, Arc::new(handler))));
+        servers.push(task::spawn(http::serve(listener, connections, Arc::new(handler))));
     }
     http::announce(&addresses.join(" "));
-    futures::future::try_join_all(serving).await?;
+    futures::future::try_join_all(servers).await?;
     Ok(())
 }
 
-async fn report(engine: Arc<Engine>) {
+async fn update_report(engine: Arc<Engine>) {
     let lag = Duration::from_millis(engine.args.report_lag_ms);
     while !lag.is_zero() {
         {
@@ -50,7 +50,7 @@
 }
 
 impl Engine {
-    async fn answer(self: Arc<Self>, call: Call) -> Reply {
+    async fn handle(self: Arc<Self>, call: Call) -> Reply {
         if call.route() == (Method::Post, "/fault") {
             return self.set_fault(&call);
         }
@@ -58,23 +58,23 @@
             return self.hang().await;
         }
         match call.route() {
-            (Method::Post, "/v1/completions") => or_refused(self.complete(&call, Form::Text).await),
-            (Method::Post, "/v1/chat/completions") => or_refused(self.complete(&call, Form::Chat).await),
+            (Method::Post, "/v1/completions") => or_refusal(self.complete(&call, ApiKind::Text).await),
+            (Method::Post, "/v1/chat/completions") => or_refusal(self.complete(&call, ApiKind::Chat).await),
             (Method::Post, "/v1/cancel") => self.cancel(&call),
             (Method::Get, "/v1/load") => self.report(),
             (Method::Get, "/v1/events") => self.events(&call).await,
             (Method::Post, "/v1/orders") => self.order(&call).await,
             (Method::Get, "/v1/blocks") => self.send_block(&call),
-            (Method::Post, "/v1/blocks") => self.take_block(&call),
+            (Method::Post, "/v1/blocks") => self.receive_block(&call),
             (Method::Get, "/v1/sent") => self.sent(&call),
             _ => status(StatusCode::NotFound),
         }
     }
 
     async fn hang(&self) -> Reply {
-        let ends = self.now() + LONGEST_HANG;
-        while self.lock().fault.hang == Some(true) && self.now() < ends {
-            task::sleep(HANG_TICK).await;
+        let deadline = self.now() + MAX_HANG;
+        while self.lock().fault.hang == Some(true) && self.now() < deadline {
+            task::sleep(HANG_POLL).await;
         }
         Reply::Close
     }
@@ -96,8 +96,8 @@
 
     async fn events(&self, call: &Call) -> Reply {
         let after = call.query_number("after").unwrap_or(0);
-        let wait = Duration::from_millis(call.query_number("wait_ms").unwrap_or(0)).min(LONGEST_WAIT);
-        let ends = self.now() + wait;
+        let wait = Duration::from_millis(call.query_number("wait_ms").unwrap_or(0)).min(MAX_EVENT_WAIT);
+        let deadline = self.now() + wait;
         loop {
             let now = self.now();
             let events = {
@@ -107,10 +107,10 @@
                     events: state.events.after(now, after),
                 }
             };
-            if !events.events.is_empty() || now >= ends {
+            if !events.events.is_empty() || now >= deadline {
                 return ok(&events);
             }
-            task::sleep(EVENT_TICK).await;
+            task::sleep(EVENT_POLL).await;
         }
     }
 
@@ -118,7 +118,7 @@
         let Some(order) = call.json::<Order>() else {
             return status(StatusCode::BadRequest);
         };
-        or_refused(self.carry_out(&order).await.map(|done| ok(&done)))
+        or_refusal(self.execute(&order).await.map(|done| ok(&done)))
     }
 
     fn send_block(&self, call: &Call) -> Reply {
@@ -130,11 +130,11 @@
         }
     }
 
-    fn take_block(&self, call: &Call) -> Reply {
+    fn receive_block(&self, call: &Call) -> Reply {
         let Some(block) = call.json::<Block>() else {
             return status(StatusCode::BadRequest);
         };
-        or_refused(self.import(&block).map(|()| status(StatusCode::NoContent)))
+        or_refusal(self.import(&block).map(|()| status(StatusCode::NoContent)))
     }
 
     fn sent(&self, call: &Call) -> Reply {
@@ -176,6 +176,6 @@
     Reply::Answer(http::json(StatusCode::Ok, value))
 }
 
-fn or_refused(result: Result<Reply, RefusedReason>) -> Reply {
+fn or_refusal(result: Result<Reply, RefusedReason>) -> Reply {
     result.unwrap_or_else(|reason| Reply::Answer(http::json(StatusCode::Conflict, &Refused { reason })))
 }
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -1,13 +1,13 @@
-//! An engine: continuous batching, a block cache, priorities, cancel and resume, orders and faults.
+//! An inference engine with continuous batching, a block cache, priorities, cancel and resume, orders and faults.
 //!
-//! Prompt tokens are counted as four bytes each. A block's hash is xxh3 of its bytes seeded by its predecessor's hash;
-//! the first one's seed is the digest of cache scope, model and weights, each with its length before it (see [`chain`]),
-//! and messages hold it as 16 hexadecimal digits. Routers compute the same in `placement`. Only whole blocks are
-//! cached. Piece `i` of an answer is a function of weights, prompt and `i` alone ([`piece`]), so that a resumed stream
-//! can be checked.
+//! A prompt token is four bytes. A block's hash is xxh3 of its bytes, seeded with the hash of the preceding block. The
+//! seed of the first block is the digest of cache scope, model and weights, each prefixed with its length (see
+//! [`chain`]). Messages contain hashes as 16 hexadecimal digits. Routers compute the same hashes in `placement`. Only
+//! full blocks are cached. Piece `i` of an answer depends only on weights, prompt and `i` ([`piece`]), so that tests can
+//! check a resumed stream.
 //!
-//! Beyond the table in `wire::engine`: importing a block of other weights gets 409 with the reason; a cancelled request's
-//! connection is closed without an answer.
+//! Beyond the table in `wire::engine`: importing a block of other weights returns 409 with the reason; the connection of
+//! a cancelled request is closed without an answer.
 
 mod answer;
 mod cache;
@@ -22,4 +22,4 @@
 pub use answer::{piece, text_seed};
 pub use cache::{BlockCache, Change, chain};
 pub use calls::run;
-pub use state::{Args, fresh_incarnation};
+pub use state::{Args, new_incarnation};
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -1,6 +1,6 @@
-//! Orders: checked against fencing number, incarnation and expiry, then carried out one at a time.
+//! Checks orders against fencing number, incarnation and expiry, then executes them one at a time.
 
-use super::cache::read_hash;
+use super::cache::parse_hash;
 use super::state::{Engine, State};
 use async_std::task;
 use ids::{ModelId, WeightsVersion};
@@ -8,13 +8,13 @@
 use wire::engine::{Action, Block, Order, OrderDone, RefusedReason};
 
 impl Engine {
-    /// Carries out `order`, received now.
+    /// Executes `order`, received now.
     ///
     /// # Errors
-    /// The reason, if nothing was done.
-    pub async fn carry_out(&self, order: &Order) -> Result<OrderDone, RefusedReason> {
+    /// The reason why the order was refused.
+    pub async fn execute(&self, order: &Order) -> Result<OrderDone, RefusedReason> {
         let received = self.now();
-        let _turn = self.order.lock().await;
+        let _guard = self.order.lock().await;
         self.check(order, received)?;
         match &order.action {
             Action::Role(role) => self.lock().role = *role,
@@ -44,7 +44,7 @@
     }
 
     async fn load_weights(&self, model: &ModelId, weights: &WeightsVersion) {
-        let life = {
+        let incarnation = {
             let mut state = self.lock();
             if state.model == *model && state.weights.as_ref() == Some(weights) {
                 return;
@@ -56,19 +56,19 @@
         };
         task::sleep(Duration::from_millis(self.args.load_ms)).await;
         let mut state = self.lock();
-        if state.incarnation == life {
+        if state.incarnation == incarnation {
             state.model = model.clone();
             state.weights = Some(weights.clone());
         }
     }
 
-    /// Takes a block over.
+    /// Imports a block from another engine.
     ///
     /// # Errors
-    /// If it was computed with other weights.
+    /// If the block was computed with other weights.
     pub fn import(&self, block: &Block) -> Result<(), RefusedReason> {
         let mut state = self.lock();
-        let Some(hash) = read_hash(&block.hash) else {
+        let Some(hash) = parse_hash(&block.hash) else {
             return Err(RefusedReason::OtherWeights);
         };
         if state.weights.as_ref() != Some(&block.weights) {
@@ -79,11 +79,11 @@
         Ok(())
     }
 
-    /// A block on its way to another engine.
+    /// Exports a cached block to another engine.
     pub fn export(&self, scope: &str, hash: &str) -> Option<Block> {
         let state: &State = &self.lock();
         let weights = state.weights.clone()?;
-        let digest = read_hash(hash)?;
+        let digest = parse_hash(hash)?;
         let tokens = u32::try_from(self.args.block_tokens).ok()?;
         let found = state.cache.contains(scope, digest);
         found.then(|| Block {
--- a/crates/standins/src/engine/slots.rs
+++ b/crates/standins/src/engine/slots.rs
@@ -1,4 +1,4 @@
-//! Places in the running batch, and the queue before them: lowest rank first, then first come.
+//! The slots of the running batch and their queue, ordered by priority (lowest first), then by arrival.
 
 use async_channel::{Receiver, Sender};
 use futures::future::{Either, select};
@@ -6,29 +6,29 @@
 use std::pin::pin;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The batch's places.
+/// The slots of the batch.
 #[derive(Debug)]
 pub struct Slots {
     limit: u32,
-    most_waiting: usize,
+    max_waiting: usize,
     state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     running: u32,
-    newest: u64,
+    last_ticket: u64,
     waiting: BTreeMap<(u8, u64), Sender<()>>,
 }
 
-/// A place in the batch, given back when dropped.
+/// A slot in the batch, released on drop.
 #[derive(Debug)]
 pub struct Permit(Arc<Slots>);
 
-/// What asking for a place came to.
+/// The outcome of [`Slots::enter`].
 #[derive(Debug)]
-pub enum Entered {
-    /// A place.
+pub enum EnterOutcome {
+    /// A slot was acquired.
     Running(Permit),
     /// The queue is full.
     Full,
@@ -37,51 +37,51 @@
 }
 
 impl Slots {
-    /// `limit` places and a queue of `most_waiting`.
-    pub fn new(limit: u32, most_waiting: usize) -> Self {
+    /// Creates `limit` slots and a queue of at most `max_waiting` requests.
+    pub fn new(limit: u32, max_waiting: usize) -> Self {
         Self {
             limit,
-            most_waiting,
+            max_waiting,
             state: Mutex::default(),
         }
     }
 
-    /// Requests running and waiting.
+    /// The number of running and of waiting requests.
     pub fn counts(&self) -> (u32, u32) {
         let state = self.lock();
         (state.running, u32::try_from(state.waiting.len()).unwrap_or(u32::MAX))
     }
 
-    /// Waits for a place until `cancel` closes.
-    pub async fn enter(self: &Arc<Self>, rank: u8, cancel: &Receiver<()>) -> Entered {
-        let (key, turn) = {
+    /// Waits for a slot until `cancel` closes.
+    pub async fn enter(self: &Arc<Self>, priority: u8, cancel: &Receiver<()>) -> EnterOutcome {
+        let (key, admitted) = {
             let mut state = self.lock();
             if state.running < self.limit {
                 state.running += 1;
-                return Entered::Running(Permit(self.clone()));
+                return EnterOutcome::Running(Permit(self.clone()));
             }
-            if state.waiting.len() >= self.most_waiting {
-                return Entered::Full;
+            if state.waiting.len() >= self.max_waiting {
+                return EnterOutcome::Full;
             }
             let (sender, receiver) = async_channel::bounded(1);
-            state.newest += 1;
-            let key = (rank, state.newest);
+            state.last_ticket += 1;
+            let key = (priority, state.last_ticket);
             state.waiting.insert(key, sender);
             (key, receiver)
         };
-        if let Either::Left((Ok(()), _)) = select(pin!(turn.recv()), pin!(cancel.recv())).await {
-            return Entered::Running(Permit(self.clone()));
+        if let Either::Left((Ok(()), _)) = select(pin!(admitted.recv()), pin!(cancel.recv())).await {
+            return EnterOutcome::Running(Permit(self.clone()));
         }
         self.lock().waiting.remove(&key);
-        if turn.try_recv().is_ok() {
-            // The place came at the same moment as the cancellation: pass it on.
+        if admitted.try_recv().is_ok() {
+            // The slot was granted concurrently with the cancellation: release it to the next request.
             drop(Permit(self.clone()));
         }
-        Entered::Cancelled
+        EnterOutcome::Cancelled
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("mutex is not poisoned")
     }
 }
 
--- a/crates/standins/src/engine/state.rs
+++ b/crates/standins/src/engine/state.rs
@@ -15,91 +15,91 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use wire::engine::{EngineRole, Fault, Load};
 
-const MOST_SENT: usize = 64;
+const MAX_SENT_ANSWERS: usize = 64;
 
-/// An engine's stand-in.
+/// Stand-in for an inference engine.
 #[derive(Debug, Clone, FromArgs)]
 pub struct Args {
     /// address to listen on
     #[argh(option, default = "String::from(\"127.0.0.1:0\")")]
     pub listen: String,
-    /// its endpoint id
+    /// endpoint id of the engine
     #[argh(option, default = "String::from(\"engine\")")]
     pub id: String,
-    /// the model it serves
+    /// model that the engine serves
     #[argh(option, default = "String::from(\"model\")")]
     pub model: String,
-    /// the weights it starts with
+    /// weights loaded at the start
     #[argh(option, default = "String::from(\"w1\")")]
     pub weights: String,
-    /// this life's number; the time of the start in milliseconds by default
+    /// incarnation number; default: start time in milliseconds
     #[argh(option)]
     pub incarnation: Option<u64>,
-    /// blocks of cache
+    /// cache size in blocks
     #[argh(option, default = "256")]
     pub blocks: usize,
-    /// tokens of a block, of four bytes each
+    /// tokens in a block; a token is four bytes
     #[argh(option, default = "1024")]
     pub block_tokens: usize,
-    /// requests that run at once
+    /// maximum number of concurrent requests
     #[argh(option, default = "32")]
     pub slots: u32,
-    /// requests that wait
+    /// maximum number of queued requests
     #[argh(option, default = "256")]
     pub max_queue: usize,
-    /// prompt tokens prefilled a second by the whole batch; 0: at once
+    /// prompt tokens prefilled per second by the whole batch; 0: no delay
     #[argh(option, default = "0")]
     pub prefill_rate: u64,
-    /// milliseconds of a decoded token; 0: at once
+    /// milliseconds to decode a token; 0: no delay
     #[argh(option, default = "0.0")]
     pub decode_ms: f64,
-    /// milliseconds of loading weights
+    /// milliseconds to load weights
     #[argh(option, default = "400")]
     pub load_ms: u64,
-    /// how late cache events show, milliseconds
+    /// delay of cache events in milliseconds
     #[argh(option, default = "100")]
     pub event_lag_ms: u64,
-    /// how far the load report lags, milliseconds; 0: not at all
+    /// interval between updates of the load report in milliseconds; 0: always current
     #[argh(option, default = "100")]
     pub report_lag_ms: u64,
-    /// refuses orders with an old fencing number
+    /// refuse orders with an old fencing number
     #[argh(switch)]
     pub fenced: bool,
-    /// engines in this process, each at an address of its own
+    /// number of engines in this process, each with its own address
     #[argh(option, default = "1")]
     pub copies: usize,
-    /// seed of the lost events
+    /// seed of the random choice of lost events
     #[argh(option, default = "1")]
     pub seed: u64,
 }
 
-/// An engine.
+/// An engine instance.
 #[derive(Debug)]
 pub struct Engine {
-    /// Its settings.
+    /// The settings.
     pub args: Args,
-    /// Its connections.
+    /// The open connections.
     pub connections: Arc<Connections>,
-    /// Held by the order that is carried out.
+    /// Held while an order is executed.
     pub order: AsyncMutex<()>,
     start: Instant,
     state: Mutex<State>,
 }
 
-/// What changes.
+/// The mutable state of an engine.
 #[derive(Debug)]
 pub struct State {
-    /// This life.
+    /// The current incarnation.
     pub incarnation: Incarnation,
     /// The model.
     pub model: ModelId,
-    /// The weights, absent while it loads.
+    /// The weights; `None` while they are loading.
     pub weights: Option<WeightsVersion>,
-    /// Its part of the work.
+    /// Whether the engine prefills, decodes or both.
     pub role: EngineRole,
     /// Highest fencing number seen.
     pub fence: Fence,
-    /// Places in the batch.
+    /// The slots of the batch.
     pub slots: Arc<Slots>,
     /// Cached blocks.
     pub cache: BlockCache,
@@ -109,25 +109,25 @@
     pub requests: HashMap<String, Sender<()>>,
     /// Requests being prefilled, and tokens they still need.
     pub prefilling: (u32, u64),
-    /// The fault switch.
+    /// The injected faults.
     pub fault: Fault,
-    /// The last answers as sent, oldest first.
+    /// The bytes of the most recent answers, oldest first.
     pub sent: VecDeque<(String, Vec<u8>)>,
-    /// The report as last made.
+    /// The latest load report.
     pub report: Option<Load>,
     random: ChaCha8Rng,
 }
 
-/// A life's number from the time of its start.
-pub fn fresh_incarnation() -> u64 {
+/// Derives an incarnation number from the current time.
+pub fn new_incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(1)
 }
 
 impl Engine {
-    /// An engine in its first life.
+    /// Creates an engine in its first incarnation.
     pub fn new(args: Args) -> Self {
-        let incarnation = Incarnation(args.incarnation.unwrap_or_else(fresh_incarnation));
+        let incarnation = Incarnation(args.incarnation.unwrap_or_else(new_incarnation));
         let state = State::new(&args, incarnation);
         Self {
             args,
@@ -143,20 +143,20 @@
         self.start.elapsed()
     }
 
-    /// The state.
+    /// Locks the state.
     pub fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("mutex is not poisoned")
     }
 
-    /// Comes back empty, cutting every connection but the one of the call that asked for it.
-    pub fn crash(&self, spared: u64) {
+    /// Simulates a crash and restart: resets the state and closes all connections except the one that requested it.
+    pub fn crash(&self, excluded: u64) {
         let mut state = self.lock();
         let incarnation = Incarnation(state.incarnation.0 + 1);
         *state = State::new(&self.args, incarnation);
-        self.connections.cut_others(spared);
+        self.connections.close_others(excluded);
     }
 
-    /// Announces cache changes, late and perhaps not at all.
+    /// Publishes cache changes as events, delayed and subject to injected loss.
     pub fn announce(&self, state: &mut State, changes: Vec<Change>) {
         let visible = self.now() + Duration::from_millis(self.args.event_lag_ms);
         let percent = state.fault.lose_events_percent.unwrap_or(0);
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Registers a request; its receiver closes when it is cancelled or its id is used again.
+    /// Registers a request. The receiver closes when the request is cancelled or its id is reused.
     pub fn register(&mut self, request: &str) -> (Sender<()>, Receiver<()>) {
         let (sender, receiver) = async_channel::bounded(1);
         if let Some(old) = self.requests.insert(request.to_owned(), sender.clone()) {
@@ -196,26 +196,26 @@
         (sender, receiver)
     }
 
-    /// Forgets a request unless its id was used again.
-    pub fn unregister(&mut self, request: &str, own: &Sender<()>) {
+    /// Removes a request unless its id has been reused.
+    pub fn unregister(&mut self, request: &str, cancel_sender: &Sender<()>) {
         if self
             .requests
             .get(request)
-            .is_some_and(|sender| sender.same_channel(own))
+            .is_some_and(|sender| sender.same_channel(cancel_sender))
         {
             self.requests.remove(request);
         }
     }
 
-    /// Keeps an answer as sent.
-    pub fn keep_sent(&mut self, request: String, bytes: Vec<u8>) {
+    /// Records the bytes of an answer as sent.
+    pub fn record_sent(&mut self, request: String, bytes: Vec<u8>) {
         self.sent.push_back((request, bytes));
-        if self.sent.len() > MOST_SENT {
+        if self.sent.len() > MAX_SENT_ANSWERS {
             self.sent.pop_front();
         }
     }
 
-    /// The load as it is now.
+    /// The current load.
     pub fn load(&self) -> Load {
         let (running, waiting) = self.slots.counts();
         Load {
--- a/crates/standins/src/http/client.rs
+++ b/crates/standins/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The client: one kept connection, one call at a time.
+//! An HTTP client with one persistent connection and one call at a time.
 
 use async_std::io::{self, BufReader, ReadExt};
 use async_std::net::TcpStream;
@@ -9,33 +9,33 @@
 use std::net::SocketAddr;
 
 quick_error! {
-    /// Why a call has no whole answer.
+    /// Why a call has no complete answer.
     #[derive(Debug)]
     pub enum ClientError {
-        /// The connection could not be made or broke.
+        /// Connecting failed or the connection was lost.
         Io(err: io::Error) { from() display("connection: {err}") source(err) }
-        /// The answer's head could not be read.
+        /// The head of the answer could not be parsed.
         Head(err: http_types::Error) { from() display("head: {err}") }
-        /// The body is not what its head declared.
+        /// The body is shorter or longer than its declared length.
         Short(got: usize, declared: usize) { display("{got} bytes of {declared}") }
-        /// The body is not the JSON that was expected.
+        /// The body is not JSON of the expected type.
         Json(err: serde_json::Error) { from() display("body: {err}") source(err) }
     }
 }
 
-/// A connection to one address, made at the first call and again after a failure.
+/// A client of one address. It connects at the first call and again after a failure.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
     stream: Option<TcpStream>,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its head.
+    /// The head.
     pub head: Response,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
@@ -53,32 +53,32 @@
     /// The body as JSON.
     ///
     /// # Errors
-    /// If it is not of that type.
+    /// If the body is not of that type.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, ClientError> {
         Ok(serde_json::from_slice(&self.body)?)
     }
 }
 
 impl Client {
-    /// A client that has not connected yet.
+    /// Creates a client that has not connected yet.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, stream: None }
     }
 
-    /// A request to this client's address; `path` may have a query.
+    /// Creates a request to this client's address; `path` may include a query.
     ///
     /// # Errors
-    /// If `path` is not one.
+    /// If `path` is invalid.
     pub fn request(&self, method: Method, path: &str) -> Result<Request, ClientError> {
         let text = format!("http://{}{path}", self.address);
         let url = Url::parse(&text).map_err(http_types::Error::from_display)?;
         Ok(Request::new(method, url))
     }
 
-    /// Sends `request` and reads the whole answer.
+    /// Sends `request` and reads the complete answer.
     ///
     /// # Errors
-    /// If any byte of it is missing.
+    /// If the answer is incomplete.
     pub async fn call(&mut self, request: Request) -> Result<Answer, ClientError> {
         let (head, mut body) = self.open(request).await?;
         let declared = head.len();
@@ -87,7 +87,7 @@
             self.stream = None;
             return Err(err.into());
         }
-        // async-h1 reports no error when a peer closes before the declared length: compare here.
+        // async-h1 reports no error when the server closes the connection before the declared length, so compare here.
         match declared {
             Some(length) if length != bytes.len() => {
                 self.stream = None;
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Sends `request` and returns the head with the body still to be read; the body must be read to its end before
-    /// the next call, or [`Client::close`] called.
+    /// Sends `request` and returns the head and an unread body. Read the body to its end or call [`Client::close`] before
+    /// the next call.
     ///
     /// # Errors
-    /// If there is no head.
+    /// If no head was received.
     pub async fn open(&mut self, request: Request) -> Result<(Response, BufReader<http_types::Body>), ClientError> {
         let stream = match self.stream.take() {
             Some(stream) => stream,
@@ -111,20 +111,20 @@
         let mut head = async_h1::client::decode(stream.clone()).await?;
         self.stream = Some(stream);
         let body = head.take_body();
-        // The head keeps the declared length; taking its body would leave 0 there.
+        // Keeps the declared length in the head; taking the body alone would set it to 0.
         head.set_body(http_types::Body::from_reader(io::empty(), body.len()));
         Ok((head, BufReader::new(body)))
     }
 
-    /// Forgets the connection.
+    /// Drops the connection.
     pub fn close(&mut self) {
         self.stream = None;
     }
 
-    /// Sends a call with an optional JSON body and reads the whole answer.
+    /// Sends a call with an optional JSON body and reads the complete answer.
     ///
     /// # Errors
-    /// If there is no whole answer.
+    /// If there is no complete answer.
     pub async fn send<T: Serialize>(
         &mut self,
         method: Method,
@@ -138,10 +138,10 @@
         self.call(request).await
     }
 
-    /// GET without a body.
+    /// Sends a GET request and reads the complete answer.
     ///
     /// # Errors
-    /// If there is no whole answer.
+    /// If there is no complete answer.
     pub async fn get(&mut self, path: &str) -> Result<Answer, ClientError> {
         let request = self.request(Method::Get, path)?;
         self.call(request).await
--- a/crates/standins/src/http/mod.rs
+++ b/crates/standins/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as the stand-ins and the tools round them need it: a server that can cut its answers at a chosen
-//! byte, and a client with one connection that it keeps.
+//! HTTP/1.1 for the stand-ins and their tools: a server that can truncate its answers, and a client with one
+//! persistent connection.
 
 mod client;
 mod server;
--- a/crates/standins/src/http/server.rs
+++ b/crates/standins/src/http/server.rs
@@ -1,6 +1,6 @@
-//! The server: a keep-alive loop over async-h1's decoder and encoder.
+//! An HTTP server: a keep-alive loop around async-h1's decoder and encoder.
 //!
-//! async-h1's own accept loop can't leave an answer half sent, which is what a failing endpoint does; hence the loop here.
+//! async-h1's own accept loop can't send partial answers, which are needed to simulate a failing endpoint.
 
 use async_std::io;
 use async_std::net::{Shutdown, TcpListener, TcpStream};
@@ -15,21 +15,21 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-const MOST_BODY: u64 = 8 << 20;
+const MAX_BODY_BYTES: u64 = 8 << 20;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// A request with its body read.
 #[derive(Debug)]
 pub struct Call {
-    /// Number of the connection it came on.
+    /// The number of its connection.
     pub connection: u64,
-    /// Its head.
+    /// The head.
     pub request: Request,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// Where an answer is cut.
+/// Where an answer is truncated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cut {
     /// Inside the head.
@@ -40,21 +40,21 @@
     InBody,
 }
 
-/// What a handler wants to be sent.
+/// What the server sends for a call.
 #[derive(Debug)]
 pub enum Reply {
-    /// The whole answer.
+    /// The complete answer.
     Answer(Response),
-    /// A part of the answer; then the connection closes.
+    /// The first part of the answer; then the connection closes.
     Part(Response, Cut),
     /// Nothing; the connection closes.
     Close,
 }
 
-/// Answers calls.
+/// Handles calls.
 pub type Handler = Arc<dyn Fn(Call) -> BoxFuture<'static, Reply> + Send + Sync>;
 
-/// Open connections, so that a crash can cut them all.
+/// Open connections, so that a simulated crash can close them.
 #[derive(Debug, Default)]
 pub struct Connections {
     newest: AtomicU64,
@@ -62,23 +62,23 @@
 }
 
 impl Call {
-    /// Path of the call.
+    /// The path of the call.
     pub fn path(&self) -> &str {
         self.request.url().path()
     }
 
-    /// Method and path, for matching.
+    /// The method and path.
     pub fn route(&self) -> (Method, &str) {
         (self.request.method(), self.path())
     }
 
-    /// A parameter of the query.
+    /// A query parameter.
     pub fn query(&self, name: &str) -> Option<String> {
         let mut pairs = self.request.url().query_pairs();
         pairs.find(|(key, _)| key == name).map(|(_, value)| value.into_owned())
     }
 
-    /// A number in the query.
+    /// A numeric query parameter.
     pub fn query_number(&self, name: &str) -> Option<u64> {
         self.query(name)?.parse().ok()
     }
@@ -95,10 +95,10 @@
 }
 
 impl Connections {
-    /// Cuts every connection except `spared`.
-    pub fn cut_others(&self, spared: u64) {
-        let open = self.open.lock().expect("no holder panics");
-        for (_, stream) in open.iter().filter(|(number, _)| **number != spared) {
+    /// Closes every connection except `excluded`.
+    pub fn close_others(&self, excluded: u64) {
+        let open = self.open.lock().expect("mutex is not poisoned");
+        for (_, stream) in open.iter().filter(|(number, _)| **number != excluded) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -107,17 +107,17 @@
         let number = self.newest.fetch_add(1, Ordering::Relaxed);
         self.open
             .lock()
-            .expect("no holder panics")
+            .expect("mutex is not poisoned")
             .insert(number, stream.clone());
         number
     }
 
     fn remove(&self, number: u64) {
-        self.open.lock().expect("no holder panics").remove(&number);
+        self.open.lock().expect("mutex is not poisoned").remove(&number);
     }
 }
 
-/// A JSON answer.
+/// Creates a JSON answer.
 pub fn json<T: Serialize>(code: StatusCode, value: &T) -> Response {
     let mut response = Response::new(code);
     let text = serde_json::to_vec(value).expect("messages serialize");
@@ -126,7 +126,7 @@
     response
 }
 
-/// An answer without body.
+/// Creates an answer without a body.
 pub fn status(code: StatusCode) -> Reply {
     Reply::Answer(Response::new(code))
 }
@@ -138,7 +138,7 @@
     Ok((listener, local))
 }
 
-/// Prints the one line from which tests read the port.
+/// Prints the line from which tests read the address.
 pub fn announce(local: &str) {
     println!("listening on {local}");
 }
@@ -148,19 +148,19 @@
     loop {
         let (stream, _) = listener.accept().await?;
         let _ = stream.set_nodelay(true);
-        task::spawn(converse(stream, connections.clone(), handler.clone()));
+        task::spawn(serve_connection(stream, connections.clone(), handler.clone()));
     }
 }
 
-async fn converse(stream: TcpStream, connections: Arc<Connections>, handler: Handler) {
+async fn serve_connection(stream: TcpStream, connections: Arc<Connections>, handler: Handler) {
     let number = connections.add(&stream);
-    while let Ok(true) = one_call(&stream, number, &handler).await {}
+    while let Ok(true) = serve_call(&stream, number, &handler).await {}
     let _ = stream.shutdown(Shutdown::Both);
     connections.remove(number);
 }
 
-/// Serves one call; tells whether the connection may be kept.
-async fn one_call(stream: &TcpStream, connection: u64, handler: &Handler) -> http_types::Result<bool> {
+/// Serves one call. Returns whether the connection can be reused.
+async fn serve_call(stream: &TcpStream, connection: u64, handler: &Handler) -> http_types::Result<bool> {
     let Some((mut request, _rest)) = async_h1::server::decode(stream.clone()).await? else {
         return Ok(false);
     };
@@ -169,7 +169,7 @@
         .header("connection")
         .is_some_and(|v| v.last().as_str().eq_ignore_ascii_case("close"));
     let mut body = Vec::new();
-    request.take_body().take(MOST_BODY).read_to_end(&mut body).await?;
+    request.take_body().take(MAX_BODY_BYTES).read_to_end(&mut body).await?;
     let call = Call {
         connection,
         request,
@@ -187,14 +187,14 @@
             async_h1::server::Encoder::new(response, method)
                 .read_to_end(&mut bytes)
                 .await?;
-            writer.write_all(&bytes[..cut_length(&bytes, cut)]).await?;
+            writer.write_all(&bytes[..truncated_length(&bytes, cut)]).await?;
             Ok(false)
         }
         Reply::Close => Ok(false),
     }
 }
 
-fn cut_length(bytes: &[u8], cut: Cut) -> usize {
+fn truncated_length(bytes: &[u8], cut: Cut) -> usize {
     let found = bytes.windows(HEAD_END.len()).position(|window| window == HEAD_END);
     let head = found.map_or(bytes.len(), |at| at + HEAD_END.len());
     match cut {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for the platform, an engine and a plain service. Never shipped.
+//! Stand-ins for the platform, an engine and a plain service, for tests and demos. Not part of a release.
 //!
-//! Each is a process of its own with a fault switch over HTTP (`POST /fault`), so that a test or a person can use it.
+//! Each runs as its own process and injects faults on request over HTTP (`POST /fault`).
 
 pub mod engine;
 pub mod http;
--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! The platform: a key-value service with compare-and-swap, leases and watches, and a list of VMs that lags.
+//! The platform: a key-value store with compare-and-swap, leases and watches, and a list of VMs that can lag.
 //!
-//! Beyond the table in `wire::platform`: a missing key's 404 carries its [`Entry`], whose version is needed to write a
-//! deleted key again; a put that names a lapsed lease gets 404, a value above a megabyte 413.
+//! Beyond the table in `wire::platform`: the 404 for a missing key contains its [`Entry`], because writing a deleted
+//! key again needs its version. A put with an expired lease returns 404, a value above a megabyte 413.
 
 mod serve;
 mod store;
--- a/crates/standins/src/platform/serve.rs
+++ b/crates/standins/src/platform/serve.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP, with its faults.
+//! The platform's HTTP API and its injected faults.
 
 use super::store::{PutOutcome, Store};
 use crate::http::{self, Call, Reply, status};
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 use wire::platform::{Calls, Fault, Grant, LeaseRef, Put, VmList};
 
-const LEASE_TICK: Duration = Duration::from_millis(10);
-const LONGEST_WATCH_MS: u64 = 60_000;
+const LEASE_POLL: Duration = Duration::from_millis(10);
+const MAX_WATCH_MS: u64 = 60_000;
 
-/// The platform's stand-in: compare-and-swap, leases, watches and a list of VMs.
+/// Stand-in for the platform: a key-value store with leases and watches, and a list of VMs.
 #[derive(Debug, FromArgs)]
 pub struct Args {
     /// address to listen on
@@ -39,40 +39,40 @@
     list_lag: Duration,
 }
 
-/// Serves until the process is ended.
+/// Serves until the process ends.
 ///
 /// # Errors
-/// If the address can't be listened on.
+/// If the address can't be bound.
 pub async fn run(args: Args) -> std::io::Result<()> {
     let platform = Arc::new(Platform {
         start: Instant::now(),
         state: Mutex::default(),
     });
     let (listener, local) = http::bind(&args.listen).await?;
-    task::spawn(end_leases(platform.clone()));
+    task::spawn(expire_leases(platform.clone()));
     http::announce(&local.to_string());
     let handler = move |call: Call| -> futures::future::BoxFuture<'static, Reply> {
         let platform = platform.clone();
-        Box::pin(async move { platform.answer(call).await })
+        Box::pin(async move { platform.handle(call).await })
     };
     http::serve(listener, Arc::default(), Arc::new(handler)).await
 }
 
-async fn end_leases(platform: Arc<Platform>) {
+async fn expire_leases(platform: Arc<Platform>) {
     loop {
-        task::sleep(LEASE_TICK).await;
+        task::sleep(LEASE_POLL).await;
         drop(platform.lock());
     }
 }
 
 impl State {
-    fn changed(&mut self, key: &str) {
-        // A dropped sender wakes the watch that waits at its receiver.
+    fn wake_watches(&mut self, key: &str) {
+        // Dropping a sender wakes the watch that waits on its receiver.
         self.waiters.remove(key);
     }
 
-    /// A write took effect: its answer, or none if the fault switch says to lose it.
-    fn written(&mut self, reply: Reply) -> Reply {
+    /// The reply to an applied write, or a closed connection if the injected fault drops the reply.
+    fn reply_to_write(&mut self, reply: Reply) -> Reply {
         if self.lose_answers == 0 {
             return reply;
         }
@@ -86,17 +86,17 @@
         self.start.elapsed()
     }
 
-    /// The state with all leases ended that are over.
+    /// Locks the state after expiring leases that are due.
     fn lock(&self) -> MutexGuard<'_, State> {
-        let mut state = self.state.lock().expect("no holder panics");
-        let gone = state.store.expire(self.now());
-        for key in gone {
-            state.changed(&key);
+        let mut state = self.state.lock().expect("mutex is not poisoned");
+        let expired = state.store.expire(self.now());
+        for key in expired {
+            state.wake_watches(&key);
         }
         state
     }
 
-    async fn answer(&self, call: Call) -> Reply {
+    async fn handle(&self, call: Call) -> Reply {
         match call.route() {
             (Method::Post, "/fault") => return self.fault(&call),
             (Method::Get, "/v1/calls") => return ok(&self.lock().calls),
@@ -149,8 +149,8 @@
         state.calls.writes += 1;
         match state.store.put(&put) {
             PutOutcome::Done(entry) => {
-                state.changed(&put.key);
-                state.written(ok(&entry))
+                state.wake_watches(&put.key);
+                state.reply_to_write(ok(&entry))
             }
             PutOutcome::Conflict(entry) => Reply::Answer(http::json(StatusCode::Conflict, &entry)),
             PutOutcome::NoLease => status(StatusCode::NotFound),
@@ -170,25 +170,25 @@
             return status(StatusCode::BadRequest);
         };
         let after = call.query_number("after").unwrap_or(0);
-        let wait = Duration::from_millis(call.query_number("wait_ms").unwrap_or(0).min(LONGEST_WATCH_MS));
-        let ends = self.now() + wait;
+        let wait = Duration::from_millis(call.query_number("wait_ms").unwrap_or(0).min(MAX_WATCH_MS));
+        let deadline = self.now() + wait;
         self.lock().calls.watches += 1;
         self.lock().calls.reads += 1;
         loop {
-            let changed = match self.look(&key, after) {
+            let changed = match self.read_or_subscribe(&key, after) {
                 Ok(reply) => return reply,
                 Err(changed) => changed,
             };
-            let left = ends.saturating_sub(self.now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_sub(self.now());
+            if remaining.is_zero() {
                 return status(StatusCode::NoContent);
             }
-            let _ = future::timeout(left, changed.recv()).await;
+            let _ = future::timeout(remaining, changed.recv()).await;
         }
     }
 
-    /// The entry once it is newer than `after`, or else where its next change shows.
-    fn look(&self, key: &str, after: u64) -> Result<Reply, Receiver<()>> {
+    /// Returns the entry if it is newer than `after`, otherwise a receiver that closes at its next change.
+    fn read_or_subscribe(&self, key: &str, after: u64) -> Result<Reply, Receiver<()>> {
         let mut state = self.lock();
         let entry = state.store.get(key);
         if entry.version.0 > after {
@@ -209,7 +209,7 @@
         let mut state = self.lock();
         state.calls.writes += 1;
         let lease = state.store.grant(now, grant.ttl_ms);
-        state.written(ok(&lease))
+        state.reply_to_write(ok(&lease))
     }
 
     fn renew(&self, call: &Call) -> Reply {
@@ -222,7 +222,7 @@
         let Some(lease) = state.store.renew(now, lease.id) else {
             return status(StatusCode::NotFound);
         };
-        state.written(ok(&lease))
+        state.reply_to_write(ok(&lease))
     }
 
     fn revoke(&self, call: &Call) -> Reply {
@@ -232,9 +232,9 @@
         let mut state = self.lock();
         state.calls.writes += 1;
         for key in state.store.revoke(lease.id) {
-            state.changed(&key);
+            state.wake_watches(&key);
         }
-        state.written(status(StatusCode::NoContent))
+        state.reply_to_write(status(StatusCode::NoContent))
     }
 
     fn vms(&self) -> Reply {
@@ -242,7 +242,7 @@
         let mut state = self.lock();
         state.calls.reads += 1;
         let visible = state.lists.iter().rposition(|(since, _)| *since <= now);
-        // Lists before the visible one are never shown again.
+        // Lists older than the visible one are no longer needed.
         state.lists.drain(..visible.unwrap_or(0));
         match visible {
             Some(_) => ok(&state.lists[0].1),
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -1,53 +1,53 @@
-//! Keys, versions and leases. No clock: `now` is the time since the start.
+//! Keys, versions and leases. Reads no clock: `now` is the time since the start.
 
 use ids::Version;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::platform::{Entries, Entry, Lease, Put};
 
-const MOST_VALUE: usize = 1 << 20;
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// All keys and leases.
 #[derive(Debug, Default)]
 pub struct Store {
-    keys: BTreeMap<String, Kept>,
-    leases: BTreeMap<u64, Held>,
+    keys: BTreeMap<String, StoredValue>,
+    leases: BTreeMap<u64, LeaseState>,
     newest_lease: u64,
 }
 
-/// What became of a compare-and-swap.
+/// The outcome of a compare-and-swap.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// It took effect.
+    /// The value was written.
     Done(Entry),
     /// The key has another version.
     Conflict(Entry),
-    /// The lease it names has lapsed.
+    /// The lease has expired.
     NoLease,
     /// The value is larger than a megabyte.
     TooLarge,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct StoredValue {
     value: Option<String>,
     version: u64,
     lease: Option<u64>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct LeaseState {
     ttl: Duration,
-    ends: Duration,
+    expires_at: Duration,
 }
 
 impl Store {
-    /// The entry of `key`, version 0 if it never existed.
+    /// The entry of `key`, with version 0 if it never existed.
     pub fn get(&self, key: &str) -> Entry {
         let (value, version) = self
             .keys
             .get(key)
-            .map_or((None, 0), |kept| (kept.value.clone(), kept.version));
+            .map_or((None, 0), |stored| (stored.value.clone(), stored.version));
         Entry {
             key: key.to_owned(),
             value,
@@ -57,7 +57,7 @@
 
     /// Writes if the key has the expected version.
     pub fn put(&mut self, put: &Put) -> PutOutcome {
-        if put.value.as_ref().is_some_and(|value| value.len() > MOST_VALUE) {
+        if put.value.as_ref().is_some_and(|value| value.len() > MAX_VALUE_BYTES) {
             return PutOutcome::TooLarge;
         }
         if put.lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
@@ -67,65 +67,71 @@
         if current.version != put.expect {
             return PutOutcome::Conflict(current);
         }
-        let kept = Kept {
+        let stored = StoredValue {
             value: put.value.clone(),
             version: current.version.0 + 1,
             lease: put.lease,
         };
-        self.keys.insert(put.key.clone(), kept);
+        self.keys.insert(put.key.clone(), stored);
         PutOutcome::Done(self.get(&put.key))
     }
 
-    /// Existing entries below `prefix`, by key.
+    /// The existing entries with this key prefix, ordered by key.
     pub fn range(&self, prefix: &str) -> Entries {
         let from = self.keys.range(prefix.to_owned()..);
-        let below = from.take_while(|(key, _)| key.starts_with(prefix));
-        let present = below.filter(|(_, kept)| kept.value.is_some());
+        let matching = from.take_while(|(key, _)| key.starts_with(prefix));
+        let present = matching.filter(|(_, stored)| stored.value.is_some());
         Entries {
             entries: present.map(|(key, _)| self.get(key)).collect(),
         }
     }
 
-    /// A new lease.
+    /// Grants a new lease.
     pub fn grant(&mut self, now: Duration, ttl_ms: u64) -> Lease {
         self.newest_lease += 1;
         let ttl = Duration::from_millis(ttl_ms);
-        self.leases.insert(self.newest_lease, Held { ttl, ends: now + ttl });
+        self.leases.insert(
+            self.newest_lease,
+            LeaseState {
+                ttl,
+                expires_at: now + ttl,
+            },
+        );
         Lease {
             id: self.newest_lease,
             ttl_ms,
         }
     }
 
-    /// The lease with its full time again; none once it has lapsed.
+    /// Renews the lease for its full TTL. Returns `None` if it has expired.
     pub fn renew(&mut self, now: Duration, id: u64) -> Option<Lease> {
-        let held = self.leases.get_mut(&id)?;
-        held.ends = now + held.ttl;
-        let ttl_ms = u64::try_from(held.ttl.as_millis()).expect("came as milliseconds");
+        let state = self.leases.get_mut(&id)?;
+        state.expires_at = now + state.ttl;
+        let ttl_ms = u64::try_from(state.ttl.as_millis()).expect("TTL was given in milliseconds");
         Some(Lease { id, ttl_ms })
     }
 
-    /// Ends a lease; returns the keys that went with it.
+    /// Revokes a lease. Returns the keys that were deleted with it.
     pub fn revoke(&mut self, id: u64) -> Vec<String> {
         self.leases.remove(&id);
-        let mut gone = Vec::new();
-        for (key, kept) in &mut self.keys {
-            if kept.lease == Some(id) {
-                *kept = Kept {
+        let mut removed = Vec::new();
+        for (key, stored) in &mut self.keys {
+            if stored.lease == Some(id) {
+                *stored = StoredValue {
                     value: None,
-                    version: kept.version + 1,
+                    version: stored.version + 1,
                     lease: None,
                 };
-                gone.push(key.clone());
+                removed.push(key.clone());
             }
         }
-        gone
+        removed
     }
 
-    /// Ends all leases whose time is over; returns the keys that went with them.
+    /// Expires all leases that are due. Returns the keys that were deleted with them.
     pub fn expire(&mut self, now: Duration) -> Vec<String> {
-        let over = self.leases.iter().filter(|(_, held)| held.ends <= now);
-        let ids: Vec<u64> = over.map(|(id, _)| *id).collect();
+        let expired = self.leases.iter().filter(|(_, state)| state.expires_at <= now);
+        let ids: Vec<u64> = expired.map(|(id, _)| *id).collect();
         ids.into_iter().flat_map(|id| self.revoke(id)).collect()
     }
 }
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -1,41 +1,41 @@
-//! Starts a stand-in or a router as a process and learns its address from the line it prints.
+//! Starts a stand-in or a router as a child process and parses its address from the line that it prints.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-const ANNOUNCED: &str = "listening on ";
+const ADDRESS_PREFIX: &str = "listening on ";
 
-/// A process that serves; it is killed when dropped.
+/// A running server process, killed on drop.
 #[derive(Debug)]
 pub struct Running {
-    /// Where it serves.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// The line it printed; a router names its other addresses there as well.
+    /// The line that it printed. A router prints its other addresses there as well.
     pub line: String,
     child: Child,
 }
 
 impl Running {
-    /// Starts `program` and waits for the line that names its address.
+    /// Starts `program` and waits for the line with its address.
     ///
     /// # Errors
-    /// If it can't be started or ends without that line.
+    /// If the process can't be started or exits before it prints that line.
     pub fn start(program: &Path, args: &[&str]) -> io::Result<Self> {
         Self::start_with(Command::new(program).args(args))
     }
 
-    /// Starts `command` and waits for the line that names its address.
+    /// Starts `command` and waits for the line with its address.
     ///
     /// # Errors
-    /// If it can't be started or ends without that line.
+    /// If the process can't be started or exits before it prints that line.
     pub fn start_with(command: &mut Command) -> io::Result<Self> {
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()?;
         let mut line = String::new();
         let output = child.stdout.take().ok_or(io::ErrorKind::BrokenPipe)?;
         let read = BufReader::new(output).read_line(&mut line);
-        let mut words = line.strip_prefix(ANNOUNCED).unwrap_or_default().split_whitespace();
+        let mut words = line.strip_prefix(ADDRESS_PREFIX).unwrap_or_default().split_whitespace();
         let address = words.next().and_then(|text| text.parse().ok());
         match (read, address) {
             (Ok(_), Some(address)) => Ok(Self { address, line, child }),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// All addresses it named, of a stand-in with several copies.
+    /// All addresses that it printed: a stand-in with several copies has one for each.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.line
             .split_whitespace()
@@ -55,15 +55,15 @@
             .collect()
     }
 
-    /// Waits for its own end.
+    /// Waits for the process to exit.
     ///
     /// # Errors
-    /// If it can't be waited for.
+    /// If waiting for the process fails.
     pub fn wait(mut self) -> io::Result<ExitStatus> {
         self.child.wait()
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
--- a/crates/standins/src/service/mod.rs
+++ b/crates/standins/src/service/mod.rs
@@ -1,6 +1,6 @@
-//! A plain service that counts each call it acts on.
+//! A plain service that counts the calls it executes.
 //!
-//! Beyond the table in `wire::service`: a leaving runner answers 503 with `apricotfork-ran: not_run`.
+//! Beyond the table in `wire::service`: a draining runner answers 503 with `apricotfork-ran: not_run`.
 
 use crate::http::{self, Call, Cut, Reply, status};
 use argh::FromArgs;
@@ -12,25 +12,25 @@
 use wire::headers;
 use wire::service::{CutAt, Done, Executions, Fault, Load};
 
-const LONGEST_HANG: Duration = Duration::from_secs(120);
-const HANG_TICK: Duration = Duration::from_millis(20);
+const MAX_HANG: Duration = Duration::from_secs(120);
+const HANG_POLL: Duration = Duration::from_millis(20);
 
-/// The plain service's stand-in: counts executions and reports its load.
+/// Stand-in for a plain service: counts executions and reports its load.
 #[derive(Debug, FromArgs)]
 pub struct Args {
     /// address to listen on
     #[argh(option, default = "String::from(\"127.0.0.1:0\")")]
     pub listen: String,
-    /// this life's number; the time of the start in milliseconds by default
+    /// incarnation number; default: start time in milliseconds
     #[argh(option)]
     pub incarnation: Option<u64>,
-    /// milliseconds that each call takes
+    /// duration of each call in milliseconds
     #[argh(option, default = "0")]
     pub work_ms: u64,
-    /// calls that run at once
+    /// maximum number of concurrent calls
     #[argh(option, default = "32")]
     pub slots: u32,
-    /// how far the load report lags, milliseconds
+    /// interval between updates of the load report in milliseconds; 0: always current
     #[argh(option, default = "100")]
     pub report_lag_ms: u64,
 }
@@ -50,12 +50,12 @@
     fault: Fault,
 }
 
-/// Serves until the process is ended.
+/// Serves until the process ends.
 ///
 /// # Errors
-/// If the address can't be listened on.
+/// If the address can't be bound.
 pub async fn run(args: Args) -> std::io::Result<()> {
-    let incarnation = Incarnation(args.incarnation.unwrap_or_else(crate::engine::fresh_incarnation));
+    let incarnation = Incarnation(args.incarnation.unwrap_or_else(crate::engine::new_incarnation));
     let fault = Fault {
         work_ms: Some(args.work_ms),
         ..Fault::default()
@@ -70,16 +70,19 @@
         state,
     });
     let (listener, local) = http::bind(&args.listen).await?;
-    task::spawn(report(service.clone(), Duration::from_millis(args.report_lag_ms)));
+    task::spawn(update_report(
+        service.clone(),
+        Duration::from_millis(args.report_lag_ms),
+    ));
     http::announce(&local.to_string());
     let handler = move |call: Call| -> futures::future::BoxFuture<'static, Reply> {
         let service = service.clone();
-        Box::pin(async move { service.answer(call).await })
+        Box::pin(async move { service.handle(call).await })
     };
     http::serve(listener, Arc::default(), Arc::new(handler)).await
 }
 
-async fn report(service: Arc<Service>, lag: Duration) {
+async fn update_report(service: Arc<Service>, lag: Duration) {
     while !lag.is_zero() {
         let load = service.load();
         service.lock().report = Some(load);
@@ -89,10 +92,10 @@
 
 impl Service {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("mutex is not poisoned")
     }
 
-    async fn answer(&self, call: Call) -> Reply {
+    async fn handle(&self, call: Call) -> Reply {
         if call.route() == (Method::Post, "/fault") {
             return self.set_fault(&call);
         }
@@ -111,9 +114,9 @@
 
     async fn hang(&self) -> Reply {
         let mut waited = Duration::ZERO;
-        while self.lock().fault.hang == Some(true) && waited < LONGEST_HANG {
-            task::sleep(HANG_TICK).await;
-            waited += HANG_TICK;
+        while self.lock().fault.hang == Some(true) && waited < MAX_HANG {
+            task::sleep(HANG_POLL).await;
+            waited += HANG_POLL;
         }
         Reply::Close
     }
@@ -161,7 +164,7 @@
         Some(state.fault.cut_at.unwrap_or(CutAt::BeforeHead))
     }
 
-    /// Acts on the call: from here on it counts as executed.
+    /// Counts the call as executed and returns the result.
     fn execute(&self, call: &Call) -> Done {
         let key = call.header(headers::IDEMPOTENCY_KEY).map(str::to_owned);
         let request = call.header(headers::REQUEST_ID).map(str::to_owned);
--- a/crates/standins/tests/cache.rs
+++ b/crates/standins/tests/cache.rs
@@ -1,4 +1,4 @@
-//! The engine's block cache: scopes, whole blocks, and what is evicted first.
+//! Tests of the engine's block cache: scopes, full blocks and eviction order.
 
 use placement::{PrefixChain, Scope};
 use standins::engine::{BlockCache, Change, chain};
@@ -6,22 +6,22 @@
 const BLOCK: usize = 4;
 
 struct Case {
-    what: &'static str,
+    name: &'static str,
     capacity: usize,
-    /// Scope and prompt, stored in this order.
+    /// Scopes and prompts, in the order in which they are stored.
     stored: &'static [(&'static str, &'static str)],
-    /// Scope, prompt, and how many of its blocks are then found.
-    found: &'static [(&'static str, &'static str, usize)],
-    /// Blocks evicted on the way.
+    /// Scope, prompt and the expected number of cached blocks.
+    lookups: &'static [(&'static str, &'static str, usize)],
+    /// The expected number of evictions.
     evicted: usize,
 }
 
 const CASES: &[Case] = &[
     Case {
-        what: "a shared start is found as far as it is shared, in whole blocks",
+        name: "a shared prefix is found in full blocks only",
         capacity: 8,
         stored: &[("s", "aaaabbbbcc")],
-        found: &[
+        lookups: &[
             ("s", "aaaabbbbcc", 2),
             ("s", "aaaabbbbcccc", 2),
             ("s", "aaaaxxxx", 1),
@@ -31,37 +31,37 @@
         evicted: 0,
     },
     Case {
-        what: "another scope finds nothing",
+        name: "blocks of another scope are not found",
         capacity: 8,
         stored: &[("s", "aaaa")],
-        found: &[("t", "aaaa", 0), ("s", "aaaa", 1)],
+        lookups: &[("t", "aaaa", 0), ("s", "aaaa", 1)],
         evicted: 0,
     },
     Case {
-        what: "the least recently used goes first",
+        name: "the least recently used block is evicted first",
         capacity: 2,
         stored: &[("s", "aaaa"), ("s", "bbbb"), ("s", "aaaa"), ("s", "cccc")],
-        found: &[("s", "aaaa", 1), ("s", "bbbb", 0), ("s", "cccc", 1)],
+        lookups: &[("s", "aaaa", 1), ("s", "bbbb", 0), ("s", "cccc", 1)],
         evicted: 1,
     },
     Case {
-        what: "a chain loses its tail before its start",
+        name: "the tail of a chain is evicted before its start",
         capacity: 3,
         stored: &[("s", "aaaabbbbcccc"), ("s", "xxxx")],
-        found: &[("s", "aaaabbbbcccc", 2)],
+        lookups: &[("s", "aaaabbbbcccc", 2)],
         evicted: 1,
     },
     Case {
-        what: "of a chain longer than the cache the start is kept",
+        name: "the start of a chain longer than the cache is cached",
         capacity: 2,
         stored: &[("s", "aaaabbbbcccc")],
-        found: &[("s", "aaaabbbbcccc", 2)],
+        lookups: &[("s", "aaaabbbbcccc", 2)],
         evicted: 0,
     },
 ];
 
 #[test]
-fn blocks_found_and_evicted() {
+fn cache_finds_and_evicts_the_expected_blocks() {
     for case in CASES {
         check(case);
     }
@@ -77,13 +77,13 @@
             .filter(|change| matches!(change, Change::Evicted(_)))
             .count();
     }
-    assert_eq!(evicted, case.evicted, "{}", case.what);
-    for (scope, prompt, blocks) in case.found {
+    assert_eq!(evicted, case.evicted, "{}", case.name);
+    for (scope, prompt, blocks) in case.lookups {
         assert_eq!(
             cache.matched(scope, &hashes(scope, prompt)),
             *blocks,
             "{}: {prompt}",
-            case.what
+            case.name
         );
     }
 }
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn every_part_of_the_seed_counts() {
+fn hash_depends_on_scope_model_and_weights() {
     let seeds = [["s", "m", "w"], ["t", "m", "w"], ["s", "n", "w"], ["s", "m", "x"]];
     let hashes = seeds.map(|seed| chain(seed, b"aaaa", BLOCK)[0]);
     for (at, hash) in hashes.iter().enumerate() {
@@ -101,9 +101,9 @@
     }
 }
 
-// Router and engine name a block by its hash; were they to differ, no cache event would ever match a prompt.
+// Router and engine identify a block by its hash. If the hashes differ, no cache event matches a prompt.
 #[test]
-fn hashes_are_those_of_the_router() {
+fn hashes_match_those_of_the_router() {
     let (workspace, model, weights) = ("s".into(), "model".into(), "w1".into());
     let scope = Scope {
         workspace: &workspace,
--- a/crates/standins/tests/processes.rs
+++ b/crates/standins/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes, called over HTTP.
+//! Tests of the stand-ins as processes, called over HTTP.
 
 use async_std::task::block_on;
 use http_types::{Method, Request};
@@ -10,7 +10,7 @@
 use wire::platform::{Calls, Entry};
 
 const PIECES: u64 = 6;
-const HALF_A_WATCH: Duration = Duration::from_secs(30);
+const HALF_WATCH: Duration = Duration::from_secs(30);
 
 fn engine() -> Running {
     Running::start(Path::new(env!("CARGO_BIN_EXE_standin-engine")), &["--incarnation", "7"]).expect("starts")
@@ -32,7 +32,7 @@
     client.call(request).await.expect("answers")
 }
 
-/// Texts of the events, with their numbers.
+/// The numbers and texts of the events.
 fn pieces(body: &[u8]) -> Vec<(u64, String)> {
     let text = std::str::from_utf8(body).expect("UTF-8");
     let events = text
@@ -48,15 +48,15 @@
     numbered.collect()
 }
 
-// A stream breaks and the rest is asked for again. Were the second part another text, or did it start elsewhere, the
-// caller would read words twice or miss some.
+// A client resumes a broken stream. If the second part had another text or another start, the client would receive
+// text twice or miss some.
 #[test]
-fn a_resumed_stream_is_the_rest_of_the_whole_one() {
+fn resumed_stream_equals_the_rest_of_the_complete_stream() {
     block_on(async {
         let engine = engine();
         let mut client = Client::new(engine.address);
-        let whole = client.call(completion(&client, 0)).await.expect("answers");
-        let all = pieces(&whole.body);
+        let complete = client.call(completion(&client, 0)).await.expect("answers");
+        let all = pieces(&complete.body);
         assert_eq!(all.len() as u64, PIECES + 1);
         for from in 0..=PIECES {
             let rest = client.call(completion(&client, from)).await.expect("answers");
@@ -75,9 +75,9 @@
     });
 }
 
-// An engine dies in the middle of a stream. A client that took the part for the whole would show half an answer.
+// An engine fails during a stream. A client that takes the truncated answer for a complete one would show half of it.
 #[test]
-fn a_broken_stream_is_an_error_at_the_client() {
+fn client_reports_an_error_for_a_broken_stream() {
     block_on(async {
         let engine = engine();
         for at in 0..=PIECES {
@@ -94,9 +94,9 @@
     });
 }
 
-// The platform acts on a write and its answer is lost; a client that writes again meets its own value.
+// The platform applies a write and its answer is lost. A client that retries the write gets a conflict with its own value.
 #[test]
-fn a_lost_answer_leaves_its_write_and_wakes_the_watch() {
+fn write_with_lost_answer_is_applied_and_wakes_the_watch() {
     block_on(async {
         let platform = Running::start(Path::new(env!("CARGO_BIN_EXE_standin-platform")), &[]).expect("starts");
         let mut writer = Client::new(platform.address);
@@ -121,8 +121,10 @@
         assert!(writer.send(Method::Put, "/v1/kv", Some(&put)).await.is_err());
         writer.close();
         let again = writer.send(Method::Put, "/v1/kv", Some(&put)).await.expect("answers");
-        // A watch that isn't woken would still show the entry at its end, a minute later.
-        let woken = async_std::future::timeout(HALF_A_WATCH, watch).await.expect("is woken");
+        // A watch that is not woken would return the entry only at its timeout, a minute later.
+        let woken = async_std::future::timeout(HALF_WATCH, watch)
+            .await
+            .expect("watch is woken");
         let seen: Entry = woken.expect("answers").json().expect("an entry");
         assert_eq!((again.status(), again.json::<Entry>().expect("an entry")), (409, seen));
         let calls: Calls = writer.get("/v1/calls").await.expect("answers").json().expect("counts");
--- a/crates/standins/tests/store.rs
+++ b/crates/standins/tests/store.rs
@@ -1,4 +1,4 @@
-//! The platform's keys and leases, step by step.
+//! Tests of the platform's keys and leases as sequences of steps.
 
 use ids::Version;
 use standins::platform::{PutOutcome, Store};
@@ -6,7 +6,7 @@
 use wire::platform::Put;
 
 enum Step {
-    /// Key, value, expected version, lease; the key's version afterwards or why nothing was written.
+    /// Key, value, expected version, lease; the new version or the reason for the refusal.
     Put(
         &'static str,
         Option<&'static str>,
@@ -14,29 +14,29 @@
         Option<u64>,
         Result<u64, Refused>,
     ),
-    /// Time to live; the lease's id.
+    /// TTL in milliseconds; the id of the new lease.
     Grant(u64, u64),
-    /// Lease, whether it is still there.
+    /// Lease; whether it still exists.
     Renew(u64, bool),
-    /// Lease, keys that go with it.
+    /// Lease; the keys that are deleted with it.
     Revoke(u64, &'static [&'static str]),
-    /// Keys that have gone by now.
+    /// The keys that are deleted by expiry.
     Expire(&'static [&'static str]),
-    /// Key, value and version.
+    /// Key; value and version.
     Get(&'static str, Option<&'static str>, u64),
-    /// Prefix, keys below it.
+    /// Prefix; the keys that start with it.
     Range(&'static str, &'static [&'static str]),
 }
 
 #[derive(Debug, PartialEq)]
 enum Refused {
-    /// The version it has.
+    /// The current version of the key.
     Has(u64),
     NoLease,
 }
 
 struct Case {
-    what: &'static str,
+    name: &'static str,
     /// Milliseconds since the start, step.
     steps: &'static [(u64, Step)],
 }
@@ -46,7 +46,7 @@
 
 const CASES: &[Case] = &[
     Case {
-        what: "a write needs the version the key has",
+        name: "a write needs the current version of the key",
         steps: &[
             (0, Get("a", None, 0)),
             (0, Write("a", Some("x"), 1, None, Err(Has(0)))),
@@ -57,7 +57,7 @@
         ],
     },
     Case {
-        what: "a deleted key keeps its version",
+        name: "a deleted key keeps its version",
         steps: &[
             (0, Write("a", Some("x"), 0, None, Ok(1))),
             (0, Write("a", None, 1, None, Ok(2))),
@@ -68,7 +68,7 @@
         ],
     },
     Case {
-        what: "a lease takes its keys along when it lapses",
+        name: "an expired lease deletes its keys",
         steps: &[
             (0, Grant(100, 1)),
             (0, Write("a", Some("x"), 0, Some(1), Ok(1))),
@@ -82,7 +82,7 @@
         ],
     },
     Case {
-        what: "a key written again without the lease, or under another one, stays",
+        name: "a key rewritten without the lease or under another lease is not deleted",
         steps: &[
             (0, Grant(100, 1)),
             (0, Write("a", Some("x"), 0, Some(1), Ok(1))),
@@ -98,7 +98,7 @@
 ];
 
 #[test]
-fn keys_and_leases() {
+fn store_applies_versions_and_leases() {
     for case in CASES {
         check(case);
     }
@@ -108,7 +108,7 @@
     let mut store = Store::default();
     for (number, (at, step)) in case.steps.iter().enumerate() {
         let now = Duration::from_millis(*at);
-        let at = format!("{}, step {number}", case.what);
+        let at = format!("{}, step {number}", case.name);
         match step {
             Write(key, value, expect, lease, outcome) => {
                 let value = value.map(str::to_owned);
@@ -118,12 +118,12 @@
                     expect: Version(*expect),
                     lease: *lease,
                 };
-                assert_eq!(short(store.put(&put)), *outcome, "{at}");
+                assert_eq!(version_or_refusal(store.put(&put)), *outcome, "{at}");
             }
             Grant(ttl, id) => assert_eq!(store.grant(now, *ttl).id, *id, "{at}"),
-            Renew(id, there) => assert_eq!(store.renew(now, *id).is_some(), *there, "{at}"),
-            Revoke(id, gone) => assert_eq!(store.revoke(*id), *gone, "{at}"),
-            Expire(gone) => assert_eq!(store.expire(now), *gone, "{at}"),
+            Renew(id, exists) => assert_eq!(store.renew(now, *id).is_some(), *exists, "{at}"),
+            Revoke(id, removed) => assert_eq!(store.revoke(*id), *removed, "{at}"),
+            Expire(removed) => assert_eq!(store.expire(now), *removed, "{at}"),
             Get(key, value, version) => {
                 let entry = store.get(key);
                 assert_eq!((entry.value.as_deref(), entry.version.0), (*value, *version), "{at}");
@@ -137,11 +137,11 @@
     }
 }
 
-fn short(outcome: PutOutcome) -> Result<u64, Refused> {
+fn version_or_refusal(outcome: PutOutcome) -> Result<u64, Refused> {
     match outcome {
         PutOutcome::Done(entry) => Ok(entry.version.0),
         PutOutcome::Conflict(entry) => Err(Has(entry.version.0)),
         PutOutcome::NoLease => Err(NoLease),
-        PutOutcome::TooLarge => panic!("no case writes that much"),
+        PutOutcome::TooLarge => panic!("no case writes a value above the limit"),
     }
 }
