--- a/crates/experiment/src/cost/mod.rs
+++ b/crates/experiment/src/cost/mod.rs
@@ -1,4 +1,4 @@
-//! What one decision costs: a choice, what is learnt from the reply, and the hashes of the prompt before.
+//! Measures the cost of one placement decision: hashing the prompt, choosing an endpoint and learning from the reply.
 
 use crate::workload::mix;
 use hdrhistogram::Histogram;
@@ -6,23 +6,23 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-/// Decisions timed for each row.
+/// Measured decisions per row.
 const DECISIONS: u64 = 20_000;
-/// Decisions before the timing, in which buffers and the index grow.
+/// Decisions before the measurement, while buffers and the index grow.
 const WARM_UP: u64 = 2_000;
 /// Distinct prompts.
 const PROMPTS: u64 = 256;
 /// Bytes of a block.
 const BLOCK_BYTES: usize = 4096;
 
-/// Figures of one number of endpoints and blocks.
+/// Measurements for one combination of endpoints and blocks.
 #[derive(Debug, Clone)]
 struct Cost {
     estimate: Histogram<u64>,
     choose: Histogram<u64>,
     learn: Histogram<u64>,
     hash: Histogram<u64>,
-    grown: u64,
+    allocations: u64,
 }
 
 impl Cost {
@@ -33,12 +33,12 @@
             choose: times.clone(),
             learn: times.clone(),
             hash: times,
-            grown: 0,
+            allocations: 0,
         }
     }
 }
 
-/// One table row for each number of endpoints and blocks.
+/// Measures and formats one table row per combination of endpoints and blocks.
 pub fn table() -> String {
     let mut text = String::from(
         "| endpoints | blocks | estimate all µs, median | choose µs, median | p99 | learn µs, median | hash the prompt µs, median | choices that \
@@ -54,7 +54,7 @@
             writeln!(
                 text,
                 "| {endpoints} | {blocks} | {estimate:.2} | {choose:.2} | {slow:.2} | {learn:.2} | {hash:.2} | {} |",
-                cost.grown
+                cost.allocations
             )
             .expect("writing to a string does not fail");
         }
@@ -97,7 +97,7 @@
         });
         let scratch = placer.scratch_capacity();
         let choice = timed(&mut cost.choose, || placer.choose(chain, &candidates, now, mix(number)));
-        cost.grown += u64::from(placer.scratch_capacity() != scratch);
+        cost.allocations += u64::from(placer.scratch_capacity() != scratch);
         timed(&mut cost.hash, || {
             PrefixChain::from_seed(number, &text, BLOCK_BYTES, &ends)
         });
@@ -110,9 +110,9 @@
     cost
 }
 
-fn timed<T>(times: &mut Histogram<u64>, act: impl FnOnce() -> T) -> T {
+fn timed<T>(times: &mut Histogram<u64>, operation: impl FnOnce() -> T) -> T {
     let begin = Instant::now();
-    let result = std::hint::black_box(act());
+    let result = std::hint::black_box(operation());
     times
         .record(begin.elapsed().as_nanos() as u64)
         .expect("the histogram grows");
--- a/crates/experiment/src/deployment/mod.rs
+++ b/crates/experiment/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! Sizes of the two deployments and the cost model's figures.
+//! Sizes of the two deployments and parameters of the cost model.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
     pub engines: usize,
     /// Routers, spread evenly over the domains.
     pub routers: usize,
-    /// One way between failure domains.
-    pub crossing: Duration,
+    /// One-way delay between failure domains.
+    pub domain_delay: Duration,
     /// Workspaces.
     pub workspaces: usize,
-    /// Blocks an engine can cache (assumed: little enough that an unused block is evicted within seconds).
+    /// Blocks an engine can cache; small enough that an unused block is evicted within seconds.
     pub cache: usize,
 }
 
@@ -27,7 +27,7 @@
     domains: 4,
     engines: 12,
     routers: 14,
-    crossing: Duration::from_micros(1500),
+    domain_delay: Duration::from_micros(1500),
     workspaces: 8,
     cache: CACHE_BLOCKS,
 };
@@ -38,25 +38,25 @@
     domains: 3,
     engines: 9,
     routers: 13,
-    crossing: Duration::from_micros(1000),
+    domain_delay: Duration::from_micros(1000),
     workspaces: 8,
     cache: CACHE_BLOCKS,
 };
 
-/// One way between a caller and its router.
-pub const CLIENT: Duration = Duration::from_millis(3);
+/// One-way delay between a client and its router.
+pub const CLIENT_DELAY: Duration = Duration::from_millis(3);
 /// Tokens of a block.
 pub const BLOCK_TOKENS: u32 = 1024;
-/// Tokens a second that an engine prefills (assumed; a small machine).
+/// Tokens per second that an engine prefills on a small machine.
 pub const PREFILL_RATE: f64 = 20_000.0;
-/// Time of an engine's step besides prefill and decoding (assumed).
-pub const STEP: Duration = Duration::from_millis(8);
-/// Added to a step for each sequence that decodes (assumed).
-pub const DECODE: Duration = Duration::from_micros(300);
-/// Sequences an engine runs at once (assumed).
+/// Time of an engine's step besides prefill and decoding.
+pub const STEP_TIME: Duration = Duration::from_millis(8);
+/// Added to a step for each sequence that decodes.
+pub const DECODE_TIME: Duration = Duration::from_micros(300);
+/// Sequences an engine runs at once.
 pub const SLOTS: usize = 32;
 const CACHE_BLOCKS: usize = 192;
-/// Time between two load reports of an engine (assumed).
-pub const REPORT_EVERY: Duration = Duration::from_millis(500);
-/// How late a report reaches a router (assumed).
+/// Time between two load reports of an engine.
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay until a report reaches a router.
 pub const REPORT_LAG: Duration = Duration::from_millis(250);
--- a/crates/experiment/src/engine/cache.rs
+++ b/crates/experiment/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! Block cache with least-recently-used eviction.
+//! Block cache with LRU eviction.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
@@ -11,8 +11,8 @@
     used: Duration,
 }
 
-/// Cached blocks of one engine. Blocks in use are pinned; of the others the longest unused goes first, the deepest first
-/// among equals, so that a block never outlives what it follows.
+/// Cached blocks of one engine. Blocks in use are pinned. Of the others, the least recently used block is evicted first.
+/// Ties evict the deepest block first, so that a block is never cached without its predecessors.
 #[derive(Debug, Clone)]
 pub struct Cache {
     capacity: usize,
@@ -23,7 +23,7 @@
 }
 
 impl Cache {
-    /// An empty cache of `capacity` blocks.
+    /// Creates an empty cache of `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Most blocks it holds.
+    /// The maximum number of cached blocks.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
@@ -44,7 +44,7 @@
         self.entries.contains_key(&block)
     }
 
-    /// Leading blocks that are cached.
+    /// The number of leading blocks that are cached.
     pub fn matched(&self, blocks: &[u64]) -> usize {
         blocks.iter().take_while(|block| self.holds(**block)).count()
     }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Gives up one pin of each block.
+    /// Removes one pin from each block.
     pub fn unpin(&mut self, blocks: &[u64], now: Duration) {
         for block in blocks {
             let Some(entry) = self.entries.get_mut(block) else {
@@ -77,7 +77,7 @@
         self.evict(now);
     }
 
-    /// Stores a block that was computed, pinned once.
+    /// Stores a computed block and pins it once.
     pub fn insert(&mut self, block: u64, depth: usize, now: Duration) {
         if self.holds(block) {
             self.pin(&[block]);
@@ -94,7 +94,7 @@
         self.evict(now);
     }
 
-    /// How many blocks were evicted, and the seconds in all since their last use.
+    /// The number of evicted blocks, and the total seconds from last use to eviction.
     pub fn evictions(&self) -> (u64, f64) {
         (self.evicted, self.idle)
     }
--- a/crates/experiment/src/engine/mod.rs
+++ b/crates/experiment/src/engine/mod.rs
@@ -7,32 +7,32 @@
 pub use sequence::Sequence;
 
 use self::sequence::{chunk, shared};
-use crate::deployment::{BLOCK_TOKENS, DECODE, PREFILL_RATE, SLOTS, STEP};
+use crate::deployment::{BLOCK_TOKENS, DECODE_TIME, PREFILL_RATE, SLOTS, STEP_TIME};
 use placement::PrefixChain;
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
 
-/// Progress is told each time this many tokens have come.
-const MORE: u64 = 16;
+/// Progress is reported once per this many generated tokens.
+const PROGRESS_TOKENS: u64 = 16;
 
-/// What a step brought about.
+/// Progress made in a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// The first token, with the blocks that were found in the cache.
+    /// The first token was generated.
     First {
         /// Number of the request.
         request: usize,
-        /// Blocks found.
+        /// Blocks found in the cache.
         cached: usize,
     },
-    /// Some more tokens.
+    /// More tokens were generated.
     More {
         /// Number of the request.
         request: usize,
         /// Tokens generated so far.
         generated: u64,
     },
-    /// The last token.
+    /// The last token was generated.
     Last {
         /// Number of the request.
         request: usize,
@@ -44,16 +44,16 @@
     },
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Life of the engine; grows with each crash.
+    /// Incarnation of the engine, incremented at each crash.
     pub incarnation: u64,
-    /// Whether it answers.
+    /// Whether the engine responds.
     pub alive: bool,
-    /// Steps take this many times as long.
-    pub slowness: f64,
-    /// Whether a step is under way.
+    /// Factor by which steps are slowed down.
+    pub slowdown: f64,
+    /// Whether a step is in progress.
     pub stepping: bool,
     cache: Cache,
     waiting: VecDeque<Sequence>,
@@ -63,12 +63,12 @@
 }
 
 impl Engine {
-    /// An idle engine that caches up to `blocks`.
+    /// Creates an idle engine that caches up to `blocks`.
     pub fn new(blocks: usize) -> Self {
         Self {
             incarnation: 1,
             alive: true,
-            slowness: 1.0,
+            slowdown: 1.0,
             stepping: false,
             cache: Cache::new(blocks),
             waiting: VecDeque::new(),
@@ -78,12 +78,12 @@
         }
     }
 
-    /// A request was sent here.
+    /// Records a request that is on its way to the engine.
     pub fn send(&mut self, sequence: Sequence) {
         self.inbound.push(sequence);
     }
 
-    /// A request that was sent arrived.
+    /// Queues a request that has arrived.
     pub fn arrive(&mut self, request: usize) {
         let Some(at) = self.inbound.iter().position(|sequence| sequence.request == request) else {
             return;
@@ -91,22 +91,22 @@
         self.waiting.push_back(self.inbound.remove(at));
     }
 
-    /// Requests inside.
+    /// The number of waiting and running requests.
     pub fn requests(&self) -> usize {
         self.waiting.len() + self.running.len()
     }
 
-    /// Prompt tokens still to be prefilled, as the engine reports them.
-    pub fn prefill_left(&self) -> u64 {
-        self.tokens_left(self.running.iter().chain(&self.waiting))
+    /// The prompt tokens still to be prefilled, as the engine reports them.
+    pub fn remaining_prefill(&self) -> u64 {
+        self.remaining_tokens(self.running.iter().chain(&self.waiting))
     }
 
-    /// Like [`Engine::prefill_left`], with requests on their way here: only the oracle knows them.
-    pub fn prefill_coming(&self) -> u64 {
-        self.tokens_left(self.running.iter().chain(&self.waiting).chain(&self.inbound))
+    /// Like [`Engine::remaining_prefill`], including requests still on their way. Only the oracle uses this value.
+    pub fn expected_prefill(&self) -> u64 {
+        self.remaining_tokens(self.running.iter().chain(&self.waiting).chain(&self.inbound))
     }
 
-    fn tokens_left<'a>(&self, sequences: impl Iterator<Item = &'a Sequence>) -> u64 {
+    fn remaining_tokens<'a>(&self, sequences: impl Iterator<Item = &'a Sequence>) -> u64 {
         let mut seen = HashSet::new();
         let mut tokens = 0;
         for sequence in sequences.filter(|sequence| !sequence.prefilled) {
@@ -119,10 +119,10 @@
         tokens
     }
 
-    /// Blocks of `chain` that will be in the cache when a request sent now gets its turn.
-    pub fn will_hold(&self, chain: &PrefixChain) -> usize {
-        let coming = self.running.iter().chain(&self.waiting).chain(&self.inbound);
-        let shared = coming
+    /// Number of leading blocks of `chain` expected in the cache when a request sent now is prefilled.
+    pub fn expected_cached(&self, chain: &PrefixChain) -> usize {
+        let pending = self.running.iter().chain(&self.waiting).chain(&self.inbound);
+        let shared = pending
             .filter(|sequence| !sequence.prefilled)
             .map(|sequence| shared(&sequence.chain, chain));
         shared.max().unwrap_or(0).max(self.cache.matched(chain.blocks()))
@@ -133,18 +133,18 @@
         self.cache.holds(block)
     }
 
-    /// Time spent in steps so far.
+    /// The total time spent in steps.
     pub fn busy(&self) -> Duration {
         self.busy
     }
 
-    /// Ages of evicted blocks: how many, and seconds in all since their last use.
+    /// The number of evicted blocks, and the total seconds from last use to eviction.
     pub fn evictions(&self) -> (u64, f64) {
         self.cache.evictions()
     }
 
-    /// Starts a step if there is work; returns how long it takes.
-    pub fn start(&mut self) -> Option<Duration> {
+    /// Starts a step if there is work; returns its duration.
+    pub fn start_step(&mut self) -> Option<Duration> {
         if self.stepping || !self.alive {
             return None;
         }
@@ -160,20 +160,20 @@
             .find(|sequence| !sequence.prefilled)
             .map_or(0, chunk);
         let prefill = Duration::from_secs_f64(f64::from(chunk) / PREFILL_RATE);
-        let length = (STEP + DECODE * decoding + prefill).mul_f64(self.slowness);
+        let length = (STEP_TIME + DECODE_TIME * decoding + prefill).mul_f64(self.slowdown);
         self.stepping = true;
         self.busy += length;
         Some(length)
     }
 
-    /// Ends the step under way.
-    pub fn end(&mut self, now: Duration, progress: &mut Vec<Progress>) {
+    /// Ends the step in progress.
+    pub fn end_step(&mut self, now: Duration, progress: &mut Vec<Progress>) {
         self.stepping = false;
         let chunked = self.running.iter().position(|sequence| !sequence.prefilled);
         for sequence in self.running.iter_mut().filter(|sequence| sequence.prefilled) {
-            sequence.left = sequence.left.saturating_sub(1);
-            let generated = u64::from(sequence.output - sequence.left);
-            if generated.is_multiple_of(MORE) {
+            sequence.remaining = sequence.remaining.saturating_sub(1);
+            let generated = u64::from(sequence.output - sequence.remaining);
+            if generated.is_multiple_of(PROGRESS_TOKENS) {
                 progress.push(Progress::More {
                     request: sequence.request,
                     generated,
@@ -183,12 +183,12 @@
         if let Some(at) = chunked {
             self.end_chunk(at, now, progress);
         }
-        let (ended, going) = std::mem::take(&mut self.running)
+        let (finished, unfinished) = std::mem::take(&mut self.running)
             .into_iter()
-            .partition(|it| it.prefilled && it.left == 0);
-        self.running = going;
-        let ended: Vec<Sequence> = ended;
-        for sequence in ended {
+            .partition(|sequence| sequence.prefilled && sequence.remaining == 0);
+        self.running = unfinished;
+        let finished: Vec<Sequence> = finished;
+        for sequence in finished {
             self.cache.unpin(&sequence.chain.blocks()[..sequence.done], now);
             progress.push(Progress::Last {
                 request: sequence.request,
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Crashes: everything inside is lost; returns the requests that were.
+    /// Crashes and discards all state. Returns the lost requests.
     pub fn crash(&mut self) -> Vec<usize> {
         let lost = self
             .inbound
@@ -224,7 +224,7 @@
         }
     }
 
-    /// The sequence whose prefill is next skips what is cached by now.
+    /// Skips blocks of the next sequence to prefill that are cached by now.
     fn reuse(&mut self) {
         let Some(sequence) = self.running.iter_mut().find(|sequence| !sequence.prefilled) else {
             return;
@@ -246,7 +246,7 @@
             return;
         }
         sequence.prefilled = true;
-        sequence.left = sequence.left.saturating_sub(1);
+        sequence.remaining = sequence.remaining.saturating_sub(1);
         progress.push(Progress::First {
             request: sequence.request,
             cached: sequence.cached,
--- a/crates/experiment/src/engine/sequence.rs
+++ b/crates/experiment/src/engine/sequence.rs
@@ -1,22 +1,22 @@
-//! A request inside an engine.
+//! A request in an engine.
 
 use crate::deployment::BLOCK_TOKENS;
 use placement::PrefixChain;
 use std::rc::Rc;
 
-/// A request inside an engine.
+/// A request in an engine.
 #[derive(Debug, Clone)]
 pub struct Sequence {
     /// Number of the request.
     pub request: usize,
     /// The prompt's blocks.
     pub chain: Rc<PrefixChain>,
-    /// Prompt tokens after the last whole block.
+    /// Prompt tokens after the last full block.
     pub tail: u32,
-    /// Tokens to generate in all.
+    /// Total tokens to generate.
     pub output: u32,
     /// Tokens still to be generated.
-    pub left: u32,
+    pub remaining: u32,
     /// Blocks found in the cache.
     pub cached: usize,
     pub(super) done: usize,
@@ -24,14 +24,14 @@
 }
 
 impl Sequence {
-    /// A request on its way.
+    /// Creates a sequence that has not started.
     pub fn new(request: usize, chain: Rc<PrefixChain>, tail: u32, output: u32) -> Self {
         Self {
             request,
             chain,
             tail,
             output,
-            left: output,
+            remaining: output,
             cached: 0,
             done: 0,
             prefilled: false,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Leading blocks that two chains have in common.
+/// The number of leading blocks that two chains share.
 pub(super) fn shared(one: &PrefixChain, other: &PrefixChain) -> usize {
     one.blocks()
         .iter()
@@ -48,7 +48,7 @@
         .count()
 }
 
-/// Prompt tokens that `sequence` prefills in one step.
+/// The prompt tokens that `sequence` prefills in one step.
 pub(super) fn chunk(sequence: &Sequence) -> u32 {
     if sequence.done < sequence.chain.blocks().len() {
         BLOCK_TOKENS
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -1,7 +1,7 @@
-//! Deterministic experiment over the pure modules with a cost model of engines.
+//! Deterministic simulation of the placement and admission crates with a cost model of engines.
 //!
-//! An event queue drives engines, routers and callers of one deployment through one scenario. The same seed gives the
-//! same workload to every policy, so that their figures can be compared. It models time and caches, nothing else.
+//! An event queue drives engines, routers and clients of one deployment through one scenario. The same seed gives the
+//! same workload to every policy, so that their results are comparable. Only time and caches are modelled.
 
 pub mod cost;
 pub mod deployment;
--- a/crates/experiment/src/main.rs
+++ b/crates/experiment/src/main.rs
@@ -3,11 +3,11 @@
 use argh::FromArgs;
 use experiment::deployment::{BOARD, KOVACS};
 use experiment::policy::{Policy, Settings};
-use experiment::table::{self, Comparison, Contender};
+use experiment::table::{self, Comparison, Variant};
 use experiment::{cost, scenario};
 use std::process::ExitCode;
 
-/// Deterministic experiment over the pure modules.
+/// Deterministic simulation of placement and admission.
 #[derive(FromArgs)]
 struct Options {
     #[argh(subcommand)]
@@ -37,25 +37,25 @@
     /// only this deployment
     #[argh(option, default = "String::new()")]
     deployment: String,
-    /// how many seeds are averaged
+    /// number of seeds to average over
     #[argh(option, default = "3")]
     seeds: u64,
-    /// runs at a time
+    /// concurrent runs
     #[argh(option, default = "4")]
     jobs: usize,
-    /// adds a row for ours with these mechanisms off or figures changed, separated by commas: hash, learn, spill,
+    /// add a row for policy "ours" with these mechanisms off or values changed, separated by commas: hash, learn, spill,
     /// reports, own, speed, or name=figure; may be repeated
     #[argh(option)]
     change: Vec<String>,
     /// blocks an engine can cache
     #[argh(option)]
     cache: Option<usize>,
-    /// requests a second that count as a load of 1; searched if left out
+    /// requests per second at a load of 1; searched if omitted
     #[argh(option)]
     capacity: Option<f64>,
 }
 
-/// Times one decision.
+/// Measures the cost of one placement decision.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "decision-cost")]
 struct DecisionCost {}
@@ -70,16 +70,16 @@
 }
 
 fn compare(options: &Compare) {
-    let chosen = Policy::ALL
+    let selected = Policy::ALL
         .into_iter()
         .filter(|policy| policy.name().contains(&options.policy));
-    let plain = |policy: Policy| Contender {
+    let plain = |policy: Policy| Variant {
         policy,
         settings: Settings::default(),
         name: policy.name().to_owned(),
     };
     let changed = options.change.iter().map(|change| changed(change));
-    let contenders: Vec<Contender> = chosen.map(plain).chain(changed).collect();
+    let variants: Vec<Variant> = selected.map(plain).chain(changed).collect();
     let mut rows = Vec::new();
     let mut loads = String::new();
     for mut deployment in [BOARD, KOVACS]
@@ -92,7 +92,7 @@
             capacity: options
                 .capacity
                 .unwrap_or_else(|| scenario::capacity(deployment, CAPACITY_SEED)),
-            contenders: contenders.clone(),
+            variants: variants.clone(),
             scenarios: scenario::all()
                 .into_iter()
                 .filter(|it| it.name.contains(&options.only))
@@ -113,16 +113,17 @@
     println!("{}\n\n{}", loads.trim_end(), table::markdown(&rows));
 }
 
-/// Ours with the named changes; an unknown name ends the program, since its row would show nothing.
-fn changed(names: &str) -> Contender {
+/// Returns the placer or the oracle with the named changes. Exits on an unknown name, since its row would show no
+/// change.
+fn changed(names: &str) -> Variant {
     let apply = |settings: Option<Settings>, name: &str| settings.and_then(|settings| settings.changed(name));
     let Some(settings) = names.split(',').fold(Some(Settings::default()), apply) else {
         eprintln!("unknown change: {names}");
         std::process::exit(2);
     };
     let oracle = names.starts_with("oracle");
-    let policy = if oracle { Policy::Oracle } else { Policy::Ours };
-    Contender {
+    let policy = if oracle { Policy::Oracle } else { Policy::Placer };
+    Variant {
         policy,
         settings,
         name: format!("{}: {names}", policy.name()),
--- a/crates/experiment/src/policy/settings.rs
+++ b/crates/experiment/src/policy/settings.rs
@@ -1,13 +1,13 @@
-//! Settings of every router in a run, and mechanisms that can be switched off.
+//! Settings of all routers in a run, with mechanisms that can be disabled.
 
-use crate::deployment::{BLOCK_TOKENS, PREFILL_RATE, REPORT_EVERY, REPORT_LAG};
+use crate::deployment::{BLOCK_TOKENS, PREFILL_RATE, REPORT_INTERVAL, REPORT_LAG};
 use placement::{LoadView, LoadViewBuilder, Placer, PlacerBuilder};
 use std::time::Duration;
 
-/// What stands before placement.
+/// The kind of queue in front of placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Front {
-    /// A bounded first-in-first-out queue for requests that find no engine with room.
+pub enum QueueKind {
+    /// A bounded FIFO queue for requests while no engine has room.
     Fifo,
     /// The admission crate.
     Admission,
@@ -16,44 +16,44 @@
 /// Settings of every router in a run.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The placer's.
+    /// The settings of the placer.
     pub placer: PlacerBuilder,
-    /// The load view's.
+    /// The settings of the load view.
     pub view: LoadViewBuilder,
-    /// What stands before placement.
-    pub front: Front,
-    /// What all routers together may have at an engine at first, in multiples of its slots.
+    /// The queue in front of placement.
+    pub queue_kind: QueueKind,
+    /// The initial limit on requests from all routers at an engine, in multiples of its slots.
     pub overcommit: f64,
-    /// Time between two load reports of an engine.
-    pub every: Duration,
-    /// How late a report reaches a router.
-    pub lag: Duration,
-    /// Whether routers that start read the pressures that another one stored.
+    /// Interval between the load reports of an engine.
+    pub report_interval: Duration,
+    /// Delay until a report reaches a router.
+    pub report_lag: Duration,
+    /// Whether a starting router reads the pressures stored by another router.
     pub hint: bool,
-    /// Price of recomputing in the oracle's choice.
-    pub oracle: f64,
+    /// Weight of recomputed tokens in the oracle's choice.
+    pub oracle_miss_weight: f64,
 }
 
-/// Price of recomputing in the oracle's choice, the best of 1, 2, 4, 8 and 16 at 80% load.
-const ORACLE: f64 = 2.0;
+/// Weight of recomputed tokens in the oracle's choice.
+const ORACLE_MISS_WEIGHT: f64 = 2.0;
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             placer: Placer::builder().block_tokens(BLOCK_TOKENS).prefill_rate(PREFILL_RATE),
             view: LoadView::builder(PREFILL_RATE),
-            front: Front::Admission,
+            queue_kind: QueueKind::Admission,
             overcommit: 1.0,
-            every: REPORT_EVERY,
-            lag: REPORT_LAG,
+            report_interval: REPORT_INTERVAL,
+            report_lag: REPORT_LAG,
             hint: true,
-            oracle: ORACLE,
+            oracle_miss_weight: ORACLE_MISS_WEIGHT,
         }
     }
 }
 
 impl Settings {
-    /// With one mechanism off or one figure changed, as `name` or `name=figure`; none if the name is unknown.
+    /// Disables one mechanism (`name`) or changes one value (`name=figure`). Returns `None` for an unknown name.
     pub fn changed(mut self, change: &str) -> Option<Self> {
         let (name, figure) = change.split_once('=').unwrap_or((change, "0"));
         let figure: f64 = figure.parse().ok()?;
@@ -65,9 +65,9 @@
             "reports" => self.view = self.view.reports(false),
             "own" => self.view = self.view.own_placements(false),
             "speed" => self.view = self.view.pace_detection(false),
-            "admission" => self.front = Front::Fifo,
-            "every" => self.every = time,
-            "lag" => self.lag = time,
+            "admission" => self.queue_kind = QueueKind::Fifo,
+            "every" => self.report_interval = time,
+            "lag" => self.report_lag = time,
             "hint" => self.hint = false,
             "ranks" => self.placer = self.placer.ranks(figure as usize),
             "spread" => self.placer = self.placer.outer_share(figure),
@@ -80,7 +80,7 @@
             "smooth" => self.view = self.view.smoothing_time(time),
             "drain" => self.view = self.view.drain_share(figure),
             "overcommit" => self.overcommit = figure,
-            "oracle" => self.oracle = figure,
+            "oracle" => self.oracle_miss_weight = figure,
             _ => return None,
         }
         Some(self)
--- a/crates/experiment/src/scenario/mod.rs
+++ b/crates/experiment/src/scenario/mod.rs
@@ -1,17 +1,17 @@
-//! The scenarios, each a load pattern with its faults.
+//! The scenarios: load patterns with faults.
 
 use crate::deployment::Deployment;
-use crate::policy::{Front, Policy, Settings};
+use crate::policy::{Policy, QueueKind, Settings};
 use crate::sim::{Fault, Record, Setup, run};
 use crate::workload::{Shape, Window, requests};
 use std::time::Duration;
 
 /// Length of a run.
 pub const LENGTH: Duration = Duration::from_secs(120);
-/// What is sent before this is not counted: the rate rises and caches fill.
+/// Requests sent before this are not counted, because the rate is rising and caches are filling.
 pub const WARM_UP: Duration = Duration::from_secs(40);
 
-/// One scenario.
+/// A scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Scenario {
     /// Name in tables.
@@ -24,7 +24,7 @@
     pub faults: Vec<(Duration, Fault)>,
 }
 
-/// All scenarios, in the table's order.
+/// All scenarios in table order.
 pub fn all() -> Vec<Scenario> {
     let plain = Shape::default();
     let shape = |name, load, shape| Scenario {
@@ -43,14 +43,14 @@
         burst: window(60, 65, 2.0),
         ..plain
     };
-    let caller = Shape {
-        hot_caller: window(60, 90, 1.2),
+    let client = Shape {
+        hot_client: window(60, 90, 1.2),
         ..plain
     };
     vec![
         shape("steady 80%", 0.8, plain),
         shape("burst", 0.8, burst),
-        shape("hot caller", 0.8, caller),
+        shape("hot caller", 0.8, client),
         shape(
             "hot prefix shifts",
             0.8,
@@ -98,69 +98,69 @@
     (Duration::from_secs(second), fault)
 }
 
-/// What a run needs besides its scenario.
+/// The configuration of a run, apart from the scenario.
 #[derive(Debug, Clone)]
-pub struct Trial {
+pub struct RunConfig {
     /// The deployment.
     pub deployment: Deployment,
     /// The policy.
     pub policy: Policy,
     /// Settings of every router.
     pub settings: Settings,
-    /// Requests a second that count as a load of 1.
+    /// Requests per second at a load of 1.
     pub capacity: f64,
-    /// Seed of workload and draws.
+    /// Seed of the workload and of random choices.
     pub seed: u64,
 }
 
 /// Requests that one router may have in flight at one engine: its slots.
-const LIMIT: u32 = 32;
-/// Requests that may wait at one router.
-const QUEUE: usize = 16;
+const MAX_IN_FLIGHT: u32 = 32;
+/// Maximum number of requests that wait at one router.
+const MAX_QUEUE: usize = 16;
 
 /// Runs one scenario.
-pub fn play(trial: &Trial, scenario: &Scenario) -> Record {
-    let rate = trial.capacity * scenario.load;
-    let calls = requests(&trial.deployment, &scenario.shape, rate, LENGTH, trial.seed);
-    run(&setup(trial, scenario), &calls, trial.seed)
+pub fn run_scenario(config: &RunConfig, scenario: &Scenario) -> Record {
+    let rate = config.capacity * scenario.load;
+    let calls = requests(&config.deployment, &scenario.shape, rate, LENGTH, config.seed);
+    run(&setup(config, scenario), &calls, config.seed)
 }
 
-fn setup(trial: &Trial, scenario: &Scenario) -> Setup {
+fn setup(config: &RunConfig, scenario: &Scenario) -> Setup {
     Setup {
-        deployment: trial.deployment,
-        policy: trial.policy,
-        settings: trial.settings.clone(),
+        deployment: config.deployment,
+        policy: config.policy,
+        settings: config.settings.clone(),
         faults: scenario.faults.clone(),
-        limit: LIMIT,
-        queue: QUEUE,
+        limit: MAX_IN_FLIGHT,
+        queue: MAX_QUEUE,
     }
 }
 
 /// Share of requests that must be answered in time at a deployment's capacity.
-const ENOUGH: f64 = 0.99;
-/// Halvings of the interval in which the capacity is searched.
-const HALVINGS: usize = 6;
-/// Requests a second at one engine that are surely too many.
-const TOO_MANY: f64 = 8.0;
+const IN_TIME_TARGET: f64 = 0.99;
+/// Steps of the binary search for the capacity.
+const SEARCH_STEPS: usize = 6;
+/// Upper bound of the requests per second that one engine can serve.
+const MAX_ENGINE_RATE: f64 = 8.0;
 
-/// Requests a second at which the oracle still answers 99 of 100 in time: a load of 1.
+/// The requests per second at which the oracle answers 99 of 100 in time. This is a load of 1.
 pub fn capacity(deployment: Deployment, seed: u64) -> f64 {
     let scenario = &all()[0];
-    let (mut low, mut high) = (0.0, TOO_MANY * deployment.engines as f64);
-    for _ in 0..HALVINGS {
+    let (mut low, mut high) = (0.0, MAX_ENGINE_RATE * deployment.engines as f64);
+    for _ in 0..SEARCH_STEPS {
         let rate = (low + high) / 2.0;
-        let trial = Trial {
+        let config = RunConfig {
             deployment,
             policy: Policy::Oracle,
             settings: Settings {
-                front: Front::Fifo,
+                queue_kind: QueueKind::Fifo,
                 ..Settings::default()
             },
             capacity: rate / scenario.load,
             seed,
         };
-        let figures = play(&trial, scenario).figures(|outcome| outcome.sent >= WARM_UP);
-        if figures.in_time >= ENOUGH {
+        let figures = run_scenario(&config, scenario).figures(|outcome| outcome.sent >= WARM_UP);
+        if figures.in_time >= IN_TIME_TARGET {
             low = rate;
         } else {
             high = rate;
--- a/crates/experiment/src/sim/mod.rs
+++ b/crates/experiment/src/sim/mod.rs
@@ -1,15 +1,15 @@
-//! The event queue that drives engines, routers and callers through one run.
+//! The event queue that drives engines, routers and clients through one run.
 
-mod flow;
-mod gate;
+mod faults;
+mod queue;
 mod record;
+mod request;
 mod router;
-mod trouble;
 
-pub use record::{FRESH, Figures, Outcome, Record};
+pub use record::{FRESH_PERIOD, Figures, Outcome, Record};
 
-use self::router::{Router, Sent};
-use crate::deployment::{CLIENT, Deployment};
+use self::router::{Placement, Router};
+use crate::deployment::{CLIENT_DELAY, Deployment};
 use crate::engine::Engine;
 use crate::policy::{Policy, Settings};
 use crate::workload::Request;
@@ -18,26 +18,26 @@
 use std::collections::{BinaryHeap, HashSet};
 use std::time::Duration;
 
-/// What befalls the deployment during a run.
+/// A fault injected during a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// An engine's steps take this many times as long from now on.
+    /// Slows down the steps of an engine by this factor.
     Slow(usize, f64),
-    /// An engine crashes and comes back empty after [`DOWN`].
+    /// Crashes an engine; it restarts empty after [`CRASH_DOWNTIME`].
     Crash(usize),
-    /// All routers lose what they learnt.
+    /// Restarts all routers, which lose what they learned.
     RestartAll,
-    /// One router loses what it learnt.
+    /// Restarts one router, which loses what it learned.
     Restart(usize),
 }
 
-/// Seconds between two times that a router stores its pressures.
-const HINT_EVERY: u64 = 10;
+/// Interval at which a router stores its pressures.
+const HINT_INTERVAL_S: u64 = 10;
 
-/// How long a crashed engine is away.
-pub const DOWN: Duration = Duration::from_secs(5);
+/// How long a crashed engine is down.
+pub const CRASH_DOWNTIME: Duration = Duration::from_secs(5);
 
-/// One run.
+/// The configuration of one run.
 #[derive(Debug, Clone)]
 pub struct Setup {
     /// The deployment.
@@ -86,7 +86,7 @@
         report: Report,
     },
     Fault(Fault),
-    Back(usize),
+    Recovered(usize),
     Check(usize),
 }
 
@@ -99,7 +99,7 @@
     details: Vec<Event>,
     engines: Vec<Engine>,
     routers: Vec<Router>,
-    sent: Vec<Option<Sent>>,
+    sent: Vec<Option<Placement>>,
     checks: Vec<Duration>,
     restarted: Vec<Option<Duration>>,
     hint: Vec<(EndpointKey, f64)>,
@@ -107,7 +107,7 @@
     record: Record,
 }
 
-/// Runs `requests` to their end.
+/// Simulates `requests` until all have ended.
 pub fn run(setup: &Setup, requests: &[Request], seed: u64) -> Record {
     let deployment = &setup.deployment;
     let mut simulation = Simulation {
@@ -138,20 +138,20 @@
 impl Simulation<'_> {
     fn begin(&mut self) {
         for (number, request) in self.requests.iter().enumerate() {
-            self.at(request.sent + CLIENT, Event::Call(number));
+            self.schedule(request.sent + CLIENT_DELAY, Event::Call(number));
         }
         for (time, fault) in &self.setup.faults {
-            self.at(*time, Event::Fault(*fault));
+            self.schedule(*time, Event::Fault(*fault));
         }
         let length = self.requests.last().map_or(Duration::ZERO, |request| request.sent);
-        let mut time = self.setup.settings.every;
+        let mut time = self.setup.settings.report_interval;
         while time < length + Duration::from_secs(60) {
-            self.at(time, Event::Measure);
-            time += self.setup.settings.every;
+            self.schedule(time, Event::Measure);
+            time += self.setup.settings.report_interval;
         }
     }
 
-    fn at(&mut self, time: Duration, event: Event) {
+    fn schedule(&mut self, time: Duration, event: Event) {
         self.number += 1;
         self.events.push(Reverse((time, self.number, self.details.len())));
         self.details.push(event);
@@ -169,7 +169,7 @@
             Event::Head { request, cached } => self.head(request, cached),
             Event::More { request, generated } => {
                 if let Some(sent) = self.sent[request] {
-                    self.routers[self.requests[request].router].more(&sent, generated, self.now);
+                    self.routers[self.requests[request].router].record_progress(&sent, generated, self.now);
                 }
             }
             Event::End { request } => self.end(request),
@@ -181,7 +181,7 @@
                 }
             }
             Event::Fault(fault) => self.fault(fault),
-            Event::Back(engine) => self.engines[engine].alive = true,
+            Event::Recovered(engine) => self.engines[engine].alive = true,
             Event::Check(router) => self.drain(router),
         }
     }
--- a/crates/experiment/src/sim/gate.rs
+++ b/crates/experiment/src/sim/queue.rs
@@ -1,29 +1,29 @@
-//! What stands before placement at one router.
+//! The queue in front of placement at one router.
 
-use crate::policy::Front;
+use crate::policy::QueueKind;
 use crate::workload::Request;
 use admission::{Admission, Job, Next, Offer, Outcome, Ticket, Tokens};
 use ids::{Priority, WorkspaceId};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Urgency of every request.
+/// The priority of every request.
 const PRIORITY: Priority = Priority(4);
 
-/// Answer to a request that arrives.
+/// The decision on an arriving request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Entry {
+pub enum OfferOutcome {
     /// Place it now.
     Start,
-    /// It waits.
+    /// Queue it.
     Wait,
-    /// It is refused.
+    /// Refuse it.
     Refuse,
 }
 
-/// What became of a request that waited.
+/// The decision on a queued request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum Dequeued {
     /// Place it now.
     Start(usize),
     /// Refuse it now.
@@ -31,64 +31,64 @@
 }
 
 /// The queue before placement.
-pub enum Gate {
-    /// First in, first out, with the most that may wait.
+pub enum RequestQueue {
+    /// A FIFO queue and its maximum length.
     Fifo(VecDeque<usize>, usize),
     /// The admission crate.
-    Admission(Box<Pool>),
+    Admission(Box<AdmissionQueue>),
 }
 
-/// Admission with the requests behind its tickets.
-pub struct Pool {
+/// Admission, with the requests of its tickets.
+pub struct AdmissionQueue {
     admission: Admission,
     requests: HashMap<Ticket, usize>,
     running: HashMap<usize, (Ticket, Duration)>,
 }
 
-impl Gate {
-    /// An empty gate; `queue` bounds a first-in-first-out queue.
-    pub fn new(front: Front, queue: usize) -> Self {
-        if front == Front::Fifo {
+impl RequestQueue {
+    /// Creates an empty queue; `queue` is the maximum length of a FIFO queue.
+    pub fn new(kind: QueueKind, queue: usize) -> Self {
+        if kind == QueueKind::Fifo {
             return Self::Fifo(VecDeque::new(), queue);
         }
         let admission = Admission::new(admission::Settings::default());
-        Self::Admission(Box::new(Pool {
+        Self::Admission(Box::new(AdmissionQueue {
             admission,
             requests: HashMap::new(),
             running: HashMap::new(),
         }))
     }
 
-    /// A request arrives; `room` says whether an engine has room, `uncached` how many prompt tokens it will compute.
-    pub fn offer(&mut self, request: usize, call: &Request, room: bool, uncached: u64, now: Duration) -> Entry {
+    /// Offers a request. `room` says whether an engine has room; `uncached` is the number of prompt tokens to compute.
+    pub fn offer(&mut self, request: usize, call: &Request, room: bool, uncached: u64, now: Duration) -> OfferOutcome {
         match self {
-            Self::Fifo(queue, _) if room && queue.is_empty() => Entry::Start,
-            Self::Fifo(queue, most) if queue.len() < *most => {
+            Self::Fifo(queue, _) if room && queue.is_empty() => OfferOutcome::Start,
+            Self::Fifo(queue, max) if queue.len() < *max => {
                 queue.push_back(request);
-                Entry::Wait
+                OfferOutcome::Wait
             }
-            Self::Fifo(..) => Entry::Refuse,
+            Self::Fifo(..) => OfferOutcome::Refuse,
             Self::Admission(pool) => pool.offer(request, call, uncached, now),
         }
     }
 
-    /// The next request that need not wait any longer.
-    pub fn next(&mut self, room: bool, now: Duration) -> Option<Turn> {
+    /// Removes the next request that can be started or refused.
+    pub fn next(&mut self, room: bool, now: Duration) -> Option<Dequeued> {
         match self {
-            Self::Fifo(queue, _) if room => queue.pop_front().map(Turn::Start),
+            Self::Fifo(queue, _) if room => queue.pop_front().map(Dequeued::Start),
             Self::Fifo(..) => None,
             Self::Admission(pool) => pool.next(now),
         }
     }
 
-    /// Requests that may run at once.
+    /// Sets the number of requests that may run concurrently.
     pub fn set_capacity(&mut self, slots: u32, now: Duration) {
         if let Self::Admission(pool) = self {
             pool.admission.set_capacity(slots, now);
         }
     }
 
-    /// When [`Gate::next`] wants to be called.
+    /// When [`RequestQueue::next`] has to be called next.
     pub fn next_check(&self) -> Option<Duration> {
         match self {
             Self::Fifo(..) => None,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A request ended with these counts; none if its engine failed.
+    /// Ends a request; `served` is `None` if its engine failed.
     pub fn finish(&mut self, request: usize, served: Option<(Duration, Tokens)>, now: Duration) {
         let Self::Admission(pool) = self else { return };
         let Some((ticket, started)) = pool.running.remove(&request) else {
@@ -110,8 +110,8 @@
     }
 }
 
-impl Pool {
-    fn offer(&mut self, request: usize, call: &Request, uncached: u64, now: Duration) -> Entry {
+impl AdmissionQueue {
+    fn offer(&mut self, request: usize, call: &Request, uncached: u64, now: Duration) -> OfferOutcome {
         let job = Job {
             workspace: WorkspaceId::from(format!("workspace-{}", call.workspace)),
             weight: 1,
@@ -120,31 +120,31 @@
                 uncached,
                 output: u64::from(call.output),
             },
-            deadline: Some(call.sent + call.patience),
+            deadline: Some(call.sent + call.timeout),
         };
         match self.admission.offer(&job, now) {
             Offer::Start(ticket) => {
                 self.running.insert(request, (ticket, now));
-                Entry::Start
+                OfferOutcome::Start
             }
             Offer::Wait(ticket) => {
                 self.requests.insert(ticket, request);
-                Entry::Wait
+                OfferOutcome::Wait
             }
-            Offer::Refuse(_) => Entry::Refuse,
+            Offer::Refuse(_) => OfferOutcome::Refuse,
         }
     }
 
-    fn next(&mut self, now: Duration) -> Option<Turn> {
+    fn next(&mut self, now: Duration) -> Option<Dequeued> {
         match self.admission.next(now) {
             Next::Start(ticket) => {
                 let request = self.requests.remove(&ticket).expect("each ticket has a request");
                 self.running.insert(request, (ticket, now));
-                Some(Turn::Start(request))
+                Some(Dequeued::Start(request))
             }
             Next::Expired(ticket, _) => {
                 let request = self.requests.remove(&ticket).expect("each ticket has a request");
-                Some(Turn::Refuse(request))
+                Some(Dequeued::Refuse(request))
             }
             Next::Wait => None,
         }
--- a/crates/experiment/src/sim/record.rs
+++ b/crates/experiment/src/sim/record.rs
@@ -1,58 +1,58 @@
-//! What callers received, and what the engines spent on it.
+//! Results of a run: what clients received and what engines computed.
 
 use crate::workload::Request;
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// How long a router that restarted counts as fresh.
-pub const FRESH: Duration = Duration::from_secs(10);
+/// How long a router counts as fresh after a restart.
+pub const FRESH_PERIOD: Duration = Duration::from_secs(10);
 
-/// What became of one request.
+/// The outcome of one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Outcome {
-    /// When the caller sent it.
+    /// When the client sent it.
     pub sent: Duration,
     /// Its workspace.
     pub workspace: usize,
-    /// Whole blocks of its prompt.
+    /// Full blocks of its prompt.
     pub blocks: usize,
     /// Blocks found in the cache.
     pub cached: usize,
-    /// How long the caller waits for the whole answer.
-    pub patience: Duration,
-    /// Until the caller had the first token.
+    /// How long the client waits for the complete answer.
+    pub timeout: Duration,
+    /// Time until the client received the first token.
     pub first: Option<Duration>,
-    /// Until the caller had the whole answer.
-    pub whole: Option<Duration>,
-    /// Until it was refused.
+    /// Time until the client received the complete answer.
+    pub complete: Option<Duration>,
+    /// Time until it was refused.
     pub refused: Option<Duration>,
-    /// Times it was sent again.
+    /// The number of retries.
     pub retries: u32,
-    /// Whether its router had restarted at most [`FRESH`] before.
+    /// Whether its router had restarted at most [`FRESH_PERIOD`] before.
     pub fresh: bool,
 }
 
 impl Outcome {
-    /// Whether the whole answer came while the caller waited.
+    /// Whether the complete answer arrived before the timeout.
     pub fn in_time(&self) -> bool {
-        self.whole.is_some_and(|time| time <= self.patience)
+        self.complete.is_some_and(|time| time <= self.timeout)
     }
 }
 
-/// Record of one run.
+/// The results of one run.
 #[derive(Debug, Clone, Default)]
 pub struct Record {
-    /// One for each request.
+    /// The outcomes, one per request.
     pub outcomes: Vec<Outcome>,
     /// Blocks that engines computed.
     pub computed: u64,
-    /// Of them, blocks that some engine had computed before.
+    /// Computed blocks that some engine had already computed before.
     pub recomputed: u64,
-    /// Seconds that engines were busy, all together.
+    /// Total seconds that engines were busy.
     pub busy: f64,
     /// Blocks that engines evicted.
     pub evicted: u64,
-    /// Seconds from the last use of evicted blocks to their eviction, all together.
+    /// Total seconds from the last use of evicted blocks to their eviction.
     pub idle: f64,
 }
 
@@ -67,23 +67,23 @@
     pub p50_ms: f64,
     /// 99th percentile of the time to first token, milliseconds.
     pub p99_ms: f64,
-    /// Share of requests whose whole answer came in time.
+    /// Share of requests whose complete answer arrived in time.
     pub in_time: f64,
     /// Share of requests refused.
     pub refused: f64,
 }
 
 impl Record {
-    /// An empty record.
+    /// Creates an empty record.
     pub fn new(requests: &[Request]) -> Self {
         let outcome = |request: &Request| Outcome {
             sent: request.sent,
             workspace: request.workspace,
             blocks: request.chain.blocks().len(),
             cached: 0,
-            patience: request.patience,
+            timeout: request.timeout,
             first: None,
-            whole: None,
+            complete: None,
             refused: None,
             retries: 0,
             fresh: false,
@@ -94,34 +94,34 @@
         }
     }
 
-    /// The caller got the first token.
+    /// Records the first token.
     pub fn first(&mut self, request: usize, cached: usize, now: Duration) {
         let outcome = &mut self.outcomes[request];
         outcome.first = Some(now - outcome.sent);
         outcome.cached = cached;
     }
 
-    /// The caller got the whole answer.
+    /// Records the complete answer.
     pub fn end(&mut self, request: usize, now: Duration) {
         let outcome = &mut self.outcomes[request];
         assert!(
-            outcome.whole.is_none() && outcome.refused.is_none(),
+            outcome.complete.is_none() && outcome.refused.is_none(),
             "a request ends once"
         );
-        outcome.whole = Some(now - outcome.sent);
+        outcome.complete = Some(now - outcome.sent);
     }
 
-    /// The caller was refused.
+    /// Records a refusal.
     pub fn refuse(&mut self, request: usize, now: Duration) {
         let outcome = &mut self.outcomes[request];
         assert!(
-            outcome.whole.is_none() && outcome.refused.is_none(),
+            outcome.complete.is_none() && outcome.refused.is_none(),
             "a request ends once"
         );
         outcome.refused = Some(now - outcome.sent);
     }
 
-    /// The request has to be sent again.
+    /// Records a retry.
     pub fn retry(&mut self, request: usize) {
         self.outcomes[request].retries += 1;
     }
@@ -135,9 +135,9 @@
 
     /// Figures of the requests that `of` selects.
     pub fn figures(&self, of: impl Fn(&Outcome) -> bool) -> Figures {
-        let chosen: Vec<&Outcome> = self.outcomes.iter().filter(|outcome| of(outcome)).collect();
-        let share = |count: usize| count as f64 / chosen.len().max(1) as f64;
-        let answered = || chosen.iter().filter(|outcome| outcome.first.is_some());
+        let selected: Vec<&Outcome> = self.outcomes.iter().filter(|outcome| of(outcome)).collect();
+        let share = |count: usize| count as f64 / selected.len().max(1) as f64;
+        let answered = || selected.iter().filter(|outcome| outcome.first.is_some());
         let blocks: usize = answered().map(|outcome| outcome.blocks).sum();
         let cached: usize = answered().map(|outcome| outcome.cached).sum();
         let mut times = Histogram::<u64>::new(3).expect("three digits are allowed");
@@ -145,12 +145,12 @@
             times.record(first.as_micros() as u64).expect("the histogram grows");
         }
         Figures {
-            requests: chosen.len(),
+            requests: selected.len(),
             hit_rate: cached as f64 / blocks.max(1) as f64,
             p50_ms: times.value_at_quantile(0.5) as f64 / 1000.0,
             p99_ms: times.value_at_quantile(0.99) as f64 / 1000.0,
-            in_time: share(chosen.iter().filter(|outcome| outcome.in_time()).count()),
-            refused: share(chosen.iter().filter(|outcome| outcome.refused.is_some()).count()),
+            in_time: share(selected.iter().filter(|outcome| outcome.in_time()).count()),
+            refused: share(selected.iter().filter(|outcome| outcome.refused.is_some()).count()),
         }
     }
 }
--- a/crates/experiment/src/sim/router.rs
+++ b/crates/experiment/src/sim/router.rs
@@ -1,10 +1,10 @@
-//! One router: its load view, its placer and its limits.
+//! A simulated router with its load view, placer and limits.
 
 use super::Setup;
-use super::gate::Gate;
+use super::queue::RequestQueue;
 use crate::deployment::{BLOCK_TOKENS, SLOTS};
 use crate::engine::Engine;
-use crate::policy::{self, Front, Policy};
+use crate::policy::{self, Policy, QueueKind};
 use crate::workload::Request;
 use admission::{EndpointLimit, Sample, Tokens};
 use ids::{EndpointId, Incarnation};
@@ -13,9 +13,9 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// A request on its way to or at an engine.
+/// A request that was sent to an engine.
 #[derive(Debug, Clone, Copy)]
-pub struct Sent {
+pub struct Placement {
     /// The engine.
     pub engine: usize,
     incarnation: Incarnation,
@@ -25,57 +25,58 @@
     first: Option<(Duration, u64)>,
 }
 
-/// What a router believes of one engine.
+/// A router's view of one engine.
 #[derive(Debug, Clone)]
-struct Known {
+struct EndpointState {
     key: EndpointKey,
     engine: usize,
     incarnation: Incarnation,
     alive: bool,
-    near: bool,
+    same_domain: bool,
     running: u32,
     limit: EndpointLimit,
 }
 
-/// One router.
+/// A simulated router.
 pub struct Router {
-    /// What stands before placement.
-    pub gate: Gate,
-    known: Vec<Known>,
+    /// The queue in front of placement.
+    pub queue: RequestQueue,
+    endpoints: Vec<EndpointState>,
     view: LoadView,
     placer: Placer,
     rng: ChaCha8Rng,
-    turn: usize,
+    last_index: usize,
 }
 
 impl Router {
-    /// A router that has just started.
+    /// Creates a router that has just started.
     pub fn new(setup: &Setup, at: usize, seed: u64) -> Self {
         let domains = setup.deployment.domains;
-        let known = |engine: usize| Known {
+        let endpoint = |engine: usize| EndpointState {
             key: EndpointKey::from(&EndpointId::from(format!("engine-{engine}"))),
             engine,
             incarnation: Incarnation(1),
             alive: true,
-            near: engine % domains == at % domains,
+            same_domain: engine % domains == at % domains,
             running: 0,
             limit: EndpointLimit::new(slots(setup)),
         };
-        let mut known: Vec<Known> = (0..setup.deployment.engines).map(known).collect();
-        known.sort_by_key(|endpoint| endpoint.key);
+        let mut endpoints: Vec<EndpointState> = (0..setup.deployment.engines).map(endpoint).collect();
+        endpoints.sort_by_key(|endpoint| endpoint.key);
         let mut router = Self {
-            gate: Gate::new(setup.settings.front, setup.queue),
-            known,
+            queue: RequestQueue::new(setup.settings.queue_kind, setup.queue),
+            endpoints,
             view: setup.settings.view.build(),
             placer: placer(setup),
             rng: ChaCha8Rng::seed_from_u64(seed ^ ((at as u64 + 1) << 32)),
-            turn: at,
+            last_index: at,
         };
-        router.fit(Duration::ZERO);
+        router.update_capacity(Duration::ZERO);
         router
     }
 
-    /// Loses what was learnt of endpoints, and starts from a `hint`. What is queued or in flight ends at the old process.
+    /// Resets what was learned about endpoints and seeds it from `hint`. Queued and in-flight requests finish at the old
+    /// process.
     pub fn restart(&mut self, setup: &Setup, hint: &[(EndpointKey, f64)]) {
         self.view = setup.settings.view.build();
         self.placer = placer(setup);
@@ -84,35 +85,37 @@
         }
     }
 
-    /// What another router may start from.
+    /// The pressures from which another router can start.
     pub fn hint(&self) -> Vec<(EndpointKey, f64)> {
         self.view.pressures().collect()
     }
 
-    /// Whether some engine has room.
+    /// Whether any engine has room.
     pub fn has_room(&self, setup: &Setup) -> bool {
-        self.known
+        self.endpoints
             .iter()
-            .any(|known| known.alive && known.running < most(setup, known))
+            .any(|endpoint| endpoint.alive && endpoint.running < max_in_flight(setup, endpoint))
     }
 
-    /// Prompt tokens that `call` is expected to have computed.
+    /// The prompt tokens that are expected to be computed for `call`.
     pub fn expected(&mut self, setup: &Setup, engines: &[Engine], call: &Request, now: Duration) -> u64 {
         let pick = self.pick(setup, engines, call, now).map(|(_, pick)| pick.cached);
         uncached(call, pick.unwrap_or(0))
     }
 
-    /// Sends `call` to an engine; none if none is alive, or none has room and nothing admitted it.
-    pub fn place(&mut self, setup: &Setup, engines: &[Engine], call: &Request, now: Duration) -> Option<Sent> {
-        let (at, pick) = self.pick(setup, engines, call, now).or_else(|| self.emptiest(setup))?;
-        let known = &mut self.known[at];
-        known.running += 1;
-        let _ = known.limit.start();
+    /// Chooses an engine for `call`. Returns `None` if no engine is alive, or if none has room and the queue is FIFO.
+    pub fn place(&mut self, setup: &Setup, engines: &[Engine], call: &Request, now: Duration) -> Option<Placement> {
+        let (at, pick) = self
+            .pick(setup, engines, call, now)
+            .or_else(|| self.least_busy(setup))?;
+        let endpoint = &mut self.endpoints[at];
+        endpoint.running += 1;
+        let _ = endpoint.limit.start();
         let ticket = self
             .view
-            .record_placement(known.key, known.incarnation, uncached(call, pick.cached), now);
-        let (engine, key, incarnation) = (known.engine, known.key, known.incarnation);
-        Some(Sent {
+            .record_placement(endpoint.key, endpoint.incarnation, uncached(call, pick.cached), now);
+        let (engine, key, incarnation) = (endpoint.engine, endpoint.key, endpoint.incarnation);
+        Some(Placement {
             engine,
             incarnation,
             key,
@@ -122,8 +125,8 @@
         })
     }
 
-    /// The head of an answer arrived.
-    pub fn head(&mut self, sent: &mut Sent, call: &Request, cached: usize, now: Duration) {
+    /// Handles the head of an answer.
+    pub fn record_head(&mut self, sent: &mut Placement, call: &Request, cached: usize, now: Duration) {
         let computed = uncached(call, cached);
         sent.first = Some((now, computed));
         self.view.record_first_token(sent.key, sent.ticket, now);
@@ -139,13 +142,13 @@
         );
     }
 
-    /// More of an answer arrived.
-    pub fn more(&mut self, sent: &Sent, generated: u64, now: Duration) {
+    /// Handles further tokens of an answer.
+    pub fn record_progress(&mut self, sent: &Placement, generated: u64, now: Duration) {
         self.view.record_progress(sent.key, sent.ticket, generated, now);
     }
 
-    /// An answer ended.
-    pub fn end(&mut self, sent: &Sent, request: usize, call: &Request, now: Duration) {
+    /// Handles the end of an answer.
+    pub fn end(&mut self, sent: &Placement, request: usize, call: &Request, now: Duration) {
         self.release(sent);
         let served = sent.first.map(|(first, computed)| {
             let tokens = Tokens {
@@ -154,91 +157,96 @@
             };
             (first, tokens)
         });
-        self.gate.finish(request, served, now);
+        self.queue.finish(request, served, now);
     }
 
-    /// The connection to an engine broke: it is left out until it reports a new life.
-    pub fn lost(&mut self, sent: &Sent, now: Duration) {
+    /// Handles a lost connection. The engine is excluded until it reports a new incarnation.
+    pub fn connection_lost(&mut self, sent: &Placement, now: Duration) {
         self.release(sent);
-        let Some(known) = self.known.iter_mut().find(|known| known.key == sent.key) else {
+        let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.key == sent.key) else {
             return;
         };
-        if known.incarnation == sent.incarnation {
-            known.alive = false;
+        if endpoint.incarnation == sent.incarnation {
+            endpoint.alive = false;
             self.placer.forget(sent.key);
-            self.fit(now);
+            self.update_capacity(now);
         }
     }
 
-    /// A load report arrived.
+    /// Handles a load report.
     pub fn report(&mut self, engine: usize, report: Report, now: Duration) {
-        let Some(known) = self.known.iter_mut().find(|known| known.engine == engine) else {
+        let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.engine == engine) else {
             return;
         };
-        if report.incarnation < known.incarnation {
+        if report.incarnation < endpoint.incarnation {
             return;
         }
-        if report.incarnation > known.incarnation {
-            known.incarnation = report.incarnation;
-            known.alive = true;
-            self.placer.forget(known.key);
+        if report.incarnation > endpoint.incarnation {
+            endpoint.incarnation = report.incarnation;
+            endpoint.alive = true;
+            self.placer.forget(endpoint.key);
         }
-        let key = known.key;
+        let key = endpoint.key;
         self.view.record_report(key, report);
-        self.fit(now);
+        self.update_capacity(now);
     }
 
-    fn release(&mut self, sent: &Sent) {
+    fn release(&mut self, sent: &Placement) {
         self.view.record_end(sent.key, sent.ticket);
-        let Some(known) = self.known.iter_mut().find(|known| known.key == sent.key) else {
+        let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.key == sent.key) else {
             return;
         };
-        known.running -= 1;
-        if known.limit.in_flight() > known.running {
-            known.limit.end();
+        endpoint.running -= 1;
+        if endpoint.limit.in_flight() > endpoint.running {
+            endpoint.limit.end();
         }
     }
 
-    fn observe(&mut self, sent: &Sent, sample: Sample, now: Duration) {
-        let Some(known) = self.known.iter_mut().find(|known| known.key == sent.key) else {
+    fn observe(&mut self, sent: &Placement, sample: Sample, now: Duration) {
+        let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.key == sent.key) else {
             return;
         };
-        known.limit.observe(sample, now);
-        self.fit(now);
+        endpoint.limit.observe(sample, now);
+        self.update_capacity(now);
     }
 
-    /// Keeps admission's capacity at the sum of the limits.
-    fn fit(&mut self, now: Duration) {
-        let alive = self.known.iter().filter(|known| known.alive);
-        let capacity = alive.map(|known| known.limit.limit()).sum();
-        self.gate.set_capacity(capacity, now);
+    /// Sets the capacity of admission to the sum of the limits.
+    fn update_capacity(&mut self, now: Duration) {
+        let alive = self.endpoints.iter().filter(|endpoint| endpoint.alive);
+        let capacity = alive.map(|endpoint| endpoint.limit.limit()).sum();
+        self.queue.set_capacity(capacity, now);
     }
 
     fn pick(&mut self, setup: &Setup, engines: &[Engine], call: &Request, now: Duration) -> Option<(usize, Pick)> {
-        let open: Vec<usize> = (0..self.known.len()).filter(|at| self.known[*at].alive).collect();
-        let candidates: Vec<Candidate> = open.iter().map(|at| self.candidate(setup, *at, now)).collect();
+        let available: Vec<usize> = (0..self.endpoints.len())
+            .filter(|at| self.endpoints[*at].alive)
+            .collect();
+        let candidates: Vec<Candidate> = available.iter().map(|at| self.candidate(setup, *at, now)).collect();
         let draw = self.rng.next_u64();
         let choice = match setup.policy {
-            Policy::RoundRobin => policy::round_robin(&candidates, &mut self.turn),
+            Policy::RoundRobin => policy::round_robin(&candidates, &mut self.last_index),
             Policy::LeastLoaded => policy::least_loaded(&candidates, draw),
             Policy::HashOnly => policy::hash_only(&candidates, &call.chain),
-            Policy::LearntOnly | Policy::Ours => self.placer.choose(&call.chain, &candidates, now, draw),
+            Policy::LearnedOnly | Policy::Placer => self.placer.choose(&call.chain, &candidates, now, draw),
             Policy::Oracle => {
-                let truth: Vec<&Engine> = open.iter().map(|at| &engines[self.known[*at].engine]).collect();
-                policy::oracle(&candidates, &truth, &call.chain, setup.settings.oracle)
+                let truth: Vec<&Engine> = available
+                    .iter()
+                    .map(|at| &engines[self.endpoints[*at].engine])
+                    .collect();
+                policy::oracle(&candidates, &truth, &call.chain, setup.settings.oracle_miss_weight)
             }
         };
         let Choice::At(pick) = choice else { return None };
-        Some((open[pick.index], pick))
+        Some((available[pick.index], pick))
     }
 
-    /// Where an admitted request goes that finds no room, since a limit shrank after it was admitted.
-    fn emptiest(&self, setup: &Setup) -> Option<(usize, Pick)> {
-        if setup.settings.front == Front::Fifo {
+    /// The engine for an admitted request when no engine has room, because a limit shrank after the admission.
+    fn least_busy(&self, setup: &Setup) -> Option<(usize, Pick)> {
+        if setup.settings.queue_kind == QueueKind::Fifo {
             return None;
         }
-        let alive = (0..self.known.len()).filter(|at| self.known[*at].alive);
-        let at = alive.min_by_key(|at| self.known[*at].running)?;
+        let alive = (0..self.endpoints.len()).filter(|at| self.endpoints[*at].alive);
+        let at = alive.min_by_key(|at| self.endpoints[*at].running)?;
         Some((
             at,
             Pick {
@@ -250,14 +258,14 @@
     }
 
     fn candidate(&self, setup: &Setup, at: usize, now: Duration) -> Candidate {
-        let known = &self.known[at];
-        let estimate = self.view.estimate(known.key, now);
+        let endpoint = &self.endpoints[at];
+        let estimate = self.view.estimate(endpoint.key, now);
         Candidate {
-            endpoint: known.key,
-            incarnation: known.incarnation,
-            same_domain: known.near,
-            in_flight: known.running,
-            limit: most(setup, known),
+            endpoint: endpoint.key,
+            incarnation: endpoint.incarnation,
+            same_domain: endpoint.same_domain,
+            in_flight: endpoint.running,
+            limit: max_in_flight(setup, endpoint),
             queued: estimate.queued,
             speed: estimate.speed,
             weight: estimate.weight,
@@ -270,8 +278,8 @@
     (SLOTS as f64 * setup.settings.overcommit / setup.deployment.routers as f64).ceil() as u32
 }
 
-/// Most requests that a router may have at an engine.
-fn most(setup: &Setup, _known: &Known) -> u32 {
+/// The maximum number of requests that a router may have at an engine.
+fn max_in_flight(setup: &Setup, _endpoint: &EndpointState) -> u32 {
     setup.limit
 }
 
@@ -281,8 +289,12 @@
 }
 
 fn placer(setup: &Setup) -> Placer {
-    let builder = setup.settings.placer.clone().domain_rtt(2 * setup.deployment.crossing);
-    if setup.policy == Policy::LearntOnly {
+    let builder = setup
+        .settings
+        .placer
+        .clone()
+        .domain_rtt(2 * setup.deployment.domain_delay);
+    if setup.policy == Policy::LearnedOnly {
         builder.hashing(false).build()
     } else {
         builder.build()
--- a/crates/experiment/src/table/mod.rs
+++ b/crates/experiment/src/table/mod.rs
@@ -1,8 +1,8 @@
-//! The tables: one row for each scenario and policy.
+//! Result tables with one row per scenario and policy.
 
 use crate::deployment::Deployment;
 use crate::policy::{Policy, Settings};
-use crate::scenario::{self, Scenario, Trial, WARM_UP};
+use crate::scenario::{self, RunConfig, Scenario, WARM_UP};
 use crate::sim::Figures;
 use serde::Serialize;
 use std::fmt::Write;
@@ -17,23 +17,23 @@
     pub scenario: &'static str,
     /// The policy.
     pub policy: String,
-    /// Over all requests after the warm-up.
+    /// Figures over all requests after the warm-up.
     pub figures: Figures,
     /// Share of prompt blocks found in caches, over requests at routers that restarted shortly before; 0 without any.
     pub fresh: f64,
     /// Mean seconds from the last use of a block to its eviction.
     pub idle: f64,
-    /// Blocks computed again, as a share of all prompt blocks.
+    /// Recomputed blocks as a share of all prompt blocks.
     pub waste: f64,
-    /// Answered in time, over all workspaces but the smallest, which is the hot caller.
+    /// Share answered in time over all workspaces except the smallest, which is the hot client.
     pub others_in_time: f64,
-    /// Answered in time, requests a second.
+    /// Requests answered in time, per second.
     pub goodput: f64,
 }
 
 /// A policy with its settings, and its name in the table.
 #[derive(Debug, Clone)]
-pub struct Contender {
+pub struct Variant {
     /// The policy.
     pub policy: Policy,
     /// Settings of every router.
@@ -42,28 +42,28 @@
     pub name: String,
 }
 
-/// What a table compares.
+/// The runs that a table compares.
 #[derive(Debug, Clone)]
 pub struct Comparison {
     /// The deployment.
     pub deployment: Deployment,
-    /// Requests a second that count as a load of 1.
+    /// Requests per second at a load of 1.
     pub capacity: f64,
     /// The policies.
-    pub contenders: Vec<Contender>,
+    pub variants: Vec<Variant>,
     /// The scenarios.
     pub scenarios: Vec<Scenario>,
-    /// Figures are averaged over these.
+    /// The seeds over which figures are averaged.
     pub seeds: Vec<u64>,
 }
 
-/// Runs every policy through every scenario, `jobs` runs at a time.
+/// Runs every policy through every scenario, with `jobs` concurrent runs.
 pub fn rows(comparison: &Comparison, jobs: usize) -> Vec<Row> {
-    let runs = comparison.contenders.len();
+    let runs = comparison.variants.len();
     let cells = comparison.scenarios.len() * runs;
     let cell = |at: usize| {
-        let (scenario, contender) = (&comparison.scenarios[at / runs], &comparison.contenders[at % runs]);
-        let row = |seed: &u64| row(comparison, contender, scenario, *seed);
+        let (scenario, variant) = (&comparison.scenarios[at / runs], &comparison.variants[at % runs]);
+        let row = |seed: &u64| row(comparison, variant, scenario, *seed);
         mean(&comparison.seeds.iter().map(row).collect::<Vec<Row>>())
     };
     let next = AtomicUsize::new(0);
@@ -75,30 +75,30 @@
         let threads: Vec<_> = (0..jobs.max(1)).map(|_| scope.spawn(work)).collect();
         threads
             .into_iter()
-            .flat_map(|thread| thread.join().expect("a run holds its invariants"))
+            .flat_map(|thread| thread.join().expect("a run does not panic"))
             .collect()
     });
     rows.sort_by_key(|(at, _)| *at);
     rows.into_iter().map(|(_, row)| row).collect()
 }
 
-fn row(comparison: &Comparison, contender: &Contender, scenario: &Scenario, seed: u64) -> Row {
-    let trial = Trial {
+fn row(comparison: &Comparison, variant: &Variant, scenario: &Scenario, seed: u64) -> Row {
+    let config = RunConfig {
         deployment: comparison.deployment,
-        policy: contender.policy,
-        settings: contender.settings.clone(),
+        policy: variant.policy,
+        settings: variant.settings.clone(),
         capacity: comparison.capacity,
         seed,
     };
-    let record = scenario::play(&trial, scenario);
+    let record = scenario::run_scenario(&config, scenario);
     let figures = record.figures(|outcome| outcome.sent >= WARM_UP);
-    let smallest = trial.deployment.workspaces - 1;
+    let smallest = config.deployment.workspaces - 1;
     let others = record.figures(|outcome| outcome.sent >= WARM_UP && outcome.workspace != smallest);
     let length = (scenario::LENGTH - WARM_UP).as_secs_f64();
     Row {
-        deployment: trial.deployment.name,
+        deployment: config.deployment.name,
         scenario: scenario.name,
-        policy: contender.name.clone(),
+        policy: variant.name.clone(),
         fresh: record
             .figures(|outcome| outcome.sent >= WARM_UP && outcome.fresh)
             .hit_rate,
@@ -131,7 +131,7 @@
     }
 }
 
-/// The rows as a markdown table.
+/// Formats the rows as a markdown table.
 pub fn markdown(rows: &[Row]) -> String {
     let mut text = String::from(
         "| deployment | scenario | policy | requests | hit rate | of fresh routers | recomputed | TTFT p50 ms | p99 ms | in time | refused | others in time | goodput/s | evicted after s |\n\
--- a/crates/experiment/src/workload/mod.rs
+++ b/crates/experiment/src/workload/mod.rs
@@ -1,4 +1,4 @@
-//! Callers: prompts nested in levels, a few of them very hot.
+//! Generates requests whose prompts share prefixes on several levels, with skewed popularity.
 
 use crate::deployment::Deployment;
 use placement::PrefixChain;
@@ -18,7 +18,7 @@
 const TASKS: u64 = 5;
 /// Blocks of a task's layer.
 const TASK_BLOCKS: usize = 3;
-/// Most whole blocks of a request's own text.
+/// Maximum number of full blocks of a request's own text.
 const OWN_BLOCKS: usize = 2;
 /// Median and spread of generated tokens.
 const OUTPUT: (f64, f64) = (80.0, 0.6);
@@ -30,20 +30,20 @@
 /// One request.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// When the caller sends it.
+    /// When the client sends it.
     pub sent: Duration,
     /// The workspace, 0 the largest.
     pub workspace: usize,
-    /// The router that the platform's balancer gave it.
+    /// The router chosen by the platform's load balancer.
     pub router: usize,
     /// The prompt's blocks.
     pub chain: Rc<PrefixChain>,
-    /// Prompt tokens after the last whole block.
+    /// Prompt tokens after the last full block.
     pub tail: u32,
     /// Tokens it generates.
     pub output: u32,
-    /// How long the caller waits for the whole answer.
-    pub patience: Duration,
+    /// How long the client waits for the complete answer.
+    pub timeout: Duration,
 }
 
 /// What varies between scenarios.
@@ -52,19 +52,19 @@
     /// The rate is multiplied by this within the window.
     pub burst: Option<Window>,
     /// The smallest workspace sends this many times the whole pool's rate on top, within the window.
-    pub hot_caller: Option<Window>,
+    pub hot_client: Option<Window>,
     /// Within the window, half of all requests use one task, and which one changes every 10 s.
     pub hot_prefix: bool,
-    /// Of 100 requests this many are long jobs.
+    /// Percentage of requests that are long jobs.
     pub long_percent: u32,
 }
 
 /// A factor within a span of time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Window {
-    /// First moment.
+    /// Start, inclusive.
     pub from: Duration,
-    /// End.
+    /// End, exclusive.
     pub until: Duration,
     /// The factor.
     pub factor: f64,
@@ -80,18 +80,19 @@
     }
 }
 
-/// The rate rises this long to its full height: with empty caches a full load would be several times what engines can do.
+/// Time over which the rate rises to its full value. With empty caches, a full load would be several times the capacity
+/// of the engines.
 const RAMP: Duration = Duration::from_secs(30);
-/// Share of the full rate at which the rise begins.
+/// Initial share of the full rate.
 const RAMP_FROM: f64 = 0.2;
 /// How long a hot prefix stays the same.
 const HOT_SPAN: Duration = Duration::from_secs(10);
 
-/// All requests of one run, by time.
+/// Generates all requests of one run, ordered by time.
 pub fn requests(deployment: &Deployment, shape: &Shape, rate: f64, length: Duration, seed: u64) -> Vec<Request> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let peak =
-        rate * (shape.burst.map_or(1.0, |window| window.factor) + shape.hot_caller.map_or(0.0, |hot| hot.factor));
+        rate * (shape.burst.map_or(1.0, |window| window.factor) + shape.hot_client.map_or(0.0, |hot| hot.factor));
     let gaps = Exp::new(peak).expect("the rate is positive");
     let mut now = Duration::ZERO;
     let mut all = Vec::new();
@@ -102,7 +103,7 @@
         }
         let ramp = (now.as_secs_f64() / RAMP.as_secs_f64()).clamp(RAMP_FROM, 1.0);
         let plain = ramp * shape.burst.map_or(1.0, |burst| burst.at(now).max(1.0));
-        let hot = shape.hot_caller.map_or(0.0, |window| window.at(now));
+        let hot = shape.hot_client.map_or(0.0, |window| window.at(now));
         let drawn = rng.random::<f64>() * peak / rate;
         let mut request = draw(deployment, shape, now, &mut rng);
         if drawn < plain {
@@ -144,7 +145,7 @@
         chain: chain(workspace, layers, rng),
         tail: rng.random_range(1..crate::deployment::BLOCK_TOKENS),
         output,
-        patience: if long {
+        timeout: if long {
             Duration::from_secs(90)
         } else {
             Duration::from_secs(15)
--- a/crates/experiment/tests/scenarios.rs
+++ b/crates/experiment/tests/scenarios.rs
@@ -1,40 +1,40 @@
-//! The scenarios judged by what callers receive, each with a mechanism on and off.
+//! Tests of what clients receive in each scenario, with a mechanism on and off.
 
 use experiment::deployment::BOARD;
 use experiment::policy::{Policy, Settings};
 use experiment::scenario::{self, Scenario};
-use experiment::table::{Comparison, Contender, Row, rows};
+use experiment::table::{Comparison, Row, Variant, rows};
 
-/// Requests a second that the Board's twelve engines can serve, as `experiment compare` found.
+/// Requests per second that the Board's twelve engines can serve, as computed by `experiment compare`.
 const CAPACITY: f64 = 67.5;
 
 struct Case {
     scenario: &'static str,
     /// The mechanism, by its name in [`Settings::changed`].
     off: &'static str,
-    /// What callers receive: at least this with the mechanism, at most that without.
+    /// The figure for clients: at least `on` with the mechanism, at most `without` without it.
     figure: fn(&Row) -> f64,
     on: f64,
     without: f64,
 }
 
-fn contender(change: Option<&str>) -> Contender {
+fn variant(change: Option<&str>) -> Variant {
     let settings = Settings::default();
     let settings = change
         .map_or(Some(settings.clone()), |change| settings.changed(change))
         .expect("a known mechanism");
-    Contender {
-        policy: Policy::Ours,
+    Variant {
+        policy: Policy::Placer,
         settings,
         name: change.unwrap_or("on").to_owned(),
     }
 }
 
-fn play(scenario: Scenario, contenders: Vec<Contender>) -> Vec<Row> {
+fn run_scenario(scenario: Scenario, variants: Vec<Variant>) -> Vec<Row> {
     let comparison = Comparison {
         deployment: BOARD,
         capacity: CAPACITY,
-        contenders,
+        variants,
         scenarios: vec![scenario],
         seeds: vec![1],
     };
@@ -48,10 +48,10 @@
         .expect("a known scenario")
 }
 
-// Each row is one load pattern of the deployments. What a user notices without the mechanism: answers that come too late
-// or not at all, and prefixes that are computed again while they lie in another cache.
+// Each row is one load pattern. Without the mechanism, answers arrive too late or not at all, and prefixes are computed
+// again although another engine has them cached.
 #[test]
-fn callers_are_served_with_each_mechanism_and_not_without() {
+fn clients_are_served_only_with_each_mechanism() {
     let in_time = |row: &Row| row.figures.in_time;
     let others = |row: &Row| row.others_in_time;
     let share_of_best = |row: &Row| row.goodput / CAPACITY;
@@ -136,7 +136,7 @@
         },
     ];
     for case in cases {
-        let rows = play(named(case.scenario), vec![contender(None), contender(Some(case.off))]);
+        let rows = run_scenario(named(case.scenario), vec![variant(None), variant(Some(case.off))]);
         let [on, off] = [&rows[0], &rows[1]].map(case.figure);
         println!("{}: {on:.3} with, {off:.3} without {}", case.scenario, case.off);
         assert!(on >= case.on, "{}: {on:.3} with {}", case.scenario, case.off);
@@ -144,22 +144,23 @@
     }
 }
 
-// The oracle knows every cache and queue. A policy that falls far behind it computes prefixes again that lie elsewhere.
+// The oracle sees every cache and queue. A policy with a much lower hit rate recomputes prefixes that other engines have
+// cached.
 #[test]
-fn the_hit_rate_is_near_the_oracles() {
-    let oracle = Contender {
+fn hit_rate_is_near_that_of_the_oracle() {
+    let oracle = Variant {
         policy: Policy::Oracle,
         settings: Settings::default(),
         name: "oracle".to_owned(),
     };
-    let rows = play(named("steady 80%"), vec![contender(None), oracle]);
+    let rows = run_scenario(named("steady 80%"), vec![variant(None), oracle]);
     let share = rows[0].figures.hit_rate / rows[1].figures.hit_rate;
     assert!(share >= 0.95, "{share:.3} of the oracle's hit rate");
 }
 
-// The same seed must give the same figures, or no two policies could be compared.
+// The same seed must give the same figures, otherwise policies are not comparable.
 #[test]
-fn a_run_repeats_exactly() {
-    let figures = || play(named("engine crash"), vec![contender(None)])[0].figures;
+fn runs_with_the_same_seed_give_the_same_figures() {
+    let figures = || run_scenario(named("engine crash"), vec![variant(None)])[0].figures;
     assert_eq!(figures(), figures());
 }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Chores of the workspace, run as `cargo xtask NAME`.
+//! Development tasks of the workspace, run as `cargo xtask NAME`.
 
 use argh::FromArgs;
 use quick_error::quick_error;
@@ -6,34 +6,34 @@
 use std::process::{Command, ExitCode, ExitStatus};
 
 const KNOWN_RED: &str = "KNOWN-RED.txt";
-const MOST_KNOWN_RED: usize = 3;
+const MAX_KNOWN_RED: usize = 3;
 
-/// Chores of the workspace.
+/// Development tasks of the workspace.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
-    chore: Chore,
+    command: Subcommand,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum Chore {
+enum Subcommand {
     Demo(Demo),
     Test(Test),
 }
 
-/// Build everything and start the whole path on loopback.
+/// Build everything and start a complete deployment on loopback.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "demo")]
 struct Demo {}
 
-/// Run all tests but those listed in KNOWN-RED.txt, which are printed.
+/// Run all tests except those listed in KNOWN-RED.txt, and print the exceptions.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "test")]
 struct Test {}
 
 quick_error! {
-    /// Why a chore failed.
+    /// Why a task failed.
     #[derive(Debug)]
     enum Error {
         /// A file or a program could not be used.
@@ -41,22 +41,22 @@
             from()
             display("{err}")
         }
-        /// A program failed.
+        /// A program exited with a failure.
         Failed(program: &'static str, status: ExitStatus) {
             display("{program}: {status}")
         }
         /// The list of known failures is too long.
         TooManyKnownRed(count: usize) {
-            display("{KNOWN_RED} lists {count} tests, at most {MOST_KNOWN_RED} are allowed")
+            display("{KNOWN_RED} lists {count} tests, at most {MAX_KNOWN_RED} are allowed")
         }
     }
 }
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let result = match args.chore {
-        Chore::Demo(_) => demo(),
-        Chore::Test(_) => test(),
+    let result = match args.command {
+        Subcommand::Demo(_) => demo(),
+        Subcommand::Test(_) => test(),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -72,7 +72,7 @@
     cargo(&["run", "--package", "loadtool", "--quiet", "--", "demo"])
 }
 
-/// The programs are started as processes, by tests as well.
+/// Builds all binaries, because the demo and the tests start them as processes.
 fn build() -> Result<(), Error> {
     cargo(&["build", "--workspace", "--bins", "--locked", "--quiet"])
 }
@@ -103,7 +103,7 @@
         .filter(|line| !line.trim().is_empty())
         .map(str::to_owned)
         .collect();
-    if lines.len() > MOST_KNOWN_RED {
+    if lines.len() > MAX_KNOWN_RED {
         return Err(Error::TooManyKnownRed(lines.len()));
     }
     Ok(lines)
