--- a/crates/experiment/src/engine/cache.rs
+++ b/crates/experiment/src/engine/cache.rs
@@ -11,8 +11,8 @@
     used: Duration,
 }
 
-/// Cached blocks of one engine. Blocks in use are pinned. Of the others, the least recently used block is evicted first.
-/// Ties evict the deepest block first, so that a block is never cached without its predecessors.
+/// Cached blocks of one engine. Blocks in use are pinned. Of the others, the least recently used block is evicted
+/// first. Ties evict the deepest block first, so that a block is never cached without its predecessors.
 #[derive(Debug, Clone)]
 pub struct Cache {
     capacity: usize,
--- a/crates/experiment/src/main.rs
+++ b/crates/experiment/src/main.rs
@@ -43,8 +43,8 @@
     /// concurrent runs
     #[argh(option, default = "4")]
     jobs: usize,
-    /// add a row for policy "ours" with these mechanisms off or values changed, separated by commas: hash, learn, spill,
-    /// reports, own, speed, or name=figure; may be repeated
+    /// add a row for policy "ours" with these mechanisms off or values changed, separated by commas: hash, learn,
+    /// spill, reports, own, speed, or name=figure; may be repeated
     #[argh(option)]
     change: Vec<String>,
     /// blocks an engine can cache
--- a/crates/experiment/src/sim/router.rs
+++ b/crates/experiment/src/sim/router.rs
@@ -75,8 +75,8 @@
         router
     }
 
-    /// Resets what was learned about endpoints and seeds it from `hint`. Queued and in-flight requests finish at the old
-    /// process.
+    /// Resets what was learned about endpoints and seeds it from `hint`. Queued and in-flight requests finish at the
+    /// old process.
     pub fn restart(&mut self, setup: &Setup, hint: &[(EndpointKey, f64)]) {
         self.view = setup.settings.view.build();
         self.placer = placer(setup);
--- a/crates/experiment/tests/scenarios.rs
+++ b/crates/experiment/tests/scenarios.rs
@@ -144,8 +144,8 @@
     }
 }
 
-// The oracle sees every cache and queue. A policy with a much lower hit rate recomputes prefixes that other engines have
-// cached.
+// The oracle sees every cache and queue. A policy with a much lower hit rate recomputes prefixes that other engines
+// have cached.
 #[test]
 fn hit_rate_is_near_that_of_the_oracle() {
     let oracle = Variant {
--- a/crates/loadtool/src/demo.rs
+++ b/crates/loadtool/src/demo.rs
@@ -1,25 +1,25 @@
-//! The whole path on loopback for a person with `curl`.
+//! A complete deployment on loopback, for trying it with `curl`.
 
 use crate::error::ToolError;
 use crate::scenario::Scenario;
-use crate::site::{Launcher, Places, RouterSpec, document, key, publish, until_ready};
+use crate::site::{EndpointAddresses, Launcher, RouterSpec, document, key, publish, until_ready};
 use async_std::task;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Engines of the demo.
 const ENGINES: usize = 2;
-/// Prompt tokens that an engine of the demo prefills a second.
+/// Prompt tokens per second that an engine of the demo prefills.
 const PREFILL_RATE: u64 = 4_000;
-/// Milliseconds of a token, slow enough to watch a stream.
+/// Milliseconds per token, slow enough to watch a stream.
 const DECODE_MS: f64 = 60.0;
-/// Longest life of a demo that nobody ends.
-const LONGEST: Duration = Duration::from_secs(3600);
+/// Maximum duration of a demo that is not interrupted.
+const MAX_DURATION: Duration = Duration::from_secs(3600);
 
-/// Starts platform, two engines, a plain service and a router, prints what to do, and waits for Ctrl-C.
+/// Starts platform, two engines, a plain service and a router, prints example commands, and waits for Ctrl-C.
 ///
 /// # Errors
-/// If a process can't be started or the document isn't accepted.
+/// If a process can't be started or the configuration document is refused.
 pub async fn demo() -> Result<(), ToolError> {
     let folder = tempfile::tempdir().map_err(ToolError::io("a folder for settings"))?;
     let launcher = Launcher::new(folder.path().to_path_buf())?;
@@ -31,11 +31,11 @@
         engines.push(launcher.standin("standin-engine", &engine_args(index, &scenario.engines.model))?);
     }
     let service = launcher.standin("standin-service", &[])?;
-    let places = Places {
+    let addresses = EndpointAddresses {
         engines: engines.iter().map(|engine| engine.address).collect(),
         runners: vec![service.address],
     };
-    let _publisher = publish(platform.address, &document(&scenario, &places)).await?;
+    let _publisher = publish(platform.address, &document(&scenario, &addresses)).await?;
     let spec = RouterSpec {
         index: 0,
         domain: scenario.domains[0].clone(),
@@ -46,7 +46,7 @@
     let router = launcher.router(&spec)?;
     until_ready(router.operators).await?;
     explain(&scenario, router.process.address, router.operators, platform.address);
-    task::sleep(LONGEST).await;
+    task::sleep(MAX_DURATION).await;
     Ok(())
 }
 
--- a/crates/loadtool/src/error.rs
+++ b/crates/loadtool/src/error.rs
@@ -1,37 +1,37 @@
-//! Why the tool gave up.
+//! The errors of the tool.
 
 use quick_error::quick_error;
 use standins::http::ClientError;
 use std::io;
 
 quick_error! {
-    /// Why the tool gave up.
+    /// Why the tool failed.
     #[derive(Debug)]
     pub enum ToolError {
-        /// A process or a file.
-        Io(what: String, err: io::Error) { display("{what}: {err}") source(err) }
-        /// A call of the tool itself.
+        /// An I/O error of a process or a file.
+        Io(subject: String, err: io::Error) { display("{subject}: {err}") source(err) }
+        /// An HTTP call of the tool failed.
         Client(err: ClientError) { from() display("{err}") source(err) }
-        /// The configuration document is not accepted.
+        /// The configuration document was refused.
         Refused(err: config::ChangeRefused) { from() display("configuration: {err}") source(err) }
-        /// A call of the tool itself was answered with this status.
-        Status(what: &'static str, status: u16) { display("{what}: status {status}") }
-        /// A file is not what it should be.
-        Json(what: String, err: serde_json::Error) { display("{what}: {err}") source(err) }
-        /// Something did not happen in time.
-        Late(what: &'static str) { display("{what} took too long") }
-        /// The plot can't be drawn.
-        Plot(what: String) { display("plot: {what}") }
-        /// Callers' and stand-ins' counts differ, or a promise was broken.
+        /// An HTTP call of the tool returned an unexpected status.
+        Status(subject: &'static str, status: u16) { display("{subject}: status {status}") }
+        /// A file is not valid JSON of the expected type.
+        Json(subject: String, err: serde_json::Error) { display("{subject}: {err}") source(err) }
+        /// An operation timed out.
+        Timeout(subject: &'static str) { display("{subject} took too long") }
+        /// Drawing a plot failed.
+        Plot(subject: String) { display("plot: {subject}") }
+        /// The counts of clients and stand-ins differ, or a guarantee was violated.
         Accounting(problems: usize) { display("{problems} errors in the accounting") }
-        /// A bound of the tool.
-        Bound(what: &'static str) { display("{what} is out of bounds") }
+        /// A setting is out of bounds.
+        OutOfBounds(subject: &'static str) { display("{subject} is out of bounds") }
     }
 }
 
 impl ToolError {
-    /// For `map_err`: an I/O error with what it concerns.
-    pub fn io(what: impl ToString) -> impl FnOnce(io::Error) -> Self {
-        move |err| Self::Io(what.to_string(), err)
+    /// Returns a conversion for `map_err` that adds the subject to an I/O error.
+    pub fn io(subject: impl ToString) -> impl FnOnce(io::Error) -> Self {
+        move |err| Self::Io(subject.to_string(), err)
     }
 }
--- a/crates/loadtool/src/faults.rs
+++ b/crates/loadtool/src/faults.rs
@@ -1,4 +1,4 @@
-//! Which faults come when, drawn from a seed beforehand. No I/O, no clock.
+//! Generates the fault schedule from a seed, in advance. Does no I/O and reads no clock.
 
 use crate::scenario::Scenario;
 use rand::{RngExt, SeedableRng};
@@ -7,42 +7,42 @@
 use std::time::Duration;
 use wire::{engine, platform, service};
 
-/// Faults end this share of the run before its end, so that what they left behind is seen.
+/// Share of the run at its end without new faults, so that lasting effects of faults are visible.
 const QUIET_SHARE: f64 = 0.15;
-const SHORTEST: f64 = 0.5;
-const LONGEST: f64 = 3.0;
+const MIN_DURATION_S: f64 = 0.5;
+const MAX_DURATION_S: f64 = 3.0;
 const KINDS: u32 = 14;
 
-/// One turn of a fault switch.
+/// A scheduled change of a fault.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Fault {
-    /// When, since the start.
+    /// Time since the start.
     pub at: Duration,
-    /// What.
-    pub what: What,
+    /// The action.
+    pub what: Action,
 }
 
-/// A fault of one process, by its number.
+/// A fault action on one process, identified by its number.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub enum What {
-    /// Switch of an engine.
+pub enum Action {
+    /// Sets faults of an engine.
     Engine(usize, engine::Fault),
-    /// Switch of a runner.
+    /// Sets faults of a runner.
     Runner(usize, service::Fault),
-    /// Switch of the platform.
+    /// Sets faults of the platform.
     Platform(platform::Fault),
-    /// A router is killed and started again.
+    /// Kills a router and restarts it.
     Router(usize),
 }
 
-/// Faults of a run, one about every `every` seconds, by time.
-pub fn schedule(scenario: &Scenario, seed: u64, seconds: f64, every: f64) -> Vec<Fault> {
+/// Generates the faults of a run, about one per `interval` seconds, ordered by time.
+pub fn schedule(scenario: &Scenario, seed: u64, seconds: f64, interval: f64) -> Vec<Fault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0xfa17);
     let mut all = Vec::new();
     let last = seconds * (1.0 - QUIET_SHARE);
-    let mut at = every;
-    while at + LONGEST < last {
-        let length = random.random_range(SHORTEST..LONGEST);
+    let mut at = interval;
+    while at + MAX_DURATION_S < last {
+        let length = random.random_range(MIN_DURATION_S..MAX_DURATION_S);
         let (on, off) = draw(&mut random, scenario);
         all.push(Fault {
             at: Duration::from_secs_f64(at),
@@ -52,20 +52,20 @@
             at: Duration::from_secs_f64(at + length),
             what,
         }));
-        at += every * random.random_range(0.5..1.5);
+        at += interval * random.random_range(0.5..1.5);
     }
     all.sort_by_key(|fault| fault.at);
     all
 }
 
-/// A fault, and how it is taken back if it doesn't end by itself.
-fn draw(random: &mut ChaCha8Rng, scenario: &Scenario) -> (What, Option<What>) {
+/// Draws a fault, and the action that ends it if it doesn't end by itself.
+fn draw(random: &mut ChaCha8Rng, scenario: &Scenario) -> (Action, Option<Action>) {
     let engine = random.random_range(0..scenario.engines.count);
     let runner = random.random_range(0..scenario.service.count);
     let router = random.random_range(0..scenario.routers);
-    let some = random.random_range(1..4);
-    let at_engine = |fault| What::Engine(engine, fault);
-    let at_runner = |fault| What::Runner(runner, fault);
+    let count = random.random_range(1..4);
+    let at_engine = |fault| Action::Engine(engine, fault);
+    let at_runner = |fault| Action::Runner(runner, fault);
     let hang = |on| engine::Fault {
         hang: Some(on),
         ..Default::default()
@@ -79,13 +79,13 @@
         ..Default::default()
     };
     let down = |on| {
-        What::Platform(platform::Fault {
+        Action::Platform(platform::Fault {
             down: Some(on),
             ..Default::default()
         })
     };
     let delay = |ms| {
-        What::Platform(platform::Fault {
+        Action::Platform(platform::Fault {
             delay_ms: Some(ms),
             ..Default::default()
         })
@@ -105,7 +105,7 @@
             let break_at = Some(random.random_range(0..u64::from(scenario.prompts.max_tokens)));
             (
                 at_engine(engine::Fault {
-                    break_streams: Some(some),
+                    break_streams: Some(count),
                     break_at,
                     ..Default::default()
                 }),
@@ -114,14 +114,14 @@
         }
         5 => (
             at_engine(engine::Fault {
-                cross_answers: Some(some),
+                cross_answers: Some(count),
                 ..Default::default()
             }),
             None,
         ),
         6 => (
             at_engine(engine::Fault {
-                cut_answers: Some(some),
+                cut_answers: Some(count),
                 ..Default::default()
             }),
             None,
@@ -137,7 +137,7 @@
             let cut_at = Some(cut_at(random.random_range(0..5)));
             (
                 at_runner(service::Fault {
-                    cut: Some(some),
+                    cut: Some(count),
                     cut_at,
                     ..Default::default()
                 }),
@@ -146,7 +146,7 @@
         }
         9 => (
             at_runner(service::Fault {
-                cross_answers: Some(some),
+                cross_answers: Some(count),
                 ..Default::default()
             }),
             None,
@@ -154,13 +154,13 @@
         10 => (down(true), Some(down(false))),
         11 => (delay(300), Some(delay(0))),
         12 => (
-            What::Platform(platform::Fault {
-                lose_answers: Some(some),
+            Action::Platform(platform::Fault {
+                lose_answers: Some(count),
                 ..Default::default()
             }),
             None,
         ),
-        _ => (What::Router(router), None),
+        _ => (Action::Router(router), None),
     }
 }
 
--- a/crates/loadtool/src/lib.rs
+++ b/crates/loadtool/src/lib.rs
@@ -1,4 +1,4 @@
-//! Open-loop load and experiments against our own stand-ins on loopback. Never shipped.
+//! Open-loop load tests and measurements against the stand-ins on loopback. Not part of a release.
 
 pub mod demo;
 pub mod error;
--- a/crates/loadtool/src/main.rs
+++ b/crates/loadtool/src/main.rs
@@ -1,4 +1,4 @@
-//! `apricotfork-load`: load and experiments against our own stand-ins on loopback.
+//! `apricotfork-load`: load tests and measurements against the stand-ins on loopback.
 
 use argh::FromArgs;
 use async_std::task::block_on;
@@ -12,14 +12,14 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-const MOST_REQUESTS: usize = 200_000;
-const MOST_SECONDS: f64 = 60.0;
-const MOST_CONNECTIONS: usize = 1024;
-const MOST_DOMAINS: usize = 8;
-const MOST_ROUTERS: usize = 12;
-const MOST_CHANGES: u64 = 200;
+const MAX_REQUESTS: usize = 200_000;
+const MAX_SECONDS: f64 = 60.0;
+const MAX_CONNECTIONS: usize = 1024;
+const MAX_DOMAINS: usize = 8;
+const MAX_ROUTERS: usize = 12;
+const MAX_CHANGES: u64 = 200;
 
-/// Load and experiments against our own stand-ins on loopback.
+/// Load tests and measurements against the stand-ins on loopback.
 #[derive(Debug, FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -37,7 +37,7 @@
     Report(Report),
 }
 
-/// Start the whole path on loopback, print curl commands and wait for Ctrl-C.
+/// Start a complete deployment on loopback, print curl commands and wait for Ctrl-C.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "demo")]
 struct Demo {}
@@ -49,7 +49,7 @@
     /// board, kovacs or both
     #[argh(option, default = "String::from(\"both\")")]
     deployment: String,
-    /// a scenario of your own, JSON
+    /// JSON file with a custom scenario
     #[argh(option)]
     settings: Option<PathBuf>,
     /// seed of arrivals, prompts and faults
@@ -58,7 +58,7 @@
     /// seconds during which calls arrive
     #[argh(option, default = "60.0")]
     seconds: f64,
-    /// calls a second
+    /// calls per second
     #[argh(option, default = "60.0")]
     rate: f64,
     /// seconds between faults, 0 for none
@@ -69,11 +69,11 @@
     out: PathBuf,
 }
 
-/// Measure the router's own time per request against a direct call to the engine.
+/// Measure the router's overhead per request compared with a direct call to the engine.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "overhead")]
 struct Overhead {
-    /// requests one after the other, by each way
+    /// sequential requests on each route
     #[argh(option, default = "10000")]
     requests: usize,
     /// seconds of the run at full speed
@@ -87,11 +87,11 @@
     out: PathBuf,
 }
 
-/// Measure how one router grows with peers, endpoints, blocks, requests, pieces, claims and configuration.
+/// Measure how the cost of one router grows with peers, endpoints, blocks, requests, pieces, claims and configuration.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "slopes")]
 struct Slopes {
-    /// seconds of each point
+    /// seconds per data point
     #[argh(option, default = "6.0")]
     seconds: f64,
     /// only this sweep; may be given several times
@@ -102,25 +102,25 @@
     out: PathBuf,
 }
 
-/// Measure how long a change of configuration takes until it is in force everywhere.
+/// Measure how long a configuration change takes to become active on all routers.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "spread")]
 struct Spread {
     /// failure domains
     #[argh(option, default = "4")]
     domains: usize,
-    /// routers of each
+    /// routers per failure domain
     #[argh(option, default = "4")]
     routers: usize,
-    /// changes, one after the other
+    /// number of sequential changes
     #[argh(option, default = "20")]
     changes: u64,
-    /// cut the last domain from the platform
+    /// disconnect the last domain from the platform
     #[argh(switch)]
     cut: bool,
 }
 
-/// Put two records of runs side by side in a page.
+/// Compare the records of two runs in an HTML page.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "report")]
 struct Report {
@@ -157,7 +157,7 @@
 async fn run(args: &Run) -> Result<(), ToolError> {
     let mut problems = 0;
     for scenario in scenarios(args)? {
-        let faults = Some(args.faults).filter(|every| *every > 0.0);
+        let faults = Some(args.faults).filter(|interval| *interval > 0.0);
         let spec = RunSpec {
             scenario,
             seed: args.seed,
@@ -185,15 +185,15 @@
         "board" => Ok(vec![Scenario::board()]),
         "kovacs" => Ok(vec![Scenario::kovacs()]),
         "both" => Ok(vec![Scenario::board(), Scenario::kovacs()]),
-        _ => Err(ToolError::Bound("deployment")),
+        _ => Err(ToolError::OutOfBounds("deployment")),
     }
 }
 
 async fn measure_overhead(args: &Overhead) -> Result<(), ToolError> {
     let spec = OverheadSpec {
-        requests: args.requests.min(MOST_REQUESTS),
-        seconds: args.seconds.min(MOST_SECONDS),
-        connections: args.connections.min(MOST_CONNECTIONS),
+        requests: args.requests.min(MAX_REQUESTS),
+        seconds: args.seconds.min(MAX_SECONDS),
+        connections: args.connections.min(MAX_CONNECTIONS),
         threads: vec![1, 4],
     };
     let records = overhead(&spec).await?;
@@ -205,7 +205,7 @@
 
 async fn measure_slopes(args: &Slopes) -> Result<(), ToolError> {
     let spec = SlopeSpec {
-        seconds: args.seconds.min(MOST_SECONDS),
+        seconds: args.seconds.min(MAX_SECONDS),
         only: args.only.clone(),
     };
     let series = slopes(&spec, |series| println!("{}", table::series(series))).await?;
@@ -214,9 +214,9 @@
 
 async fn measure_spread(args: &Spread) -> Result<(), ToolError> {
     let spec = SpreadSpec {
-        domains: args.domains.clamp(1, MOST_DOMAINS),
-        routers: args.routers.clamp(1, MOST_ROUTERS),
-        changes: args.changes.clamp(1, MOST_CHANGES),
+        domains: args.domains.clamp(1, MAX_DOMAINS),
+        routers: args.routers.clamp(1, MAX_ROUTERS),
+        changes: args.changes.clamp(1, MAX_CHANGES),
         cut: args.cut,
     };
     println!("{}", table::spread(&spread(&spec).await?));
--- a/crates/loadtool/src/measure/load.rs
+++ b/crates/loadtool/src/measure/load.rs
@@ -1,6 +1,6 @@
-//! Sends calls of one sort at a steady rate.
+//! Sends calls of one kind at a constant rate.
 
-use super::stand::Stand;
+use super::test_bed::TestBed;
 use crate::site;
 use async_std::task;
 use http_types::{Method, Request};
@@ -13,17 +13,17 @@
 const CONNECTIONS: usize = 64;
 const BLOCK_BYTES: usize = 4096;
 
-/// A sort of call.
+/// A kind of call.
 #[derive(Debug, Clone, Copy)]
 pub enum Load {
     /// A completion with a short prompt, one JSON body.
     Short,
-    /// A completion with a prompt of so many blocks, always the same but for its end.
+    /// A completion with a prompt of this many blocks, identical except for its end.
     Prompt {
         /// Blocks.
         blocks: usize,
     },
-    /// A completion with a prompt of so many blocks that nobody sent before.
+    /// A completion with a new prompt of this many blocks.
     Fresh {
         /// Blocks.
         blocks: usize,
@@ -33,12 +33,12 @@
         /// Pieces.
         tokens: usize,
     },
-    /// A call that may run once, with its key.
+    /// An at-most-once call with an idempotency key.
     Keyed,
 }
 
 impl Load {
-    /// Of what varies, so much in each call.
+    /// The units of the varied quantity per call.
     pub fn units(self) -> f64 {
         match self {
             Self::Stream { tokens } => tokens as f64,
@@ -46,9 +46,9 @@
         }
     }
 
-    fn request(self, client: &Client, stand: &Names, number: usize) -> Result<Request, ClientError> {
+    fn request(self, client: &Client, bed: &Names, number: usize) -> Result<Request, ClientError> {
         let completion = |prompt: String, tokens: usize, stream: bool| {
-            let body = json!({"model": stand.model, "prompt": prompt, "max_tokens": tokens, "stream": stream});
+            let body = json!({"model": bed.model, "prompt": prompt, "max_tokens": tokens, "stream": stream});
             ("/v1/completions".to_owned(), body.to_string())
         };
         let (path, body) = match self {
@@ -58,7 +58,7 @@
                 completion(format!("{number:012}").repeat(blocks * BLOCK_BYTES / 12 + 1), 1, false)
             }
             Self::Stream { tokens } => completion("Is bin 7 dry?".to_owned(), tokens, true),
-            Self::Keyed => (stand.single.clone(), "{}".to_owned()),
+            Self::Keyed => (bed.single.clone(), "{}".to_owned()),
         };
         let mut request = client.request(Method::Post, &path)?;
         request.set_body(body);
@@ -76,32 +76,33 @@
     single: String,
 }
 
-/// Sends at `rate` for `time`; returns the whole answers a second. Says on standard error how many failed.
-pub async fn send(stand: &Stand, load: Load, rate: f64, time: Duration) -> f64 {
-    let service = &stand.scenario.service;
+/// Sends calls at `rate` for `time`. Returns the complete answers per second and prints the number of failures to
+/// standard error.
+pub async fn send(bed: &TestBed, load: Load, rate: f64, time: Duration) -> f64 {
+    let service = &bed.scenario.service;
     let names = Arc::new(Names {
-        model: stand.scenario.engines.model.clone(),
+        model: bed.scenario.engines.model.clone(),
         single: format!("/services/{}{}", service.name, service.single),
     });
     let (to_send, numbers) = async_channel::unbounded();
     let workers = (0..CONNECTIONS).map(|_| {
-        let (numbers, names, router) = (numbers.clone(), names.clone(), stand.router());
+        let (numbers, names, router) = (numbers.clone(), names.clone(), bed.router());
         task::spawn(async move {
             let mut client = Client::new(router);
-            let (mut whole, mut failed) = (0u32, 0u32);
+            let (mut complete, mut failed) = (0u32, 0u32);
             while let Ok(number) = numbers.recv().await {
                 let sent = match load.request(&client, &names, number) {
                     Ok(request) => client.call(request).await,
                     Err(err) => Err(err),
                 };
                 if sent.is_ok_and(|answer| answer.status() == 200) {
-                    whole += 1;
+                    complete += 1;
                 } else {
                     client.close();
                     failed += 1;
                 }
             }
-            (whole, failed)
+            (complete, failed)
         })
     });
     let workers: Vec<_> = workers.collect();
@@ -117,14 +118,14 @@
         task::sleep(time).await;
     }
     drop(to_send);
-    let (mut whole, mut failed) = (0, 0);
+    let (mut complete, mut failed) = (0, 0);
     for worker in workers {
-        let (more_whole, more_failed) = worker.await;
-        whole += more_whole;
-        failed += more_failed;
+        let (worker_complete, worker_failed) = worker.await;
+        complete += worker_complete;
+        failed += worker_failed;
     }
     if failed > 0 {
         eprintln!("{failed} of {number} calls failed");
     }
-    f64::from(whole) / from.elapsed().as_secs_f64()
+    f64::from(complete) / from.elapsed().as_secs_f64()
 }
--- a/crates/loadtool/src/measure/mod.rs
+++ b/crates/loadtool/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! Measures one router: its own time per request, and how processor time, memory and bytes grow.
+//! Measures one router: its overhead per request, and the growth of CPU time, memory and traffic.
 
 mod fit;
 mod load;
@@ -8,8 +8,8 @@
 mod slopes;
 mod sockets;
 mod spread;
-mod stand;
 mod sweeps;
+mod test_bed;
 
 pub use fit::{Fit, fit};
 pub use overhead::{OverheadRecord, OverheadSpec, overhead};
--- a/crates/loadtool/src/measure/overhead.rs
+++ b/crates/loadtool/src/measure/overhead.rs
@@ -1,6 +1,6 @@
-//! The router's own time per request, against a direct call to the engine in the same run.
+//! Measures the router's overhead per request, compared with direct calls to the engine in the same run.
 
-use super::stand::{Stand, StandSpec};
+use super::test_bed::{TestBed, TestBedSpec};
 use crate::error::ToolError;
 use crate::run::Times;
 use crate::site;
@@ -14,14 +14,14 @@
 use std::time::{Duration, Instant};
 use wire::client::RefusalBody;
 
-const LONGEST_US: u64 = 60_000_000;
+const MAX_MICROS: u64 = 60_000_000;
 const WARM_UP: usize = 500;
 const ENGINES: usize = 6;
 
-/// What to measure.
+/// The settings of the measurement.
 #[derive(Debug, Clone)]
 pub struct OverheadSpec {
-    /// Requests one after the other, by each way.
+    /// Sequential requests on each route.
     pub requests: usize,
     /// Seconds of the run at full speed.
     pub seconds: f64,
@@ -31,35 +31,35 @@
     pub threads: Vec<usize>,
 }
 
-/// What was measured with one number of threads.
+/// The results for one number of threads.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct OverheadRecord {
     /// Threads of the router for traffic.
     pub threads: usize,
-    /// One request at a time, straight to the engine.
+    /// One request at a time, directly to the engine.
     pub direct: Times,
     /// One request at a time through the router.
     pub routed: Times,
-    /// All connections busy, straight to the engines: requests a second and times.
+    /// All connections busy, directly to the engines: requests per second and times.
     pub direct_full: (f64, Times),
     /// All connections busy, through the router.
     pub routed_full: (f64, Times),
-    /// Processor time of the router for a request in the run at full speed, microseconds.
+    /// CPU time of the router per request in the run at full speed, in microseconds.
     pub cpu_us: f64,
-    /// Cores the router used in the run at full speed.
+    /// CPU cores used by the router in the run at full speed.
     pub cores: f64,
-    /// Answers that were not whole, by what they were; they count in no rate and no time.
+    /// Failed calls by name. They are not included in rates and times.
     pub failed: Failures,
-    /// Average of running processes on the machine at the end, over a minute.
+    /// One-minute load average of the VM at the end.
     pub machine: f64,
 }
 
 /// Failures by name.
 pub type Failures = BTreeMap<String, u64>;
 
-/// A way that a request can take.
+/// A route from client to engine.
 #[derive(Debug, Clone)]
-struct Way {
+struct Route {
     to: Vec<SocketAddr>,
     body: String,
     key: Option<String>,
@@ -72,26 +72,26 @@
 pub async fn overhead(spec: &OverheadSpec) -> Result<Vec<OverheadRecord>, ToolError> {
     let mut records = Vec::new();
     for threads in &spec.threads {
-        let stand = StandSpec {
+        let bed = TestBedSpec {
             engines: ENGINES,
             threads: *threads,
-            ..StandSpec::small()
+            ..TestBedSpec::small()
         };
-        records.push(measure(spec, &Stand::start(&stand).await?, *threads).await?);
+        records.push(measure(spec, &TestBed::start(&bed).await?, *threads).await?);
     }
     Ok(records)
 }
 
-async fn measure(spec: &OverheadSpec, stand: &Stand, threads: usize) -> Result<OverheadRecord, ToolError> {
-    let model = &stand.scenario.engines.model;
+async fn measure(spec: &OverheadSpec, bed: &TestBed, threads: usize) -> Result<OverheadRecord, ToolError> {
+    let model = &bed.scenario.engines.model;
     let body = format!(r#"{{"model":"{model}","prompt":"Is bin 7 dry?","max_tokens":1}}"#);
-    let direct = Way {
-        to: stand.engines.clone(),
+    let direct = Route {
+        to: bed.engines.clone(),
         body: body.clone(),
         key: None,
     };
-    let routed = Way {
-        to: vec![stand.router()],
+    let routed = Route {
+        to: vec![bed.router()],
         body,
         key: Some(format!("Bearer {}", site::key(0))),
     };
@@ -99,13 +99,13 @@
         threads,
         ..OverheadRecord::default()
     };
-    one_by_one(spec, &direct, &routed, &mut record).await?;
+    sequential(spec, &direct, &routed, &mut record).await?;
     let (full, failed) = full_speed(spec, &direct).await;
     record.direct_full = full;
     add_failures(&mut record.failed, failed);
-    let (cpu, from) = (stand.cpu()?, Instant::now());
+    let (cpu, from) = (bed.cpu()?, Instant::now());
     let (full, failed) = full_speed(spec, &routed).await;
-    let used = stand.cpu()? - cpu;
+    let used = bed.cpu()? - cpu;
     let answers = full.1.count + failed.values().sum::<u64>();
     add_failures(&mut record.failed, failed);
     record.machine = load_average();
@@ -115,19 +115,19 @@
     Ok(record)
 }
 
-/// Turn and turn about, so that a noisy moment of the machine meets both ways.
-async fn one_by_one(
+/// Alternates between the routes, so that noise on the VM affects both.
+async fn sequential(
     spec: &OverheadSpec,
-    direct: &Way,
-    routed: &Way,
+    direct: &Route,
+    routed: &Route,
     record: &mut OverheadRecord,
 ) -> Result<(), ToolError> {
     let mut clients = [Client::new(direct.to[0]), Client::new(routed.to[0])];
     let mut times = [histogram(), histogram()];
     for number in 0..spec.requests + WARM_UP {
-        for (index, way) in [direct, routed].into_iter().enumerate() {
+        for (index, route) in [direct, routed].into_iter().enumerate() {
             let from = Instant::now();
-            match call(&mut clients[index], way).await {
+            match call(&mut clients[index], route).await {
                 Ok(()) if number >= WARM_UP => record_time(&mut times[index], from.elapsed()),
                 Ok(()) => (),
                 Err(name) => *record.failed.entry(name).or_default() += 1,
@@ -139,18 +139,18 @@
     Ok(())
 }
 
-/// Every connection sends its next request when it has its answer.
-async fn full_speed(spec: &OverheadSpec, way: &Way) -> ((f64, Times), Failures) {
+/// Each connection sends its next request as soon as it has an answer.
+async fn full_speed(spec: &OverheadSpec, route: &Route) -> ((f64, Times), Failures) {
     let from = Instant::now();
-    let ends = from + Duration::from_secs_f64(spec.seconds);
+    let deadline = from + Duration::from_secs_f64(spec.seconds);
     let connections = (0..spec.connections).map(|index| {
-        let way = way.clone();
+        let route = route.clone();
         task::spawn(async move {
-            let mut client = Client::new(way.to[index % way.to.len()]);
+            let mut client = Client::new(route.to[index % route.to.len()]);
             let (mut times, mut failed) = (histogram(), Failures::new());
-            while Instant::now() < ends {
+            while Instant::now() < deadline {
                 let sent = Instant::now();
-                match call(&mut client, &way).await {
+                match call(&mut client, &route).await {
                     Ok(()) => record_time(&mut times, sent.elapsed()),
                     Err(name) => *failed.entry(name).or_default() += 1,
                 }
@@ -174,9 +174,9 @@
     }
 }
 
-/// Makes a call; the name of what it was instead of a whole answer.
-async fn call(client: &mut Client, way: &Way) -> Result<(), String> {
-    let request = request(client, way).map_err(|err| err.to_string())?;
+/// Makes a call. Returns the name of the failure if there is no complete answer.
+async fn call(client: &mut Client, route: &Route) -> Result<(), String> {
+    let request = request(client, route).map_err(|err| err.to_string())?;
     let failed = match client.call(request).await {
         Ok(answer) if answer.status() == 200 => return Ok(()),
         Ok(answer) => answer.json::<RefusalBody>().map_or("unreadable".to_owned(), |body| {
@@ -195,19 +195,19 @@
         .unwrap_or(0.0)
 }
 
-fn request(client: &Client, way: &Way) -> Result<Request, ClientError> {
+fn request(client: &Client, route: &Route) -> Result<Request, ClientError> {
     let mut request = client.request(Method::Post, "/v1/completions")?;
-    request.set_body(way.body.as_str());
-    if let Some(key) = &way.key {
+    request.set_body(route.body.as_str());
+    if let Some(key) = &route.key {
         request.insert_header("authorization", key);
     }
     Ok(request)
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST_US, 3).expect("constant bounds")
+    Histogram::new_with_max(MAX_MICROS, 3).expect("constant bounds")
 }
 
 fn record_time(histogram: &mut Histogram<u64>, time: Duration) {
-    histogram.saturating_record(u64::try_from(time.as_micros()).unwrap_or(LONGEST_US).max(1));
+    histogram.saturating_record(u64::try_from(time.as_micros()).unwrap_or(MAX_MICROS).max(1));
 }
--- a/crates/loadtool/src/measure/process.rs
+++ b/crates/loadtool/src/measure/process.rs
@@ -1,13 +1,13 @@
-//! Processor time and memory of a process, as Linux shows them.
+//! CPU time and memory of a process, read from `/proc`.
 
 use crate::error::ToolError;
 use std::fs;
 use std::time::Duration;
 
-/// Processor time of all threads since the start.
+/// The CPU time of all threads since the start.
 ///
 /// # Errors
-/// If the process is gone.
+/// If the process has ended.
 pub fn cpu(id: u32) -> Result<Duration, ToolError> {
     let folder = format!("/proc/{id}/task");
     let mut total = 0;
@@ -25,10 +25,10 @@
     Ok(Duration::from_nanos(total))
 }
 
-/// Resident memory, kilobytes.
+/// The resident memory in kilobytes.
 ///
 /// # Errors
-/// If the process is gone.
+/// If the process has ended.
 pub fn resident(id: u32) -> Result<u64, ToolError> {
     let file = format!("/proc/{id}/status");
     let text = fs::read_to_string(&file).map_err(ToolError::io(&file))?;
--- a/crates/loadtool/src/measure/relay.rs
+++ b/crates/loadtool/src/measure/relay.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes between a router and whom it speaks to: the router is told the relay's address.
+//! Counts the bytes between a router and a server. The router is configured with the address of the relay.
 
 use crate::error::ToolError;
 use async_std::io::{ReadExt, WriteExt};
@@ -10,14 +10,14 @@
 
 const BUFFER: usize = 64 * 1024;
 
-/// Bytes in both directions.
-pub type Count = Arc<AtomicU64>;
+/// The number of bytes in both directions.
+pub type ByteCount = Arc<AtomicU64>;
 
-/// A relay to `target` that adds its bytes to `count`.
+/// Starts a relay to `target` that adds its bytes to `count`.
 ///
 /// # Errors
-/// If it can't listen.
-pub async fn relay(target: SocketAddr, count: &Count) -> Result<SocketAddr, ToolError> {
+/// If no port can be bound.
+pub async fn relay(target: SocketAddr, count: &ByteCount) -> Result<SocketAddr, ToolError> {
     let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ToolError::io("relay"))?;
     let local = listener.local_addr().map_err(ToolError::io("relay"))?;
     let count = count.clone();
@@ -29,14 +29,17 @@
                     return;
                 };
                 let _ = (from.set_nodelay(true), to.set_nodelay(true));
-                futures::join!(pump(from.clone(), to.clone(), &count), pump(to, from, &count));
+                futures::join!(
+                    copy_counted(from.clone(), to.clone(), &count),
+                    copy_counted(to, from, &count)
+                );
             });
         }
     });
     Ok(local)
 }
 
-async fn pump(mut from: TcpStream, mut to: TcpStream, count: &Count) {
+async fn copy_counted(mut from: TcpStream, mut to: TcpStream, count: &ByteCount) {
     let mut buffer = vec![0; BUFFER];
     while let Ok(read) = from.read(&mut buffer).await {
         if read == 0 || to.write_all(&buffer[..read]).await.is_err() {
--- a/crates/loadtool/src/measure/slopes.rs
+++ b/crates/loadtool/src/measure/slopes.rs
@@ -1,44 +1,44 @@
-//! Runs sweeps and fits a line to each quantity that was measured.
+//! Runs sweeps and fits a line to each measured quantity.
 
 use super::fit::{Fit, fit};
-use super::stand::Rates;
 use super::sweeps;
+use super::test_bed::Rates;
 use crate::error::ToolError;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What to measure.
+/// The settings of the measurement.
 #[derive(Debug, Clone)]
 pub struct SlopeSpec {
-    /// Seconds of each point.
+    /// Seconds per data point.
     pub seconds: f64,
     /// Names of the sweeps, all if empty.
     pub only: Vec<String>,
 }
 
-/// One quantity over another.
+/// One quantity as a function of another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Series {
     /// Name of the sweep.
     pub sweep: String,
-    /// What varies.
+    /// The varied quantity.
     pub x: String,
-    /// What was measured, with its unit.
+    /// The measured quantity with its unit.
     pub y: String,
     /// The points.
     pub points: Vec<(f64, f64)>,
-    /// The line through them.
+    /// The fitted line.
     pub fit: Option<Fit>,
 }
 
-/// A sweep: its name, what varies, and the points as they were measured.
+/// A sweep with its name, varied quantity and measured points.
 pub(super) struct Sweep {
     pub(super) name: &'static str,
     pub(super) x: &'static str,
     pub(super) points: Vec<(f64, Rates)>,
 }
 
-/// Its name with the unit, and how to take it.
+/// The name of a quantity with its unit, and its accessor.
 type Quantity = (&'static str, fn(&Rates) -> f64);
 
 const NAMES: [&str; 12] = [
@@ -62,7 +62,7 @@
 /// If a process doesn't start or a name is unknown.
 pub async fn slopes(spec: &SlopeSpec, progress: impl Fn(&Series)) -> Result<Vec<Series>, ToolError> {
     if spec.only.iter().any(|name| !NAMES.contains(&name.as_str())) {
-        return Err(ToolError::Bound("name of a sweep"));
+        return Err(ToolError::OutOfBounds("name of a sweep"));
     }
     let time = Duration::from_secs_f64(spec.seconds);
     let mut all = Vec::new();
@@ -70,11 +70,11 @@
         if !spec.only.is_empty() && !spec.only.iter().any(|only| only == name) {
             continue;
         }
-        let all_of_it = match name {
+        let measured = match name {
             "starts" => sweeps::starts().await?,
             name => sweeps::sweep(name, time).await?.series(),
         };
-        for series in all_of_it {
+        for series in measured {
             progress(&series);
             all.push(series);
         }
--- a/crates/loadtool/src/measure/sockets.rs
+++ b/crates/loadtool/src/measure/sockets.rs
@@ -1,11 +1,11 @@
-//! Bytes on connections to given ports, as the kernel counted them, by `ss`.
+//! Reads the kernel's byte counts of connections to given ports with `ss`.
 //!
-//! Routers tell each other their own addresses, so that a relay between them would be passed by.
+//! A relay can't count this traffic, because routers exchange their own addresses and would bypass it.
 
 use std::net::SocketAddr;
 use std::process::Command;
 
-/// Bytes sent so far on the open connections to `ports`, in both directions; 0 where `ss` isn't installed.
+/// The bytes sent so far on open connections to `ports`, in both directions. Returns 0 if `ss` isn't installed.
 pub fn bytes(ports: &[SocketAddr]) -> u64 {
     let mut filter = vec!["(".to_owned()];
     for address in ports {
@@ -16,13 +16,13 @@
         filter.extend(["dport", "=", &format!(":{}", address.port())].map(str::to_owned));
     }
     filter.push(")".to_owned());
-    let shown = Command::new("ss")
+    let output = Command::new("ss")
         .args(["-tinH", "state", "established"])
         .args(&filter)
         .output();
-    let Ok(shown) = shown else { return 0 };
-    // Each connection is shown at both its ends; what one end sent is counted once.
-    let text = String::from_utf8_lossy(&shown.stdout);
+    let Ok(output) = output else { return 0 };
+    // `ss` lists both ends of each connection, so bytes sent by each end are counted once.
+    let text = String::from_utf8_lossy(&output.stdout);
     let sent = text
         .split_whitespace()
         .filter_map(|word| word.strip_prefix("bytes_sent:")?.parse::<u64>().ok());
--- a/crates/loadtool/src/measure/spread.rs
+++ b/crates/loadtool/src/measure/spread.rs
@@ -1,10 +1,13 @@
-//! How long an accepted change takes until it is in force in each router, and what it costs the platform.
+//! Measures how long an accepted configuration change takes to become active on each router, and its calls to the
+//! platform.
 //!
-//! The routers of the last failure domain may be cut from the platform: they hear of a change by their peers only.
+//! The routers of the last failure domain can be disconnected from the platform. They receive changes only from peers.
 
 use crate::error::ToolError;
 use crate::scenario::Scenario;
-use crate::site::{Launcher, Places, Publisher, Router, RouterSpec, document, publish, set_vms, until_ready};
+use crate::site::{
+    EndpointAddresses, Launcher, Publisher, Router, RouterSpec, document, publish, set_vms, until_ready,
+};
 use async_std::task;
 use config::Section;
 use futures::future::join_all;
@@ -16,51 +19,51 @@
 use std::time::{Duration, Instant};
 use wire::platform::Calls;
 
-/// An address where nobody listens: what a router that is cut off finds.
-const NOBODY: &str = "127.0.0.1:1";
-/// Between two looks at a router.
+/// An address without a listener, for routers that are disconnected from the platform.
+const UNREACHABLE: &str = "127.0.0.1:1";
+/// Interval between status requests to a router.
 const POLL: Duration = Duration::from_millis(2);
-/// Longest wait for one change.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Until heartbeats have made all routers known to each other.
+/// Maximum wait for one change.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Time until all routers know each other through heartbeats.
 const WARM_UP: Duration = Duration::from_secs(8);
-/// Between two changes.
+/// Pause between two changes.
 const PAUSE: Duration = Duration::from_millis(500);
-const LONGEST_MICROS: u64 = 60_000_000;
+const MAX_MICROS: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What to measure.
+/// The settings of the measurement.
 #[derive(Debug, Clone)]
 pub struct SpreadSpec {
     /// Failure domains.
     pub domains: usize,
-    /// Routers of each.
+    /// Routers per failure domain.
     pub routers: usize,
-    /// Changes, one after the other.
+    /// Number of sequential changes.
     pub changes: u64,
-    /// Whether the last domain is cut from the platform.
+    /// Whether the last domain is disconnected from the platform.
     pub cut: bool,
 }
 
-/// What was measured.
+/// The results of the measurement.
 #[derive(Debug, Clone, Serialize)]
 pub struct SpreadRecord {
-    /// Routers in all.
+    /// Total number of routers.
     pub routers: usize,
     /// Changes.
     pub changes: u64,
-    /// Of the routers that reach the platform, milliseconds: median, 99 %, last.
+    /// Times of the routers that reach the platform, in milliseconds: median, 99 %, maximum.
     pub reached: (f64, f64, f64),
-    /// Of those that do not.
+    /// Times of the disconnected routers.
     pub cut: Option<(f64, f64, f64)>,
-    /// Calls that the platform counted for each change, those of the operator among them.
+    /// Calls to the platform per change, including those of the operator.
     pub calls: f64,
 }
 
-/// Measures.
+/// Runs the measurement.
 ///
 /// # Errors
-/// If a process doesn't start, or a change isn't in force in time.
+/// If a process doesn't start, or a change is not active in time.
 pub async fn spread(spec: &SpreadSpec) -> Result<SpreadRecord, ToolError> {
     let folder = tempfile::tempdir().map_err(ToolError::io("a folder"))?;
     let launcher = Launcher::new(folder.path().to_owned())?;
@@ -69,18 +72,18 @@
     scenario.domains = (0..spec.domains).map(|number| format!("domain-{number}")).collect();
     let engine = launcher.standin("standin-engine", &["--model".into(), scenario.engines.model.clone()])?;
     let runner = launcher.standin("standin-service", &[])?;
-    let places = Places {
+    let addresses = EndpointAddresses {
         engines: vec![engine.address],
         runners: vec![runner.address],
     };
-    let mut publisher = publish(platform.address, &document(&scenario, &places)).await?;
+    let mut publisher = publish(platform.address, &document(&scenario, &addresses)).await?;
     let routers = start(spec, &scenario, &launcher, platform.address).await?;
     set_vms(platform.address, &routers).await?;
     task::sleep(WARM_UP).await;
     let before = calls(platform.address).await?;
     let mut times = Times::new();
     for change in 0..spec.changes {
-        one(spec, &routers, &mut publisher, change, &mut times).await?;
+        measure_change(spec, &routers, &mut publisher, change, &mut times).await?;
         task::sleep(PAUSE).await;
     }
     let after = calls(platform.address).await?;
@@ -108,7 +111,7 @@
             index,
             domain: domain.clone(),
             platform: if cut {
-                NOBODY.parse().unwrap_or(platform)
+                UNREACHABLE.parse().unwrap_or(platform)
             } else {
                 platform
             },
@@ -137,7 +140,7 @@
 
 impl Times {
     fn new() -> Self {
-        let empty = || Histogram::new_with_bounds(1, LONGEST_MICROS, SIGNIFICANT_DIGITS).expect("valid bounds");
+        let empty = || Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS).expect("valid bounds");
         Self {
             reached: empty(),
             cut: empty(),
@@ -145,7 +148,7 @@
     }
 }
 
-async fn one(
+async fn measure_change(
     spec: &SpreadSpec,
     routers: &[(Router, String)],
     publisher: &mut Publisher,
@@ -175,17 +178,17 @@
     Ok(())
 }
 
-/// Time until a router has `revision` in force.
+/// The time until `revision` is active on a router.
 async fn in_force(operators: SocketAddr, revision: u64, accepted: Instant) -> Result<Duration, ToolError> {
     let mut client = Client::new(operators);
-    while accepted.elapsed() < PATIENCE {
+    while accepted.elapsed() < TIMEOUT {
         let status: Value = client.get("/status").await?.json()?;
         if status["revision"].as_u64() >= Some(revision) {
             return Ok(accepted.elapsed());
         }
         task::sleep(POLL).await;
     }
-    Err(ToolError::Late("a change"))
+    Err(ToolError::Timeout("a change"))
 }
 
 async fn calls(platform: SocketAddr) -> Result<Calls, ToolError> {
@@ -193,7 +196,7 @@
     Ok(calls)
 }
 
-/// Median, 99 % and last, milliseconds.
+/// Median, 99 % and maximum in milliseconds.
 fn summary(times: &Histogram<u64>) -> (f64, f64, f64) {
     let ms = |micros: u64| micros as f64 / 1000.0;
     (
--- a/crates/loadtool/src/measure/sweeps.rs
+++ b/crates/loadtool/src/measure/sweeps.rs
@@ -1,21 +1,21 @@
-//! How one router grows with peers, endpoints, blocks, requests, pieces, claims and configuration.
+//! Measures how the cost of one router grows with peers, endpoints, blocks, requests, pieces, claims and configuration.
 
 use super::fit::fit;
 use super::load::{Load, send};
 use super::slopes::{Series, Sweep};
-use super::stand::{Rates, Stand, StandSpec};
+use super::test_bed::{Rates, TestBed, TestBedSpec};
 use crate::error::ToolError;
 use async_std::task;
 use config::Section;
 use serde_json::{Map, json};
 use std::time::Duration;
 
-/// After the start, so that what starts up isn't measured.
+/// Wait after the start, so that the startup is not measured.
 const SETTLE: Duration = Duration::from_secs(2);
-/// Until a herd of routers has found each other: in its first seconds each costs ten times what it costs at rest.
-const HERD_SETTLE: Duration = Duration::from_secs(12);
+/// Wait until all routers have discovered each other. In the first seconds each costs ten times as much as when idle.
+const FLEET_SETTLE: Duration = Duration::from_secs(12);
 
-/// Measures the sweep of this name.
+/// Runs the sweep with this name.
 pub(super) async fn sweep(name: &str, time: Duration) -> Result<Sweep, ToolError> {
     match name {
         "domain" => domain(time).await,
@@ -32,17 +32,17 @@
     }
 }
 
-/// Routers that start at once; a little later than they were ready, since readiness is polled.
+/// Measures the simultaneous start of routers. The times are slightly too long, since readiness is polled.
 pub async fn starts() -> Result<Vec<Series>, ToolError> {
     let (mut ready, mut reads) = (Vec::new(), Vec::new());
     for routers in [1, 5, 11, 22] {
-        let stand = Stand::start(&StandSpec {
+        let bed = TestBed::start(&TestBedSpec {
             routers,
-            ..StandSpec::small()
+            ..TestBedSpec::small()
         })
         .await?;
-        ready.push((routers as f64, stand.start.ready.as_secs_f64() * 1000.0));
-        reads.push((routers as f64, stand.start.reads as f64));
+        ready.push((routers as f64, bed.start.ready.as_secs_f64() * 1000.0));
+        reads.push((routers as f64, bed.start.reads as f64));
     }
     let series = |y: &str, points: Vec<(f64, f64)>| Series {
         sweep: "starts".to_owned(),
@@ -57,19 +57,19 @@
     ])
 }
 
-/// A failure domain at rest that grows as a whole, up to the fleet's: 22 routers and 400 engines.
+/// Measures an idle failure domain of growing size, up to that of the fleet: 22 routers and 400 engines.
 async fn domain(time: Duration) -> Result<Sweep, ToolError> {
     let mut points = Vec::new();
     for (routers, engines) in [(2, 36), (5, 91), (11, 200), (16, 291), (22, 400)] {
-        let spec = StandSpec {
+        let spec = TestBedSpec {
             routers,
             engines,
             relays: true,
-            ..StandSpec::small()
+            ..TestBedSpec::small()
         };
-        let stand = Stand::start(&spec).await?;
-        task::sleep(HERD_SETTLE).await;
-        points.push((routers as f64, stand.watch(time).await?));
+        let bed = TestBed::start(&spec).await?;
+        task::sleep(FLEET_SETTLE).await;
+        points.push((routers as f64, bed.measure(time).await?));
     }
     Ok(Sweep {
         name: "domain",
@@ -78,18 +78,18 @@
     })
 }
 
-/// Idle routers of one failure domain.
+/// Measures idle routers of one failure domain.
 async fn peers(time: Duration) -> Result<Sweep, ToolError> {
     let mut points = Vec::new();
     for routers in [2, 5, 8, 14, 22] {
-        let stand = Stand::start(&StandSpec {
+        let bed = TestBed::start(&TestBedSpec {
             routers,
             relays: true,
-            ..StandSpec::small()
+            ..TestBedSpec::small()
         })
         .await?;
         task::sleep(SETTLE).await;
-        points.push((routers as f64, stand.watch(time).await?));
+        points.push((routers as f64, bed.measure(time).await?));
     }
     Ok(Sweep {
         name: "peers",
@@ -98,18 +98,18 @@
     })
 }
 
-/// One idle router and its endpoints.
+/// Measures one idle router with a growing number of endpoints.
 async fn endpoints(time: Duration) -> Result<Sweep, ToolError> {
     let mut points = Vec::new();
     for engines in [13, 50, 100, 200, 400] {
-        let stand = Stand::start(&StandSpec {
+        let bed = TestBed::start(&TestBedSpec {
             engines,
             relays: true,
-            ..StandSpec::small()
+            ..TestBedSpec::small()
         })
         .await?;
         task::sleep(SETTLE).await;
-        points.push((engines as f64, stand.watch(time).await?));
+        points.push((engines as f64, bed.measure(time).await?));
     }
     Ok(Sweep {
         name: "endpoints",
@@ -126,27 +126,27 @@
 ) -> Result<Sweep, ToolError> {
     let mut points = Vec::new();
     for (rate, load) in loads {
-        let stand = Stand::start(&StandSpec::small()).await?;
+        let bed = TestBed::start(&TestBedSpec::small()).await?;
         task::sleep(SETTLE).await;
-        let sending = send(&stand, *load, *rate, time + SETTLE);
+        let sending = send(&bed, *load, *rate, time + SETTLE);
         let watching = async {
             task::sleep(SETTLE / 2).await;
-            stand.watch(time).await
+            bed.measure(time).await
         };
         let (sent, rates) = futures::join!(sending, watching);
-        // What was sent, not what was asked for: a busy machine sends late.
+        // Uses the measured rate, because a busy VM sends late.
         points.push((sent * load.units(), rates?));
     }
     Ok(Sweep { name, x, points })
 }
 
-/// As many as one of many small VMs gets.
+/// Measures request rates that are typical of one of many small VMs.
 async fn requests(time: Duration) -> Result<Sweep, ToolError> {
     let loads = [0.0, 25.0, 50.0, 100.0, 200.0, 300.0].map(|rate| (rate, Load::Short));
     loaded(time, "requests", "short requests/s", &loads).await
 }
 
-/// As many as fill a core: each wake of a thread serves several.
+/// Measures request rates that saturate a core, where each thread wakeup serves several requests.
 async fn busy(time: Duration) -> Result<Sweep, ToolError> {
     let loads = [1000.0, 2000.0, 3000.0, 4000.0, 6000.0].map(|rate| (rate, Load::Short));
     loaded(time, "busy", "short requests/s of a busy router", &loads).await
@@ -167,30 +167,24 @@
     loaded(time, "claims", "single-run calls/s with a key", &loads).await
 }
 
-/// Memory after prompts of so many blocks that no prompt shared with another.
+/// Measures memory after prompts without shared blocks.
 async fn blocks() -> Result<Sweep, ToolError> {
     const BLOCKS_OF_PROMPT: usize = 100;
     const RATE: f64 = 100.0;
     let mut points = Vec::new();
     for prompts in [0, 250, 500, 1000, 2000] {
-        let stand = Stand::start(&StandSpec {
+        let bed = TestBed::start(&TestBedSpec {
             blocks: 1 << 20,
-            ..StandSpec::small()
+            ..TestBedSpec::small()
         })
         .await?;
-        // The first large bodies grow buffers that every size needs.
+        // Sends 100 prompts more, because the first large bodies grow buffers at every size.
         let load = Load::Fresh {
             blocks: BLOCKS_OF_PROMPT,
         };
-        send(
-            &stand,
-            load,
-            RATE,
-            Duration::from_secs_f64((prompts + 100) as f64 / RATE),
-        )
-        .await;
+        send(&bed, load, RATE, Duration::from_secs_f64((prompts + 100) as f64 / RATE)).await;
         task::sleep(SETTLE).await;
-        let resident = stand.resident()? as f64;
+        let resident = bed.resident()? as f64;
         points.push((
             (prompts * BLOCKS_OF_PROMPT) as f64,
             Rates {
@@ -206,17 +200,17 @@
     })
 }
 
-/// One idle router and the size of its document.
+/// Measures one idle router with a growing configuration document.
 async fn documents(time: Duration) -> Result<Sweep, ToolError> {
     let mut points = Vec::new();
     for workspaces in [8, 500, 1000, 2000] {
-        let stand = Stand::start(&StandSpec {
+        let bed = TestBed::start(&TestBedSpec {
             workspaces,
-            ..StandSpec::small()
+            ..TestBedSpec::small()
         })
         .await?;
         task::sleep(SETTLE).await;
-        points.push((workspaces as f64, stand.watch(time).await?));
+        points.push((workspaces as f64, bed.measure(time).await?));
     }
     Ok(Sweep {
         name: "documents",
@@ -225,18 +219,18 @@
     })
 }
 
-/// One idle router while the priorities are changed again and again.
+/// Measures one idle router while the priorities change repeatedly.
 async fn changes(time: Duration) -> Result<Sweep, ToolError> {
     let mut points = Vec::new();
     for rate in [0.0, 1.0, 2.0, 5.0, 10.0] {
-        let mut stand = Stand::start(&StandSpec {
+        let mut bed = TestBed::start(&TestBedSpec {
             workspaces: 200,
             relays: true,
-            ..StandSpec::small()
+            ..TestBedSpec::small()
         })
         .await?;
         task::sleep(SETTLE).await;
-        let mut publisher = stand.take_publisher()?;
+        let mut publisher = bed.take_publisher()?;
         let changing = async {
             let mut number = 0;
             while f64::from(number) < rate * time.as_secs_f64() {
@@ -246,7 +240,7 @@
             }
             Ok::<u32, ToolError>(number)
         };
-        let (changed, rates) = futures::join!(changing, stand.watch(time));
+        let (changed, rates) = futures::join!(changing, bed.measure(time));
         points.push((f64::from(changed?) / time.as_secs_f64(), rates?));
     }
     Ok(Sweep {
--- a/crates/loadtool/src/measure/stand.rs
+++ b/crates/loadtool/src/measure/test_bed.rs
@@ -1,11 +1,11 @@
-//! A stand for measurements: one platform, engines that answer at once, some routers; bytes counted by relays.
+//! A test bed for measurements: one platform, engines that answer immediately, and routers. Relays count bytes.
 
 use super::process;
-use super::relay::{Count, relay};
+use super::relay::{ByteCount, relay};
 use super::sockets;
 use crate::error::ToolError;
 use crate::scenario::Scenario;
-use crate::site::{self, Launcher, Places, Publisher, Router, RouterSpec};
+use crate::site::{self, EndpointAddresses, Launcher, Publisher, Router, RouterSpec};
 use async_std::task;
 use standins::process::Running;
 use std::net::SocketAddr;
@@ -16,36 +16,36 @@
 /// Engines in one process.
 const COPIES: usize = 50;
 
-/// What the stand consists of.
+/// The configuration of a test bed.
 #[derive(Debug, Clone)]
-pub struct StandSpec {
+pub struct TestBedSpec {
     /// Engines.
     pub engines: usize,
     /// Routers.
     pub routers: usize,
-    /// Threads for traffic of each router.
+    /// Traffic threads of each router.
     pub threads: usize,
     /// Workspaces in the document.
     pub workspaces: usize,
-    /// Whether bytes are counted; the relays cost time.
+    /// Whether relays count bytes. Relays add latency.
     pub relays: bool,
-    /// Blocks of cache of each engine.
+    /// Cache size of each engine in blocks.
     pub blocks: usize,
 }
 
-/// The stand; its processes end with it.
+/// A test bed. Dropping it ends its processes.
 #[derive(Debug)]
-pub struct Stand {
-    /// What it consists of.
+pub struct TestBed {
+    /// The scenario.
     pub scenario: Scenario,
     /// The platform.
     pub platform: Running,
-    /// Addresses of the engines themselves.
+    /// The addresses of the engines, without relays.
     pub engines: Vec<SocketAddr>,
     /// The routers.
     pub routers: Vec<(Router, String)>,
     publisher: Option<Publisher>,
-    /// What the start of the routers cost.
+    /// The cost of starting the routers.
     pub start: StartCost,
     counts: Counts,
     _processes: Vec<Running>,
@@ -54,40 +54,40 @@
 
 #[derive(Debug, Default)]
 struct Counts {
-    platform: Count,
-    endpoints: Count,
+    platform: ByteCount,
+    endpoints: ByteCount,
 }
 
-/// What it cost to start all routers at once.
+/// The cost of starting all routers simultaneously.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StartCost {
-    /// Until the last was ready.
+    /// Time until the last router was ready.
     pub ready: Duration,
-    /// Reads at the platform meanwhile.
+    /// Reads from the platform during this time.
     pub reads: u64,
 }
 
-/// What the first router did over some time, each a second.
+/// Measured rates per second.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Rates {
-    /// Milliseconds of processor time.
+    /// CPU time of the first router in milliseconds.
     pub cpu_ms: f64,
-    /// Bytes to and from the platform, of one router on average.
+    /// Bytes to and from the platform, average per router.
     pub platform_bytes: f64,
-    /// Bytes to and from endpoints, of one router on average.
+    /// Bytes to and from endpoints, average per router.
     pub endpoint_bytes: f64,
-    /// Bytes to and from peers, of one router on average.
+    /// Bytes to and from peers, average per router.
     pub peer_bytes: f64,
-    /// Reads at the platform, of one router on average.
+    /// Reads from the platform, average per router.
     pub reads: f64,
-    /// Writes at the platform, of all routers.
+    /// Writes to the platform by all routers.
     pub writes: f64,
-    /// Resident memory of the first router at the end, kilobytes.
+    /// Resident memory of the first router at the end, in kilobytes.
     pub resident: f64,
 }
 
-impl StandSpec {
-    /// One router with one thread and twelve engines.
+impl TestBedSpec {
+    /// A configuration with one router, one thread and twelve engines.
     pub fn small() -> Self {
         Self {
             engines: 12,
@@ -100,39 +100,39 @@
     }
 }
 
-impl Stand {
-    /// Starts it and waits until its routers are ready.
+impl TestBed {
+    /// Starts the test bed and waits until its routers are ready.
     ///
     /// # Errors
-    /// If something doesn't start.
-    pub async fn start(spec: &StandSpec) -> Result<Self, ToolError> {
+    /// If a process doesn't start.
+    pub async fn start(spec: &TestBedSpec) -> Result<Self, ToolError> {
         let folder = tempfile::tempdir().map_err(ToolError::io("a folder"))?;
         let launcher = Launcher::new(folder.path().to_owned())?;
         let platform = launcher.standin("standin-platform", &[])?;
         let mut scenario = Scenario::board();
         scenario.workspaces = vec![1.0; spec.workspaces];
-        // Slopes concern one failure domain: endpoints in others would be nobody's to watch.
+        // Uses one failure domain, because no router would monitor endpoints in the others.
         scenario.domains.truncate(1);
         let mut processes = engine_processes(&launcher, spec, &scenario)?;
         let engines: Vec<SocketAddr> = processes.iter().flat_map(Running::addresses).collect();
         let runner = launcher.standin("standin-service", &[])?;
         let counts = Counts::default();
-        let seen = if spec.relays {
+        let platform_address = if spec.relays {
             relay(platform.address, &counts.platform).await?
         } else {
             platform.address
         };
-        let mut places = Places {
+        let mut addresses = EndpointAddresses {
             engines: engines.clone(),
             runners: vec![runner.address],
         };
         processes.push(runner);
         if spec.relays {
-            for address in &mut places.engines {
+            for address in &mut addresses.engines {
                 *address = relay(*address, &counts.endpoints).await?;
             }
         }
-        let publisher = site::publish(platform.address, &site::document(&scenario, &places)).await?;
+        let publisher = site::publish(platform.address, &site::document(&scenario, &addresses)).await?;
         let from = Instant::now();
         let mut routers = Vec::new();
         for index in 0..spec.routers {
@@ -140,13 +140,13 @@
             let router = RouterSpec {
                 index,
                 domain: domain.clone(),
-                platform: seen,
+                platform: platform_address,
                 threads: spec.threads,
                 seeds: serde_json::Value::Array(Vec::new()),
             };
             routers.push((launcher.router(&router)?, domain));
         }
-        let mut stand = Self {
+        let mut bed = Self {
             scenario,
             platform,
             engines,
@@ -157,52 +157,54 @@
             _processes: processes,
             _folder: folder,
         };
-        site::set_vms(stand.platform.address, &stand.routers).await?;
-        for (router, _) in &stand.routers {
+        site::set_vms(bed.platform.address, &bed.routers).await?;
+        for (router, _) in &bed.routers {
             site::until_ready(router.operators).await?;
         }
-        let calls: Calls = site::read(stand.platform.address, "/v1/calls").await?;
-        stand.start = StartCost {
+        let calls: Calls = site::read(bed.platform.address, "/v1/calls").await?;
+        bed.start = StartCost {
             ready: from.elapsed(),
             reads: calls.reads,
         };
-        Ok(stand)
+        Ok(bed)
     }
 
-    /// What changes the document, once.
+    /// Takes the publisher of configuration changes. Works once.
     ///
     /// # Errors
-    /// If it was taken before.
+    /// If it has already been taken.
     pub fn take_publisher(&mut self) -> Result<Publisher, ToolError> {
-        self.publisher.take().ok_or(ToolError::Bound("use of the document"))
+        self.publisher
+            .take()
+            .ok_or(ToolError::OutOfBounds("use of the document"))
     }
 
-    /// The first router's address for callers.
+    /// The client address of the first router.
     pub fn router(&self) -> SocketAddr {
         self.routers[0].0.process.address
     }
 
-    /// Processor time of the first router so far.
+    /// The CPU time of the first router so far.
     ///
     /// # Errors
-    /// If it has gone.
+    /// If the process has ended.
     pub fn cpu(&self) -> Result<Duration, ToolError> {
         process::cpu(self.routers[0].0.process.id())
     }
 
-    /// Resident memory of the first router, kilobytes.
+    /// The resident memory of the first router in kilobytes.
     ///
     /// # Errors
-    /// If it has gone.
+    /// If the process has ended.
     pub fn resident(&self) -> Result<u64, ToolError> {
         process::resident(self.routers[0].0.process.id())
     }
 
-    /// Measures for `time` while something else loads the stand or nothing does.
+    /// Measures for `time`, idle or under a load from elsewhere.
     ///
     /// # Errors
-    /// If a process has gone.
-    pub async fn watch(&self, time: Duration) -> Result<Rates, ToolError> {
+    /// If a process has ended.
+    pub async fn measure(&self, time: Duration) -> Result<Rates, ToolError> {
         let before = self.totals().await?;
         let from = Instant::now();
         task::sleep(time).await;
@@ -214,7 +216,7 @@
             cpu_ms: each(0),
             platform_bytes: each(1) / routers,
             endpoint_bytes: each(2) / routers,
-            // What one sends another receives.
+            // Each sent byte is also received by another router.
             peer_bytes: 2.0 * each(3) / routers,
             reads: each(4) / routers,
             writes: each(5),
@@ -225,7 +227,7 @@
     async fn totals(&self) -> Result<[f64; 6], ToolError> {
         let calls: Calls = site::read(self.platform.address, "/v1/calls").await?;
         let peers: Vec<SocketAddr> = self.routers.iter().map(|(router, _)| router.peers).collect();
-        let bytes = |count: &Count| count.load(Ordering::Relaxed) as f64;
+        let bytes = |count: &ByteCount| count.load(Ordering::Relaxed) as f64;
         Ok([
             self.cpu()?.as_secs_f64() * 1000.0,
             bytes(&self.counts.platform),
@@ -237,13 +239,13 @@
     }
 }
 
-fn engine_processes(launcher: &Launcher, spec: &StandSpec, scenario: &Scenario) -> Result<Vec<Running>, ToolError> {
-    let mut left = spec.engines;
+fn engine_processes(launcher: &Launcher, spec: &TestBedSpec, scenario: &Scenario) -> Result<Vec<Running>, ToolError> {
+    let mut remaining = spec.engines;
     let mut processes = Vec::new();
-    while left > 0 {
-        // A few engines get a process each, so that they aren't the bottleneck.
-        let copies = if spec.engines <= 12 { 1 } else { left.min(COPIES) };
-        left -= copies;
+    while remaining > 0 {
+        // Small numbers of engines run in separate processes, so that they aren't the bottleneck.
+        let copies = if spec.engines <= 12 { 1 } else { remaining.min(COPIES) };
+        remaining -= copies;
         let named = [
             ("--model", scenario.engines.model.clone()),
             ("--copies", copies.to_string()),
--- a/crates/loadtool/src/report/mod.rs
+++ b/crates/loadtool/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! A page that puts two runs side by side: a table, and plots of latency and of answers over time.
+//! An HTML page that compares two runs: a table, and plots of latency and of answers over time.
 
 mod plot;
 
@@ -6,7 +6,7 @@
 use crate::run::Record;
 use plot::{Curve, draw};
 
-/// The page of two records.
+/// Renders the page for two records.
 ///
 /// # Errors
 /// If a plot can't be drawn.
@@ -16,7 +16,7 @@
         name,
         points: latency(record),
     });
-    let whole = both.map(|(name, record)| Curve {
+    let complete = both.map(|(name, record)| Curve {
         name,
         points: answered(record),
     });
@@ -26,7 +26,7 @@
     });
     let plots = [
         draw("Time to first token by share of streams", "% of streams", "ms", &first)?,
-        draw("Whole answers by second of arrival", "s", "% of calls", &whole)?,
+        draw("Whole answers by second of arrival", "s", "% of calls", &complete)?,
         draw("Longest time to first token by second of arrival", "s", "ms", &worst)?,
     ];
     let head = "<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Two runs</title><style>\
@@ -39,7 +39,7 @@
     ))
 }
 
-/// A row's name and its cell.
+/// The name of a row and the function that formats its cell.
 type Row = (&'static str, fn(&Record) -> String);
 
 fn latency(record: &Record) -> Vec<(f64, f64)> {
--- a/crates/loadtool/src/report/plot.rs
+++ b/crates/loadtool/src/report/plot.rs
@@ -10,9 +10,9 @@
 /// One line of a plot.
 #[derive(Debug)]
 pub struct Curve<'a> {
-    /// Its name in the legend.
+    /// The name in the legend.
     pub name: &'a str,
-    /// Its points, ascending.
+    /// The points, ascending.
     pub points: Vec<(f64, f64)>,
 }
 
@@ -25,13 +25,13 @@
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(failed)?;
-        let (most_x, most_y) = most(curves);
+        let (max_x, max_y) = maxima(curves);
         let mut chart = ChartBuilder::on(&area)
             .caption(title, ("sans-serif", 18))
             .margin(10)
             .x_label_area_size(36)
             .y_label_area_size(60)
-            .build_cartesian_2d(0.0..most_x, 0.0..most_y * HEADROOM)
+            .build_cartesian_2d(0.0..max_x, 0.0..max_y * HEADROOM)
             .map_err(failed)?;
         chart.configure_mesh().x_desc(x).y_desc(y).draw().map_err(failed)?;
         for (curve, colour) in curves.iter().zip(COLOURS) {
@@ -52,12 +52,12 @@
     Ok(svg)
 }
 
-fn most(curves: &[Curve]) -> (f64, f64) {
+fn maxima(curves: &[Curve]) -> (f64, f64) {
     let points = curves.iter().flat_map(|curve| &curve.points);
     points.fold((1.0, 1.0), |(x, y), point| (f64::max(x, point.0), f64::max(y, point.1)))
 }
 
-#[allow(clippy::needless_pass_by_value, reason = "map_err hands it over")]
+#[allow(clippy::needless_pass_by_value, reason = "map_err passes it by value")]
 fn failed(err: impl ToString) -> ToolError {
     ToolError::Plot(err.to_string())
 }
--- a/crates/loadtool/src/run/accounting.rs
+++ b/crates/loadtool/src/run/accounting.rs
@@ -1,37 +1,37 @@
-//! Compares what callers were told with what the runners counted. Pure.
+//! Compares the outcomes at the clients with the executions counted by the runners. Does no I/O.
 
 use super::outcome::{Attempt, Outcome};
 use derive_more::Display;
 use std::collections::BTreeMap;
 
-/// At most this often a router tries an idempotent call.
-const UNKNOWN_REPEATS: u64 = 4;
+/// Maximum number of attempts of a router for an idempotent call.
+const MAX_ROUTER_ATTEMPTS: u64 = 4;
 
-/// Executions as the runners counted them.
+/// Executions counted by the runners.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Counted {
+pub struct ExecutionCounts {
     /// By idempotency key.
     pub by_key: BTreeMap<String, u64>,
     /// By request id, of calls without key.
     pub by_request: BTreeMap<String, u64>,
 }
 
-/// A promise that was broken, or a count that can't be explained.
+/// A violated guarantee, or a count that no call explains.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Problem {
-    /// A call that may run once ran more often.
+    /// An at-most-once call ran more than once.
     #[display("call {_0} ran {_1} times")]
-    Doubled(usize, u64),
-    /// The caller was told that it ran, and it didn't.
+    DuplicateExecution(usize, u64),
+    /// The call was answered but did not run.
     #[display("call {_0} was answered and didn't run")]
-    Lost(usize),
-    /// The caller was told that it didn't run, and it did.
+    MissingExecution(usize),
+    /// The call was refused as not run, but it ran.
     #[display("call {_0} was refused as not run and ran {_1} times")]
     FalseNotRun(usize, u64),
-    /// An answer that is not the call's own.
+    /// The call got a wrong answer.
     #[display("call {_0} got a wrong answer: {_1}")]
     Wrong(usize, String),
-    /// A call got no end at all.
+    /// The call has no outcome.
     #[display("call {_0} has no outcome")]
     Unfinished(usize),
     /// Executions of keys or requests that no call explains.
@@ -40,9 +40,9 @@
 }
 
 /// Checks `calls` outcomes numbered from 0 against the runners' counts.
-pub fn check(outcomes: &[Outcome], calls: usize, counted: &Counted) -> Vec<Problem> {
+pub fn check(outcomes: &[Outcome], calls: usize, counted: &ExecutionCounts) -> Vec<Problem> {
     let mut problems = Vec::new();
-    let mut explained = Counted::default();
+    let mut explained = ExecutionCounts::default();
     let mut unknown_ids = 0;
     let mut seen = vec![false; calls];
     for outcome in outcomes {
@@ -57,14 +57,14 @@
     }
     let unfinished = seen.iter().enumerate().filter(|(_, seen)| !**seen);
     problems.extend(unfinished.map(|(number, _)| Problem::Unfinished(number)));
-    let rest = total(counted) - total(&explained);
-    if rest > unknown_ids {
-        problems.push(Problem::Unexplained(rest, unknown_ids));
+    let unexplained = total(counted) - total(&explained);
+    if unexplained > unknown_ids {
+        problems.push(Problem::Unexplained(unexplained, unknown_ids));
     }
     problems
 }
 
-fn total(counted: &Counted) -> u64 {
+fn total(counted: &ExecutionCounts) -> u64 {
     counted.by_key.values().sum::<u64>() + counted.by_request.values().sum::<u64>()
 }
 
@@ -75,9 +75,14 @@
     })
 }
 
-/// How often a service call ran; none for completions. Executions found are added to `explained`, attempts that may have
-/// left an execution under an id that the caller never learnt to `unknown`.
-fn executions(outcome: &Outcome, counted: &Counted, explained: &mut Counted, unknown: &mut u64) -> Option<u64> {
+/// Returns how often a service call ran, or `None` for completions. Adds its executions to `explained`. Adds attempts
+/// that may have run under an id unknown to the client to `unknown`.
+fn executions(
+    outcome: &Outcome,
+    counted: &ExecutionCounts,
+    explained: &mut ExecutionCounts,
+    unknown: &mut u64,
+) -> Option<u64> {
     if !outcome.service {
         return None;
     }
@@ -96,7 +101,7 @@
             }
             None if matches!(attempt, Attempt::NotSent) => (),
             // A router may try an idempotent call at several runners.
-            None => *unknown += if outcome.single { 1 } else { UNKNOWN_REPEATS },
+            None => *unknown += if outcome.single { 1 } else { MAX_ROUTER_ATTEMPTS },
         }
     }
     Some(ran)
@@ -104,10 +109,10 @@
 
 fn verdict(outcome: &Outcome, ran: u64) -> Option<Problem> {
     if outcome.single && ran > 1 {
-        return Some(Problem::Doubled(outcome.number, ran));
+        return Some(Problem::DuplicateExecution(outcome.number, ran));
     }
-    if outcome.is_whole() && ran == 0 {
-        return Some(Problem::Lost(outcome.number));
+    if outcome.is_complete() && ran == 0 {
+        return Some(Problem::MissingExecution(outcome.number));
     }
     if outcome.says_not_run() && ran > 0 {
         return Some(Problem::FalseNotRun(outcome.number, ran));
--- a/crates/loadtool/src/run/balancer.rs
+++ b/crates/loadtool/src/run/balancer.rs
@@ -1,10 +1,10 @@
-//! The platform's balancer and callers' kept connections: routers in turn, one that doesn't accept is passed over.
+//! Simulates the platform's load balancer: round robin over the routers, with a pool of idle client connections.
 
 use standins::http::Client;
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
-const MOST_KEPT: usize = 64;
+const MAX_IDLE: usize = 64;
 
 /// Routers and the connections to them.
 #[derive(Debug, Default)]
@@ -16,11 +16,11 @@
 struct State {
     next: usize,
     routers: Vec<SocketAddr>,
-    kept: Vec<(SocketAddr, Client)>,
+    idle: Vec<(SocketAddr, Client)>,
 }
 
 impl Balancer {
-    /// A balancer before these routers.
+    /// Creates a balancer for these routers.
     pub fn new(routers: Vec<SocketAddr>) -> Self {
         Self {
             state: Mutex::new(State {
@@ -37,31 +37,31 @@
         state.routers[state.next % state.routers.len()]
     }
 
-    /// A kept connection to `router`, or a new one.
+    /// Returns an idle connection to `router`, or a new one.
     pub fn client(&self, router: SocketAddr) -> Client {
         let mut state = self.lock();
-        match state.kept.iter().rposition(|(address, _)| *address == router) {
-            Some(at) => state.kept.swap_remove(at).1,
+        match state.idle.iter().rposition(|(address, _)| *address == router) {
+            Some(at) => state.idle.swap_remove(at).1,
             None => Client::new(router),
         }
     }
 
-    /// Keeps a connection on which a whole answer was read.
-    pub fn keep(&self, router: SocketAddr, client: Client) {
+    /// Returns a connection to the pool after a complete answer.
+    pub fn put_back(&self, router: SocketAddr, client: Client) {
         let mut state = self.lock();
-        if state.kept.len() < MOST_KEPT {
-            state.kept.push((router, client));
+        if state.idle.len() < MAX_IDLE {
+            state.idle.push((router, client));
         }
     }
 
-    /// A router came back at another address.
+    /// Replaces the address of a restarted router.
     pub fn replace(&self, index: usize, router: SocketAddr) {
         let mut state = self.lock();
         let old = std::mem::replace(&mut state.routers[index], router);
-        state.kept.retain(|(address, _)| *address != old);
+        state.idle.retain(|(address, _)| *address != old);
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("mutex is not poisoned")
     }
 }
--- a/crates/loadtool/src/run/caller.rs
+++ b/crates/loadtool/src/run/client.rs
@@ -1,10 +1,10 @@
-//! One caller's call: sent when it is due, tried again as a careful client would.
+//! A client call: sent when it is due and retried when that is safe.
 //!
-//! A call that may not be repeated is tried again only with its key, or if the answer says that nothing ran.
+//! An at-most-once call is retried only with its idempotency key, or if the answer states that nothing ran.
 
 use super::balancer::Balancer;
-use super::outcome::{Attempt, Got, Outcome};
-use super::reader::{Expected, read_stream, read_whole, refusal};
+use super::outcome::{Attempt, CompletionUsage, Outcome};
+use super::reader::{Expected, parse_refusal, read_complete, read_stream};
 use crate::scenario::Scenario;
 use crate::site;
 use crate::workload::{Arrival, Kind, Prompt, Prompts};
@@ -17,15 +17,15 @@
 use std::time::{Duration, Instant};
 use wire::headers;
 
-const MOST_ATTEMPTS: usize = 4;
-const PAUSE: Duration = Duration::from_millis(200);
-/// What callers state, and how much longer the tool waits before it calls an attempt silent.
+const MAX_ATTEMPTS: usize = 4;
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The deadline that clients send. An attempt times out `GRACE` after it.
 const DEADLINE: Duration = Duration::from_secs(10);
 const GRACE: Duration = Duration::from_secs(5);
 
-/// What all callers share.
+/// The state shared by all clients.
 #[derive(Debug)]
-pub struct Callers {
+pub struct ClientContext {
     /// The scenario.
     pub scenario: Scenario,
     /// The prompts.
@@ -36,35 +36,35 @@
     pub run: String,
 }
 
-/// A call with all that each attempt needs.
+/// A call with the data that each attempt needs.
 struct Call<'a> {
-    callers: &'a Callers,
+    context: &'a ClientContext,
     arrival: &'a Arrival,
     prompt: Option<Prompt>,
     key: Option<String>,
     due: Instant,
 }
 
-struct Result {
+struct AttemptResult {
     attempt: Attempt,
     request: Option<String>,
-    got: Option<Got>,
+    usage: Option<CompletionUsage>,
 }
 
-/// Makes the call and all its attempts.
-pub async fn call(callers: Arc<Callers>, arrival: Arrival, due: Instant) -> Outcome {
-    let call = Call::new(&callers, &arrival, due);
+/// Makes the call with all its attempts.
+pub async fn call(context: Arc<ClientContext>, arrival: Arrival, due: Instant) -> Outcome {
+    let call = Call::new(&context, &arrival, due);
     let mut attempts = Vec::new();
-    let mut got = None;
-    while attempts.len() < MOST_ATTEMPTS {
+    let mut usage = None;
+    while attempts.len() < MAX_ATTEMPTS {
         if !attempts.is_empty() {
-            task::sleep(PAUSE).await;
+            task::sleep(RETRY_DELAY).await;
         }
         let result = call.attempt().await;
-        got = result.got;
-        let again = call.again(&result.attempt);
+        usage = result.usage;
+        let should_retry = call.should_retry(&result.attempt);
         attempts.push((result.attempt, result.request));
-        if !again {
+        if !should_retry {
             break;
         }
     }
@@ -74,25 +74,25 @@
         service: !matches!(arrival.kind, Kind::Completion { .. }),
         single: matches!(arrival.kind, Kind::Single { .. }),
         attempts,
-        got,
-        took: due.elapsed(),
+        usage,
+        duration: due.elapsed(),
     }
 }
 
 impl<'a> Call<'a> {
-    fn new(callers: &'a Callers, arrival: &'a Arrival, due: Instant) -> Self {
+    fn new(context: &'a ClientContext, arrival: &'a Arrival, due: Instant) -> Self {
         let prompt = match arrival.kind {
             Kind::Completion { task, chat, .. } => {
-                Some(callers.prompts.prompt(arrival.workspace, task, arrival.number, chat))
+                Some(context.prompts.prompt(arrival.workspace, task, arrival.number, chat))
             }
             _ => None,
         };
         let key = match arrival.kind {
-            Kind::Single { keyed: true } => Some(format!("{}-{}", callers.run, arrival.number)),
+            Kind::Single { keyed: true } => Some(format!("{}-{}", context.run, arrival.number)),
             _ => None,
         };
         Self {
-            callers,
+            context,
             arrival,
             prompt,
             key,
@@ -100,39 +100,39 @@
         }
     }
 
-    /// Whether a careful client would try again.
-    fn again(&self, attempt: &Attempt) -> bool {
+    /// Whether another attempt is safe and useful.
+    fn should_retry(&self, attempt: &Attempt) -> bool {
         match attempt {
-            Attempt::Whole | Attempt::Wrong(_) => false,
+            Attempt::Complete | Attempt::Wrong(_) => false,
             Attempt::NotRun(_) | Attempt::NotSent => true,
-            Attempt::Unknown(_) | Attempt::Broken | Attempt::Silent => {
+            Attempt::Unknown(_) | Attempt::Broken | Attempt::Timeout => {
                 self.key.is_some() || !matches!(self.arrival.kind, Kind::Single { .. })
             }
         }
     }
 
-    async fn attempt(&self) -> Result {
-        let router = self.callers.balancer.next();
+    async fn attempt(&self) -> AttemptResult {
+        let router = self.context.balancer.next();
         let mut client = match self.arrival.kind {
-            // A kept connection may be closed just as the call is sent, which would leave its outcome unknown.
+            // An idle connection may be closed while the call is sent, which would leave its outcome unknown.
             Kind::Single { keyed: false } => Client::new(router),
-            _ => self.callers.balancer.client(router),
+            _ => self.context.balancer.client(router),
         };
         let sent = future::timeout(DEADLINE + GRACE, self.send(&mut client)).await;
         let Ok(result) = sent else {
-            return Result {
-                attempt: Attempt::Silent,
+            return AttemptResult {
+                attempt: Attempt::Timeout,
                 request: None,
-                got: None,
+                usage: None,
             };
         };
-        if result.attempt == Attempt::Whole {
-            self.callers.balancer.keep(router, client);
+        if result.attempt == Attempt::Complete {
+            self.context.balancer.put_back(router, client);
         }
         result
     }
 
-    async fn send(&self, client: &mut Client) -> Result {
+    async fn send(&self, client: &mut Client) -> AttemptResult {
         let opened = match self.request(client) {
             Ok(request) => client.open(request).await,
             Err(err) => Err(err),
@@ -140,29 +140,33 @@
         let (head, body) = match opened {
             Ok(opened) => opened,
             Err(ClientError::Io(err)) if err.kind() == ErrorKind::ConnectionRefused => {
-                return Result {
+                return AttemptResult {
                     attempt: Attempt::NotSent,
                     request: None,
-                    got: None,
+                    usage: None,
                 };
             }
             Err(_) => {
-                return Result {
+                return AttemptResult {
                     attempt: Attempt::Broken,
                     request: None,
-                    got: None,
+                    usage: None,
                 };
             }
         };
         let request = head
             .header(headers::REQUEST_ID)
             .map(|values| values.last().as_str().to_owned());
-        let (attempt, got) = self.read(&head, body, request.as_deref()).await;
-        Result { attempt, request, got }
+        let (attempt, usage) = self.read(&head, body, request.as_deref()).await;
+        AttemptResult {
+            attempt,
+            request,
+            usage,
+        }
     }
 
-    fn request(&self, client: &Client) -> std::result::Result<Request, ClientError> {
-        let service = &self.callers.scenario.service;
+    fn request(&self, client: &Client) -> Result<Request, ClientError> {
+        let service = &self.context.scenario.service;
         let (path, body) = match (&self.arrival.kind, &self.prompt) {
             (Kind::Completion { streamed, chat, .. }, Some(prompt)) => self.completion(prompt, *streamed, *chat),
             (Kind::Single { .. }, _) => (format!("/services/{}{}", service.name, service.single), self.body()),
@@ -188,7 +192,7 @@
     }
 
     fn completion(&self, prompt: &Prompt, streamed: bool, chat: bool) -> (String, String) {
-        let scenario = &self.callers.scenario;
+        let scenario = &self.context.scenario;
         let mut body = json!({
             "model": scenario.engines.model, "max_tokens": scenario.prompts.max_tokens, "stream": streamed,
         });
@@ -207,7 +211,7 @@
         head: &Response,
         mut body: async_std::io::BufReader<http_types::Body>,
         request: Option<&str>,
-    ) -> (Attempt, Option<Got>) {
+    ) -> (Attempt, Option<CompletionUsage>) {
         use async_std::io::ReadExt;
         if let (Kind::Completion { streamed: true, .. }, Some(prompt), true) =
             (&self.arrival.kind, &self.prompt, head.status().is_success())
@@ -220,16 +224,16 @@
         }
         if !head.status().is_success() {
             let parsed = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
-            return (refusal(&parsed), None);
+            return (parse_refusal(&parsed), None);
         }
         match &self.prompt {
-            Some(prompt) => read_whole(self.expected(prompt, request), &bytes),
-            None => (self.service_answer(&bytes), None),
+            Some(prompt) => read_complete(self.expected(prompt, request), &bytes),
+            None => (self.check_service_answer(&bytes), None),
         }
     }
 
     fn expected<'e>(&self, prompt: &'e Prompt, request: Option<&'e str>) -> Expected<'e> {
-        let tokens = u64::from(self.callers.scenario.prompts.max_tokens);
+        let tokens = u64::from(self.context.scenario.prompts.max_tokens);
         Expected {
             weights: site::WEIGHTS,
             prompt: &prompt.rendered,
@@ -239,14 +243,14 @@
         }
     }
 
-    /// The runner echoes body and key: another call's answer is known by them.
-    fn service_answer(&self, bytes: &[u8]) -> Attempt {
+    /// Checks body and key, which the runner echoes, to detect the answer of another call.
+    fn check_service_answer(&self, bytes: &[u8]) -> Attempt {
         let Ok(done) = serde_json::from_slice::<wire::service::Done>(bytes) else {
             return Attempt::Wrong("not the runner's answer".to_owned());
         };
         if done.echo != self.body() || done.key != self.key {
             return Attempt::Wrong(format!("the answer of {}", done.echo));
         }
-        Attempt::Whole
+        Attempt::Complete
     }
 }
--- a/crates/loadtool/src/run/drive.rs
+++ b/crates/loadtool/src/run/drive.rs
@@ -1,14 +1,14 @@
-//! Starts a deployment, sends the calls when they are due, turns the fault switches, and counts.
+//! Starts a deployment, sends calls on schedule, injects faults and collects the results.
 
-use super::accounting::{Counted, check};
+use super::accounting::{ExecutionCounts, check};
 use super::balancer::Balancer;
-use super::caller::{Callers, call};
+use super::client::{ClientContext, call};
 use super::outcome::Outcome;
 use super::tally::{Record, Tally};
 use crate::error::ToolError;
-use crate::faults::{Fault, What, schedule};
+use crate::faults::{Action, Fault, schedule};
 use crate::scenario::Scenario;
-use crate::site::{self, Launcher, Places, Router, RouterSpec};
+use crate::site::{self, EndpointAddresses, Launcher, Router, RouterSpec};
 use crate::workload::{Arrival, BLOCK_BYTES, Kind, Prompts, arrivals};
 use async_std::task;
 use standins::engine::chain;
@@ -18,33 +18,33 @@
 use wire::platform::Calls;
 use wire::service::Executions;
 
-/// Bounds of the tool.
-const MOST_SECONDS: f64 = 600.0;
-const MOST_RATE: f64 = 20_000.0;
-const MOST_CALLS: usize = 1_000_000;
-/// Routers of a run have this many threads for traffic.
+/// Upper bounds of the settings.
+const MAX_SECONDS: f64 = 600.0;
+const MAX_RATE: f64 = 20_000.0;
+const MAX_CALLS: usize = 1_000_000;
+/// Traffic threads of each router.
 const ROUTER_THREADS: usize = 2;
 const BLOCK_TOKENS: u64 = 1024;
-/// Between the last arrival and the counting: longer than all attempts of a call take.
-const LONGEST_END: Duration = Duration::from_secs(70);
+/// Maximum wait after the last arrival; longer than all attempts of a call take.
+const MAX_DRAIN: Duration = Duration::from_secs(70);
 
-/// What to run.
+/// The settings of a run.
 #[derive(Debug, Clone)]
 pub struct RunSpec {
     /// The deployment and its load.
     pub scenario: Scenario,
     /// Seed of arrivals, prompts and faults.
     pub seed: u64,
-    /// How long calls arrive.
+    /// Seconds during which calls arrive.
     pub seconds: f64,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// Seconds between faults; none without.
+    /// Seconds between faults; `None` for no faults.
     pub faults: Option<f64>,
 }
 
-/// A deployment that runs.
-struct Site {
+/// A running deployment.
+struct Deployment {
     scenario: Scenario,
     launcher: Launcher,
     platform: Running,
@@ -53,42 +53,42 @@
     routers: Vec<(Router, String)>,
 }
 
-/// Runs and counts.
+/// Runs the load and returns its record.
 ///
 /// # Errors
-/// If a process doesn't start or a bound is passed; broken promises stand in the record.
+/// If a process doesn't start or a setting is out of bounds. Violated guarantees are listed in the record.
 pub async fn run(spec: &RunSpec) -> Result<Record, ToolError> {
-    let arrivals = bounded(spec)?;
+    let arrivals = checked_arrivals(spec)?;
     let folder = tempfile::tempdir().map_err(ToolError::io("a folder"))?;
-    let mut site = Site::start(&spec.scenario, Launcher::new(folder.path().to_owned())?).await?;
-    let callers = Arc::new(Callers {
+    let mut site = Deployment::start(&spec.scenario, Launcher::new(folder.path().to_owned())?).await?;
+    let context = Arc::new(ClientContext {
         scenario: spec.scenario.clone(),
         prompts: Prompts::new(&spec.scenario, spec.seed),
         balancer: Balancer::new(site.routers.iter().map(|(router, _)| router.process.address).collect()),
         run: format!("run-{}", spec.seed),
     });
-    let faults = spec.faults.map_or(Vec::new(), |every| {
-        schedule(&spec.scenario, spec.seed, spec.seconds, every)
+    let faults = spec.faults.map_or(Vec::new(), |interval| {
+        schedule(&spec.scenario, spec.seed, spec.seconds, interval)
     });
     let start = Instant::now();
-    let calls = task::spawn(send_all(callers.clone(), arrivals.clone(), start));
+    let calls = task::spawn(send_all(context.clone(), arrivals.clone(), start));
     for fault in &faults {
         sleep_until(start + fault.at).await;
-        site.apply(fault, &callers.balancer).await?;
+        site.apply(fault, &context.balancer).await?;
     }
     let outcomes = calls.await;
-    let mut record = tally(spec, &callers, &arrivals, &outcomes);
+    let mut record = tally(spec, &context, &arrivals, &outcomes);
     record.faults = faults.len() as u64;
-    site.count(&mut record, &outcomes, arrivals.len()).await?;
+    site.compare_counts(&mut record, &outcomes, arrivals.len()).await?;
     Ok(record)
 }
 
-fn bounded(spec: &RunSpec) -> Result<Vec<Arrival>, ToolError> {
-    if !(0.0..=MOST_SECONDS).contains(&spec.seconds) {
-        return Err(ToolError::Bound("seconds"));
+fn checked_arrivals(spec: &RunSpec) -> Result<Vec<Arrival>, ToolError> {
+    if !(0.0..=MAX_SECONDS).contains(&spec.seconds) {
+        return Err(ToolError::OutOfBounds("seconds"));
     }
-    if !(0.001..=MOST_RATE).contains(&spec.rate) || spec.rate * spec.seconds > MOST_CALLS as f64 {
-        return Err(ToolError::Bound("rate"));
+    if !(0.001..=MAX_RATE).contains(&spec.rate) || spec.rate * spec.seconds > MAX_CALLS as f64 {
+        return Err(ToolError::OutOfBounds("rate"));
     }
     Ok(arrivals(&spec.scenario, spec.seed, spec.seconds, spec.rate))
 }
@@ -97,24 +97,24 @@
     task::sleep(due.saturating_duration_since(Instant::now())).await;
 }
 
-/// Sends each call when it is due, however the others fare, and waits for all.
-async fn send_all(callers: Arc<Callers>, arrivals: Vec<Arrival>, start: Instant) -> Vec<Outcome> {
+/// Sends each call when it is due, independently of the others, and waits for all outcomes.
+async fn send_all(context: Arc<ClientContext>, arrivals: Vec<Arrival>, start: Instant) -> Vec<Outcome> {
     let (done, outcomes) = async_channel::unbounded();
     let calls = arrivals.len();
     for arrival in arrivals {
         let due = start + arrival.at;
         sleep_until(due).await;
-        let (callers, done) = (callers.clone(), done.clone());
+        let (context, done) = (context.clone(), done.clone());
         task::spawn(async move {
-            let outcome = call(callers, arrival, due).await;
+            let outcome = call(context, arrival, due).await;
             let _ = done.send(outcome).await;
         });
     }
-    let ends = Instant::now() + LONGEST_END;
+    let deadline = Instant::now() + MAX_DRAIN;
     let mut all = Vec::with_capacity(calls);
     while all.len() < calls {
-        let left = ends.saturating_duration_since(Instant::now());
-        let Ok(Ok(outcome)) = async_std::future::timeout(left, outcomes.recv()).await else {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let Ok(Ok(outcome)) = async_std::future::timeout(remaining, outcomes.recv()).await else {
             break;
         };
         all.push(outcome);
@@ -122,26 +122,26 @@
     all
 }
 
-fn tally(spec: &RunSpec, callers: &Callers, arrivals: &[Arrival], outcomes: &[Outcome]) -> Record {
+fn tally(spec: &RunSpec, context: &ClientContext, arrivals: &[Arrival], outcomes: &[Outcome]) -> Record {
     let mut tally = Tally::new(&spec.scenario.name, (spec.seed, spec.seconds, spec.rate), BLOCK_TOKENS);
     for outcome in outcomes {
         let arrival = &arrivals[outcome.number];
-        tally.add(arrival, outcome, &blocks(callers, arrival));
+        tally.add(arrival, outcome, &blocks(context, arrival));
     }
     tally.finish()
 }
 
-fn blocks(callers: &Callers, arrival: &Arrival) -> Vec<u64> {
+fn blocks(context: &ClientContext, arrival: &Arrival) -> Vec<u64> {
     let Kind::Completion { task, chat, .. } = arrival.kind else {
         return Vec::new();
     };
-    let prompt = callers.prompts.prompt(arrival.workspace, task, arrival.number, chat);
+    let prompt = context.prompts.prompt(arrival.workspace, task, arrival.number, chat);
     let scope = site::workspace(arrival.workspace);
-    let seed = [scope.as_str(), callers.scenario.engines.model.as_str(), site::WEIGHTS];
+    let seed = [scope.as_str(), context.scenario.engines.model.as_str(), site::WEIGHTS];
     chain(seed, prompt.rendered.as_bytes(), BLOCK_BYTES)
 }
 
-impl Site {
+impl Deployment {
     async fn start(scenario: &Scenario, launcher: Launcher) -> Result<Self, ToolError> {
         let platform = launcher.standin("standin-platform", &[])?;
         let engine = |index: usize| launcher.standin("standin-engine", &engine_args(scenario, index));
@@ -149,11 +149,11 @@
         let work = ["--work-ms".to_owned(), scenario.service.work_ms.to_string()];
         let runner = |_| launcher.standin("standin-service", &work);
         let runners = (0..scenario.service.count).map(runner).collect::<Result<Vec<_>, _>>()?;
-        let places = Places {
+        let addresses = EndpointAddresses {
             engines: engines.iter().map(|engine| engine.address).collect(),
             runners: runners.iter().map(|runner| runner.address).collect(),
         };
-        site::publish(platform.address, &site::document(scenario, &places)).await?;
+        site::publish(platform.address, &site::document(scenario, &addresses)).await?;
         let mut site = Self {
             scenario: scenario.clone(),
             launcher,
@@ -188,22 +188,22 @@
 
     async fn apply(&mut self, fault: &Fault, balancer: &Balancer) -> Result<(), ToolError> {
         match &fault.what {
-            What::Engine(index, fault) => site::set_fault(self.engines[*index].address, fault).await,
-            What::Runner(index, fault) => site::set_fault(self.runners[*index].address, fault).await,
-            What::Platform(fault) => site::set_fault(self.platform.address, fault).await,
-            What::Router(index) => {
+            Action::Engine(index, fault) => site::set_fault(self.engines[*index].address, fault).await,
+            Action::Runner(index, fault) => site::set_fault(self.runners[*index].address, fault).await,
+            Action::Platform(fault) => site::set_fault(self.platform.address, fault).await,
+            Action::Router(index) => {
                 let router = self.start_router(*index)?;
                 balancer.replace(*index, router.0.process.address);
-                // The old process is killed as it is dropped here.
+                // Dropping the old process kills it.
                 self.routers[*index] = router;
                 site::set_vms(self.platform.address, &self.routers).await
             }
         }
     }
 
-    /// Compares with what the stand-ins counted.
-    async fn count(&self, record: &mut Record, outcomes: &[Outcome], calls: usize) -> Result<(), ToolError> {
-        let mut counted = Counted::default();
+    /// Compares the outcomes with the counts of the stand-ins.
+    async fn compare_counts(&self, record: &mut Record, outcomes: &[Outcome], calls: usize) -> Result<(), ToolError> {
+        let mut counted = ExecutionCounts::default();
         for runner in &self.runners {
             let executions: Executions = site::read(runner.address, "/v1/executions").await?;
             for (key, count) in executions.by_key {
--- a/crates/loadtool/src/run/mod.rs
+++ b/crates/loadtool/src/run/mod.rs
@@ -1,15 +1,15 @@
-//! One run: processes, open-loop calls, faults, and what callers got.
+//! One run: processes, open-loop calls, faults, and the outcomes at the clients.
 
 mod accounting;
 mod balancer;
-mod caller;
+mod client;
 mod drive;
 mod outcome;
 mod reader;
 mod tally;
 
-pub use accounting::{Counted, Problem, check};
+pub use accounting::{ExecutionCounts, Problem, check};
 pub use drive::{RunSpec, run};
-pub use outcome::{Attempt, Got, Outcome};
-pub use reader::{Expected, read_stream, read_whole};
+pub use outcome::{Attempt, CompletionUsage, Outcome};
+pub use reader::{Expected, read_complete, read_stream};
 pub use tally::{Record, Second, Tally, Times};
--- a/crates/loadtool/src/run/outcome.rs
+++ b/crates/loadtool/src/run/outcome.rs
@@ -1,63 +1,63 @@
-//! What a caller got. Pure data.
+//! The outcomes of calls.
 
 use std::time::Duration;
 
-/// How one attempt of a call ended.
+/// The result of one attempt of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Attempt {
-    /// The whole, true answer.
-    Whole,
-    /// A refusal that says that nothing ran.
+    /// The complete, correct answer.
+    Complete,
+    /// A refusal that states that nothing ran.
     NotRun(String),
-    /// A refusal that says that it may have run.
+    /// A refusal that states that the call may have run.
     Unknown(String),
-    /// No connection; nothing was sent.
+    /// Connecting failed; nothing was sent.
     NotSent,
-    /// The connection broke or the answer was cut.
+    /// The connection was lost or the answer was truncated.
     Broken,
-    /// Nothing in time.
-    Silent,
-    /// An answer that is not this call's, or not true.
+    /// No answer in time.
+    Timeout,
+    /// An answer to another call, or an incorrect answer.
     Wrong(String),
 }
 
-/// What a whole answer of a completion says.
+/// The token usage and latency of a complete completion.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Got {
+pub struct CompletionUsage {
     /// Prompt tokens.
     pub prompt_tokens: u64,
-    /// Of those, found in the cache.
+    /// Prompt tokens found in the cache.
     pub cached_tokens: u64,
-    /// From the arrival to the first piece.
+    /// Time from the arrival to the first piece.
     pub first: Duration,
 }
 
 /// One call with all its attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// Its number.
+    /// The number of the call.
     pub number: usize,
-    /// Its idempotency key.
+    /// The idempotency key.
     pub key: Option<String>,
     /// Whether it is a call of the plain service.
     pub service: bool,
-    /// Whether it may run only once.
+    /// Whether it must run at most once.
     pub single: bool,
-    /// Attempts in order, each with the id the router gave it, if known.
+    /// The attempts in order, each with the request id assigned by the router, if known.
     pub attempts: Vec<(Attempt, Option<String>)>,
-    /// What the answer says, for completions.
-    pub got: Option<Got>,
-    /// From the arrival to the end.
-    pub took: Duration,
+    /// The usage of a completion.
+    pub usage: Option<CompletionUsage>,
+    /// Time from the arrival to the end.
+    pub duration: Duration,
 }
 
 impl Outcome {
-    /// Whether the caller has its answer.
-    pub fn is_whole(&self) -> bool {
-        matches!(self.attempts.last(), Some((Attempt::Whole, _)))
+    /// Whether the client received a complete answer.
+    pub fn is_complete(&self) -> bool {
+        matches!(self.attempts.last(), Some((Attempt::Complete, _)))
     }
 
-    /// Whether every attempt says that nothing ran.
+    /// Whether every attempt states that nothing ran.
     pub fn says_not_run(&self) -> bool {
         self.attempts
             .iter()
@@ -66,15 +66,15 @@
 }
 
 impl Attempt {
-    /// A name for counting.
+    /// The name under which the attempt is counted.
     pub fn name(&self) -> String {
         match self {
-            Self::Whole => "whole".to_owned(),
+            Self::Complete => "whole".to_owned(),
             Self::NotRun(code) => format!("{code} (not run)"),
             Self::Unknown(code) => format!("{code} (unknown)"),
             Self::NotSent => "no connection".to_owned(),
             Self::Broken => "broken".to_owned(),
-            Self::Silent => "silent".to_owned(),
+            Self::Timeout => "silent".to_owned(),
             Self::Wrong(what) => format!("wrong: {what}"),
         }
     }
--- a/crates/loadtool/src/run/reader.rs
+++ b/crates/loadtool/src/run/reader.rs
@@ -1,28 +1,28 @@
-//! Reads answers of completions and checks every piece against what the engine must have said.
+//! Reads the answers of completions and compares every piece with the expected text.
 
-use super::outcome::{Attempt, Got};
+use super::outcome::{Attempt, CompletionUsage};
 use async_std::io::{BufRead, BufReadExt};
 use serde_json::Value;
 use standins::engine::{piece, text_seed};
 use std::time::{Duration, Instant};
 
-/// What the answer must be.
+/// The expected answer.
 #[derive(Debug, Clone, Copy)]
 pub struct Expected<'a> {
-    /// Weights that may have served it.
+    /// The weights of the model.
     pub weights: &'a str,
     /// The rendered prompt.
     pub prompt: &'a str,
-    /// Tokens wanted.
+    /// The number of tokens.
     pub tokens: u64,
-    /// The router's id of the request.
+    /// The request id assigned by the router.
     pub request: Option<&'a str>,
     /// When the call was due.
     pub due: Instant,
 }
 
-/// Reads a stream to its end.
-pub async fn read_stream(expected: Expected<'_>, mut body: impl BufRead + Unpin) -> (Attempt, Option<Got>) {
+/// Reads a stream to its end and checks it.
+pub async fn read_stream(expected: Expected<'_>, mut body: impl BufRead + Unpin) -> (Attempt, Option<CompletionUsage>) {
     let mut state = StreamState::new(expected);
     let mut line = String::new();
     loop {
@@ -32,29 +32,29 @@
             Ok(_) => (),
             Err(_) => return (Attempt::Broken, None),
         }
-        if let Err(attempt) = state.line(line.trim_end()) {
+        if let Err(attempt) = state.handle_line(line.trim_end()) {
             return (attempt, None);
         }
     }
-    state.end()
+    state.finish()
 }
 
 /// Checks a JSON answer.
-pub fn read_whole(expected: Expected<'_>, body: &[u8]) -> (Attempt, Option<Got>) {
+pub fn read_complete(expected: Expected<'_>, body: &[u8]) -> (Attempt, Option<CompletionUsage>) {
     let Ok(answer) = serde_json::from_slice::<Value>(body) else {
         return (Attempt::Wrong("not JSON".to_owned()), None);
     };
     let seed = text_seed(expected.weights, expected.prompt);
     let text: String = (0..expected.tokens).map(|number| piece(seed, number)).collect();
     let choice = &answer["choices"][0];
-    let got = choice["text"].as_str().or(choice["message"]["content"].as_str());
-    if got != Some(&text) {
+    let received = choice["text"].as_str().or(choice["message"]["content"].as_str());
+    if received != Some(&text) {
         return (Attempt::Wrong("other text".to_owned()), None);
     }
     if answer["id"].as_str() != expected.request {
         return (Attempt::Wrong("another request's id".to_owned()), None);
     }
-    (Attempt::Whole, usage(&answer, expected.due.elapsed()))
+    (Attempt::Complete, parse_usage(&answer, expected.due.elapsed()))
 }
 
 struct StreamState<'a> {
@@ -81,7 +81,7 @@
         }
     }
 
-    fn line(&mut self, line: &str) -> Result<(), Attempt> {
+    fn handle_line(&mut self, line: &str) -> Result<(), Attempt> {
         let Some(data) = line.strip_prefix("data: ") else {
             return Ok(());
         };
@@ -93,13 +93,13 @@
             return Err(Attempt::Wrong("not JSON in a stream".to_owned()));
         };
         if event.get("error").is_some() {
-            self.error = Some(refusal(&event));
+            self.error = Some(parse_refusal(&event));
             return Ok(());
         }
-        self.piece(&event)
+        self.check_piece(&event)
     }
 
-    fn piece(&mut self, event: &Value) -> Result<(), Attempt> {
+    fn check_piece(&mut self, event: &Value) -> Result<(), Attempt> {
         let choice = &event["choices"][0];
         let text = choice["text"]
             .as_str()
@@ -122,7 +122,7 @@
         Ok(())
     }
 
-    fn end(self) -> (Attempt, Option<Got>) {
+    fn finish(self) -> (Attempt, Option<CompletionUsage>) {
         if let Some(attempt) = self.error {
             return (attempt, None);
         }
@@ -135,24 +135,24 @@
                 None,
             );
         }
-        let got = self
+        let usage = self
             .usage
-            .and_then(|event| usage(&event, self.first.unwrap_or_default()));
-        (Attempt::Whole, got)
+            .and_then(|event| parse_usage(&event, self.first.unwrap_or_default()));
+        (Attempt::Complete, usage)
     }
 }
 
-fn usage(answer: &Value, first: Duration) -> Option<Got> {
+fn parse_usage(answer: &Value, first: Duration) -> Option<CompletionUsage> {
     let usage = &answer["usage"];
-    Some(Got {
+    Some(CompletionUsage {
         prompt_tokens: usage["prompt_tokens"].as_u64()?,
         cached_tokens: usage["prompt_tokens_details"]["cached_tokens"].as_u64()?,
         first,
     })
 }
 
-/// A refusal's body as an attempt.
-pub fn refusal(body: &Value) -> Attempt {
+/// Converts the body of a refusal to an attempt.
+pub fn parse_refusal(body: &Value) -> Attempt {
     let code = body["error"]["code"].as_str().unwrap_or("without code").to_owned();
     match body["error"]["ran"].as_str() {
         Some("not_run") => Attempt::NotRun(code),
--- a/crates/loadtool/src/run/tally.rs
+++ b/crates/loadtool/src/run/tally.rs
@@ -1,4 +1,4 @@
-//! Sums up what callers got.
+//! Aggregates the outcomes of all calls.
 
 use super::outcome::Outcome;
 use crate::workload::{Arrival, Kind};
@@ -7,33 +7,33 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-const LONGEST_US: u64 = 120_000_000;
+const MAX_MICROS: u64 = 120_000_000;
 const DIGITS: u8 = 3;
 const CURVE: [f64; 12] = [0.01, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999, 1.0];
 
 /// Times of many calls, milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Times {
-    /// How many.
+    /// Number of calls.
     pub count: u64,
     /// Median.
     pub p50: f64,
-    /// 95 in 100 are below.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are below.
+    /// 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
-    /// Quantile and value.
+    /// Quantiles and their values.
     pub curve: Vec<(f64, f64)>,
 }
 
-/// Arrivals of one second and what became of them.
+/// Arrivals of one second and their outcomes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
     /// Calls that arrived.
     pub calls: u64,
-    /// Those with a whole answer.
+    /// Calls with a complete answer.
     pub whole: u64,
     /// Longest time to first token, milliseconds.
     pub first_max: f64,
@@ -44,41 +44,41 @@
 pub struct Record {
     /// Scenario.
     pub name: String,
-    /// Seed, seconds, calls a second.
+    /// Seed, seconds, calls per second.
     pub drawn: (u64, f64, f64),
-    /// Faults that were switched.
+    /// Number of fault actions.
     pub faults: u64,
-    /// Calls and whole answers by kind.
+    /// Calls and complete answers by kind.
     pub kinds: BTreeMap<String, (u64, u64)>,
-    /// Attempts by how they ended.
+    /// Attempts by result.
     pub attempts: BTreeMap<String, u64>,
-    /// Last attempts of calls without a whole answer.
+    /// Last attempts of calls without a complete answer, by result.
     pub failures: BTreeMap<String, u64>,
-    /// Time to first token of whole streams, from the arrival.
+    /// Time to first token of complete streams, from the arrival.
     pub first_token: Times,
-    /// Time to the end of whole completions, from the arrival.
+    /// Time to the end of complete completions, from the arrival.
     pub completion: Times,
-    /// Time to the whole answer of service calls.
+    /// Time to the complete answer of service calls.
     pub service: Times,
-    /// Prompt tokens of whole completions.
+    /// Prompt tokens of complete completions.
     pub prompt_tokens: u64,
-    /// Of those, found in a cache.
+    /// Prompt tokens found in a cache.
     pub cached_tokens: u64,
-    /// Of those, computed although an engine had computed them before in this run.
+    /// Prompt tokens computed although an engine had already computed them in this run.
     pub recomputed_tokens: u64,
-    /// By second of arrival.
+    /// Results by second of arrival.
     pub seconds: Vec<Second>,
-    /// Executions the runners counted, of keys and of requests.
+    /// Executions counted by the runners, by key and by request.
     pub executions: (u64, u64),
-    /// Most executions of one key.
+    /// Maximum number of executions of one key.
     pub most_of_key: u64,
-    /// The platform's counts: reads, writes, watches.
+    /// Reads, writes and watches counted by the platform.
     pub platform: (u64, u64, u64),
     /// Errors of the accounting.
     pub problems: Vec<String>,
 }
 
-/// Sums up outcomes.
+/// Aggregates outcomes.
 #[derive(Debug)]
 pub struct Tally {
     record: Record,
@@ -90,7 +90,7 @@
 }
 
 impl Times {
-    /// Of a histogram of microseconds.
+    /// Summarizes a histogram of microseconds.
     pub fn of(histogram: &Histogram<u64>) -> Self {
         let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1000.0;
         Self {
@@ -104,19 +104,19 @@
     }
 }
 
-/// A histogram of microseconds.
+/// Creates an empty histogram of microseconds.
 pub fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST_US, DIGITS).expect("constant bounds")
+    Histogram::new_with_max(MAX_MICROS, DIGITS).expect("constant bounds")
 }
 
 /// Adds a time to a histogram of microseconds.
 pub fn add(histogram: &mut Histogram<u64>, time: Duration) {
-    let micros = u64::try_from(time.as_micros()).unwrap_or(LONGEST_US);
+    let micros = u64::try_from(time.as_micros()).unwrap_or(MAX_MICROS);
     histogram.saturating_record(micros.max(1));
 }
 
 impl Tally {
-    /// Nothing yet; blocks have `block_tokens`.
+    /// Creates an empty tally; a block has `block_tokens` tokens.
     pub fn new(name: &str, drawn: (u64, f64, f64), block_tokens: u64) -> Self {
         let seconds = vec![Second::default(); drawn.1.ceil() as usize];
         let record = Record {
@@ -137,43 +137,43 @@
 
     /// Adds the outcome of `arrival`, whose prompt's blocks have these hashes.
     pub fn add(&mut self, arrival: &Arrival, outcome: &Outcome, blocks: &[u64]) {
-        let whole = outcome.is_whole();
+        let complete = outcome.is_complete();
         let kind = self
             .record
             .kinds
             .entry(kind_name(&arrival.kind).to_owned())
             .or_default();
         kind.0 += 1;
-        kind.1 += u64::from(whole);
+        kind.1 += u64::from(complete);
         for (attempt, _) in &outcome.attempts {
             *self.record.attempts.entry(attempt.name()).or_default() += 1;
         }
-        if let (false, Some((last, _))) = (whole, outcome.attempts.last()) {
+        if let (false, Some((last, _))) = (complete, outcome.attempts.last()) {
             *self.record.failures.entry(last.name()).or_default() += 1;
         }
-        let first = outcome.got.filter(|_| streamed(arrival)).map(|got| got.first);
+        let first = outcome.usage.filter(|_| streamed(arrival)).map(|usage| usage.first);
         if let Some(second) = self.record.seconds.get_mut(arrival.at.as_secs() as usize) {
             second.calls += 1;
-            second.whole += u64::from(whole);
+            second.whole += u64::from(complete);
             second.first_max = second.first_max.max(first.unwrap_or_default().as_secs_f64() * 1000.0);
         }
-        if whole && outcome.service {
-            add(&mut self.service, outcome.took);
+        if complete && outcome.service {
+            add(&mut self.service, outcome.duration);
         }
-        if let (true, Some(got)) = (whole, outcome.got) {
+        if let (true, Some(usage)) = (complete, outcome.usage) {
             if streamed(arrival) {
-                add(&mut self.first, got.first);
+                add(&mut self.first, usage.first);
             }
-            add(&mut self.completion, outcome.took);
-            self.record.prompt_tokens += got.prompt_tokens;
-            self.record.cached_tokens += got.cached_tokens;
-            let known = blocks.iter().take_while(|block| self.computed.contains(block)).count() as u64;
-            self.record.recomputed_tokens += (known * self.block_tokens).saturating_sub(got.cached_tokens);
+            add(&mut self.completion, outcome.duration);
+            self.record.prompt_tokens += usage.prompt_tokens;
+            self.record.cached_tokens += usage.cached_tokens;
+            let computed_before = blocks.iter().take_while(|block| self.computed.contains(block)).count() as u64;
+            self.record.recomputed_tokens += (computed_before * self.block_tokens).saturating_sub(usage.cached_tokens);
             self.computed.extend(blocks);
         }
     }
 
-    /// The record so far.
+    /// Returns the record.
     pub fn finish(mut self) -> Record {
         self.record.first_token = Times::of(&self.first);
         self.record.completion = Times::of(&self.completion);
--- a/crates/loadtool/src/scenario.rs
+++ b/crates/loadtool/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What a run consists of: sizes, places and mixture of calls. Pure data.
+//! The configuration of a run: sizes, failure domains and mix of calls.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,7 +8,7 @@
 pub struct Scenario {
     /// Name in the record.
     pub name: String,
-    /// Failure domains; routers and endpoints are spread over them in turn.
+    /// Failure domains. Routers and endpoints are distributed over them round-robin.
     pub domains: Vec<String>,
     /// Routers.
     pub routers: usize,
@@ -16,11 +16,11 @@
     pub engines: EngineSpec,
     /// The plain service.
     pub service: ServiceSpec,
-    /// Share of the calls of each workspace, any unit.
+    /// Relative weight of each workspace's calls.
     pub workspaces: Vec<f64>,
     /// The prompts.
     pub prompts: PromptSpec,
-    /// The mixture.
+    /// The mix of calls.
     pub mix: MixSpec,
 }
 
@@ -30,17 +30,17 @@
 pub struct EngineSpec {
     /// Name of the model.
     pub model: String,
-    /// Engines.
+    /// Number of engines.
     pub count: usize,
-    /// Blocks of cache of each.
+    /// Cache size of each engine in blocks.
     pub blocks: usize,
-    /// Requests each runs at once.
+    /// Maximum number of concurrent requests of each engine.
     pub slots: u32,
-    /// Prompt tokens each prefills a second.
+    /// Prompt tokens per second that each engine prefills.
     pub prefill_rate: u64,
-    /// Milliseconds of a decoded token.
+    /// Milliseconds to decode a token.
     pub decode_ms: f64,
-    /// Whether they refuse old fencing numbers.
+    /// Whether the engines refuse old fencing numbers.
     pub fenced: bool,
 }
 
@@ -48,15 +48,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Its name in the path.
+    /// The service name in the path.
     pub name: String,
-    /// Runners.
+    /// Number of runners.
     pub count: usize,
-    /// Milliseconds of a call.
+    /// Duration of a call in milliseconds.
     pub work_ms: u64,
-    /// Path of the operation that may be repeated.
+    /// Path of the idempotent operation.
     pub idempotent: String,
-    /// Path of the operation that may not.
+    /// Path of the operation that must run at most once.
     pub single: String,
 }
 
@@ -76,9 +76,9 @@
     pub tasks: usize,
     /// Exponent of the tasks' popularity.
     pub skew: f64,
-    /// Seconds after which other tasks become the hot ones.
+    /// Seconds after which other tasks become popular.
     pub shift_seconds: f64,
-    /// Tokens of an answer.
+    /// Generated tokens per answer.
     pub max_tokens: u32,
 }
 
@@ -86,20 +86,20 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MixSpec {
-    /// Of all calls, those of the plain service.
+    /// Share of calls to the plain service.
     pub service: f64,
-    /// Of those, the ones that may not be repeated.
+    /// Share of service calls that must run at most once.
     pub single: f64,
-    /// Of those, the ones without an idempotency key.
+    /// Share of at-most-once calls without an idempotency key.
     pub keyless: f64,
-    /// Of the completions, those that are streamed.
+    /// Share of completions that are streamed.
     pub streamed: f64,
-    /// Of the completions, those in chat form.
+    /// Share of completions that use the chat API.
     pub chat: f64,
 }
 
 impl Scenario {
-    /// The Board's: four failure domains, 12 engines, 4 runners of the silo service.
+    /// The Board: four failure domains, 12 engines, 4 runners of the silo service.
     pub fn board() -> Self {
         Self {
             name: "board".to_owned(),
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Kovács': three failure domains, 9 engines, 3 runners of the order desk.
+    /// Kovács: three failure domains, 9 engines, 3 runners of the order desk.
     pub fn kovacs() -> Self {
         Self {
             name: "kovacs".to_owned(),
--- a/crates/loadtool/src/site/document.rs
+++ b/crates/loadtool/src/site/document.rs
@@ -5,30 +5,30 @@
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
 
-/// Weights in service.
+/// The weights of the model.
 pub const WEIGHTS: &str = "w1";
 
-/// Where the endpoints are.
+/// The addresses of the endpoints.
 #[derive(Debug, Clone, Default)]
-pub struct Places {
+pub struct EndpointAddresses {
     /// Engines.
     pub engines: Vec<SocketAddr>,
     /// Runners of the plain service.
     pub runners: Vec<SocketAddr>,
 }
 
-/// Bearer key of a workspace.
+/// The bearer key of a workspace.
 pub fn key(workspace: usize) -> String {
     format!("key-{workspace}")
 }
 
-/// Id of a workspace.
+/// The id of a workspace.
 pub fn workspace(number: usize) -> String {
     format!("workspace-{number}")
 }
 
-/// The document of `scenario` with its endpoints at `places`.
-pub fn document(scenario: &Scenario, places: &Places) -> Value {
+/// Builds the document of `scenario` with its endpoints at `addresses`.
+pub fn document(scenario: &Scenario, addresses: &EndpointAddresses) -> Value {
     let digest = |key: &str| Digest::of(key.as_bytes()).to_string();
     let model = &scenario.engines.model;
     let service = &scenario.service;
@@ -39,14 +39,14 @@
     }
     let mut endpoints = Map::new();
     let domain = |index: usize| &scenario.domains[index % scenario.domains.len()];
-    for (index, address) in places.engines.iter().enumerate() {
+    for (index, address) in addresses.engines.iter().enumerate() {
         let spec = json!({
             "address": address, "domain": domain(index), "role": {"model": model},
             "fenced": scenario.engines.fenced, "slots": scenario.engines.slots,
         });
         endpoints.insert(format!("e{index}"), spec);
     }
-    for (index, address) in places.runners.iter().enumerate() {
+    for (index, address) in addresses.runners.iter().enumerate() {
         let spec = json!({"address": address, "domain": domain(index), "role": {"service": service.name}});
         endpoints.insert(format!("s{index}"), spec);
     }
--- a/crates/loadtool/src/site/mod.rs
+++ b/crates/loadtool/src/site/mod.rs
@@ -1,9 +1,9 @@
-//! A deployment as processes on loopback: platform, engines, runners, routers, and the document that names them.
+//! A deployment of processes on loopback: platform, engines, runners, routers and their configuration document.
 
 mod document;
 mod platform;
 
-pub use document::{Places, WEIGHTS, document, key, workspace};
+pub use document::{EndpointAddresses, WEIGHTS, document, key, workspace};
 pub use platform::{Publisher, publish, set_vms};
 
 use crate::error::ToolError;
@@ -17,32 +17,32 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// Longest wait for a router to be ready.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum wait until a router is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL: Duration = Duration::from_millis(20);
 const ANY_PORT: &str = "127.0.0.1:0";
-/// Threads of each process for traffic, the same on each machine so that runs can be compared.
+/// Threads of each process for traffic, the same on every VM so that runs are comparable.
 const STANDIN_THREADS: usize = 2;
 
-/// Starts programs that lie beside the tool's own.
+/// Starts programs from the directory of the tool's executable.
 #[derive(Debug, Clone)]
 pub struct Launcher {
     folder: PathBuf,
     settings: PathBuf,
 }
 
-/// Settings of a router that the tool chooses.
+/// The settings of a router.
 #[derive(Debug, Clone)]
 pub struct RouterSpec {
-    /// Its number.
+    /// The number of the router.
     pub index: usize,
-    /// Its failure domain.
+    /// The failure domain.
     pub domain: String,
     /// The platform's address.
     pub platform: SocketAddr,
     /// Threads for traffic.
     pub threads: usize,
-    /// Routers to ask while the platform is out of reach, as in the settings.
+    /// Routers to contact while the platform is unreachable, as in the settings file.
     pub seeds: Value,
 }
 
@@ -51,27 +51,27 @@
 pub struct Router {
     /// The process.
     pub process: Running,
-    /// For operators.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// For other routers.
+    /// The address for other routers.
     pub peers: SocketAddr,
 }
 
 impl Launcher {
-    /// Looks beside the tool's own program; settings go into `settings`.
+    /// Creates a launcher for programs beside the tool's executable. Settings files are written to `settings`.
     ///
     /// # Errors
-    /// If the tool's own place isn't known.
+    /// If the path of the tool's executable is unknown.
     pub fn new(settings: PathBuf) -> Result<Self, ToolError> {
-        let own = std::env::current_exe().map_err(ToolError::io("own program"))?;
-        let folder = own.parent().map(PathBuf::from).unwrap_or_default();
+        let program = std::env::current_exe().map_err(ToolError::io("own program"))?;
+        let folder = program.parent().map(PathBuf::from).unwrap_or_default();
         Ok(Self { folder, settings })
     }
 
     /// Starts a stand-in.
     ///
     /// # Errors
-    /// If it doesn't announce itself.
+    /// If it doesn't print its address.
     pub fn standin(&self, name: &str, args: &[String]) -> Result<Running, ToolError> {
         let mut command = Command::new(self.folder.join(name));
         command
@@ -83,7 +83,7 @@
     /// Starts a router.
     ///
     /// # Errors
-    /// If it doesn't announce itself.
+    /// If it doesn't print its address.
     pub fn router(&self, spec: &RouterSpec) -> Result<Router, ToolError> {
         let settings = json!({
             "vm": vm(spec.index), "domain": spec.domain,
@@ -102,12 +102,12 @@
         let log = std::fs::File::create(self.settings.join(format!("{}.log", vm(spec.index))));
         command.stderr(log.map_err(ToolError::io("log"))?);
         let process = Running::start_with(&mut command).map_err(ToolError::io("apricotfork"))?;
-        let named = |name: &str| {
+        let address_of = |name: &str| {
             let mut words = process.line.split_whitespace().skip_while(|word| *word != name);
             words.nth(1).and_then(|text| text.parse().ok())
         };
-        let operators = named("operators").unwrap_or(process.address);
-        let peers = named("peers").unwrap_or(process.address);
+        let operators = address_of("operators").unwrap_or(process.address);
+        let peers = address_of("peers").unwrap_or(process.address);
         Ok(Router {
             process,
             operators,
@@ -116,7 +116,7 @@
     }
 }
 
-/// A router's VM id.
+/// The VM id of a router.
 pub fn vm(index: usize) -> String {
     format!("r{index}")
 }
@@ -124,23 +124,23 @@
 /// Waits until a router is ready.
 ///
 /// # Errors
-/// If it isn't in time.
+/// If it is not ready in time.
 pub async fn until_ready(operators: SocketAddr) -> Result<(), ToolError> {
-    let ends = Instant::now() + PATIENCE;
-    while Instant::now() < ends {
+    let deadline = Instant::now() + READY_TIMEOUT;
+    while Instant::now() < deadline {
         let answer = Client::new(operators).get("/readyz").await;
         if answer.is_ok_and(|answer| answer.status() == 200) {
             return Ok(());
         }
         task::sleep(POLL).await;
     }
-    Err(ToolError::Late("a router's start"))
+    Err(ToolError::Timeout("a router's start"))
 }
 
-/// Turns a fault switch.
+/// Injects a fault into a stand-in.
 ///
 /// # Errors
-/// If the stand-in doesn't take it.
+/// If the stand-in refuses it.
 pub async fn set_fault<F: Serialize>(at: SocketAddr, fault: &F) -> Result<(), ToolError> {
     let answer = Client::new(at)
         .send(http_types::Method::Post, "/fault", Some(fault))
@@ -154,12 +154,12 @@
 /// Reads a JSON answer.
 ///
 /// # Errors
-/// If there is none.
+/// If there is no such answer.
 pub async fn read<T: serde::de::DeserializeOwned>(at: SocketAddr, path: &str) -> Result<T, ToolError> {
     Ok(Client::new(at).get(path).await?.json()?)
 }
 
-/// A document's text.
+/// The text of a document.
 pub fn text(document: &Value) -> String {
     document.to_string()
 }
--- a/crates/loadtool/src/site/platform.rs
+++ b/crates/loadtool/src/site/platform.rs
@@ -1,4 +1,4 @@
-//! Puts documents into force and sets the list of VMs.
+//! Publishes configuration documents and sets the list of VMs.
 
 use super::{Router, vm};
 use crate::error::ToolError;
@@ -10,11 +10,11 @@
 use std::net::SocketAddr;
 use wire::platform::{Entry, Fault, Put, Vm, VmState};
 
-/// Key of the only operator.
+/// The key of the only operator.
 pub const OPERATOR_KEY: &str = "operator-key";
 const OPERATOR: &str = "ops";
 
-/// Knows what is in force and changes it.
+/// Holds the active configuration and publishes changes.
 #[derive(Debug)]
 pub struct Publisher {
     client: Client,
@@ -23,10 +23,10 @@
     changes: u64,
 }
 
-/// Puts the first document into force.
+/// Publishes the first document.
 ///
 /// # Errors
-/// If it isn't accepted.
+/// If it is refused.
 pub async fn publish(platform: SocketAddr, document: &Value) -> Result<Publisher, ToolError> {
     let id = ChangeId::from("change-0".to_owned());
     let plan = bootstrap(&id, OPERATOR, &operator(), &document.to_string(), UnixMillis(0))?;
@@ -44,7 +44,7 @@
     /// Replaces one section.
     ///
     /// # Errors
-    /// If it isn't accepted.
+    /// If it is refused.
     pub async fn change(&mut self, section: Section, after: String) -> Result<(), ToolError> {
         self.changes += 1;
         let before = config::section_text(&self.view.document, section);
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// Revision in force.
+    /// The active revision.
     pub fn revision(&self) -> u64 {
         self.view.head.revision.0
     }
@@ -103,7 +103,7 @@
 /// Sets the list of VMs to these routers.
 ///
 /// # Errors
-/// If the platform doesn't take it.
+/// If the platform refuses it.
 pub async fn set_vms(platform: SocketAddr, routers: &[(Router, String)]) -> Result<(), ToolError> {
     let vms = routers.iter().enumerate().map(|(index, (router, domain))| Vm {
         id: vm(index),
--- a/crates/loadtool/src/table.rs
+++ b/crates/loadtool/src/table.rs
@@ -1,9 +1,9 @@
-//! Records as tables.
+//! Formats records as text tables.
 
 use crate::measure::{OverheadRecord, Series, SpreadRecord};
 use crate::run::{Record, Times};
 
-/// The table of a record.
+/// Formats the record of a run.
 pub fn table(record: &Record) -> String {
     let (seed, seconds, rate) = record.drawn;
     let mut lines = vec![
@@ -67,7 +67,7 @@
     }
 }
 
-/// The table of one measurement of the router's own time.
+/// Formats one measurement of the router's overhead.
 pub fn overhead(record: &OverheadRecord) -> String {
     let micros = |times: &Times| format!("p50 {:.0} µs, p99 {:.0} µs", times.p50 * 1000.0, times.p99 * 1000.0);
     let added = |at: fn(&Times) -> f64| (at(&record.routed) - at(&record.direct)) * 1000.0;
@@ -94,7 +94,7 @@
     lines.join("\n")
 }
 
-/// The table of one series: points, line, residuals.
+/// Formats one series with its points, fitted line and residuals.
 pub fn series(series: &Series) -> String {
     let mut lines = vec![format!("{}: {} over {}", series.sweep, series.y, series.x)];
     match &series.fit {
@@ -109,7 +109,7 @@
     lines.join("\n")
 }
 
-/// A run of changes as text.
+/// Formats the measurement of configuration changes.
 pub fn spread(record: &SpreadRecord) -> String {
     let line = |name: &str, (median, most, last): (f64, f64, f64)| {
         format!("  {name}: median {median:.1} ms, 99 % {most:.1} ms, last {last:.1} ms")
--- a/crates/loadtool/src/workload.rs
+++ b/crates/loadtool/src/workload.rs
@@ -1,7 +1,7 @@
-//! Which calls arrive when: an open loop, drawn from a seed beforehand. No I/O, no clock.
+//! Generates the arrivals of an open-loop workload from a seed, in advance. Does no I/O and reads no clock.
 //!
-//! Arrivals don't wait for answers. With a closed loop a slow system would get fewer calls and its waiting times would
-//! not be seen.
+//! Arrivals don't wait for answers. In a closed loop, a slow system would receive fewer calls and its waiting times
+//! would not be measured.
 
 use crate::scenario::{MixSpec, PromptSpec, Scenario};
 use rand::distr::weighted::WeightedIndex;
@@ -13,23 +13,23 @@
 /// Bytes of a cache block.
 pub const BLOCK_BYTES: usize = 4096;
 const LETTERS: &[u8] = b"abcdefghijklmnopqrstuvwxyz ";
-/// Rendered before the first message of a chat.
+/// The rendered text before the first message of a chat.
 const SYSTEM: &str = "system\n";
 
 /// A call that arrives.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// When, since the start.
+    /// Time since the start.
     pub at: Duration,
-    /// Its number.
+    /// The number of the call.
     pub number: usize,
-    /// Workspace that calls.
+    /// The workspace of the client.
     pub workspace: usize,
-    /// What it calls.
+    /// The kind of call.
     pub kind: Kind,
 }
 
-/// What is called.
+/// The kind of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Kind {
     /// A completion over this task of the workspace.
@@ -38,19 +38,19 @@
         task: usize,
         /// Whether it is streamed.
         streamed: bool,
-        /// Whether it has the chat form.
+        /// Whether it uses the chat API.
         chat: bool,
     },
-    /// A call that may be repeated.
+    /// An idempotent call.
     Idempotent,
-    /// A call that may not be repeated, with an idempotency key or without.
+    /// A call that must run at most once.
     Single {
-        /// Whether it has a key.
+        /// Whether it has an idempotency key.
         keyed: bool,
     },
 }
 
-/// Texts of the prompts' layers.
+/// The texts of the prompt layers.
 #[derive(Debug, Clone)]
 pub struct Prompts {
     base: String,
@@ -68,21 +68,21 @@
     pub question: String,
     /// Ends of the nested levels in the rendered prompt.
     pub levels: [usize; 3],
-    /// The whole as the engine sees it.
+    /// The complete prompt as the engine receives it.
     pub rendered: String,
 }
 
-/// All arrivals of `seconds` at `rate` a second.
+/// Generates the arrivals for `seconds` at `rate` calls per second.
 pub fn arrivals(scenario: &Scenario, seed: u64, seconds: f64, rate: f64) -> Vec<Arrival> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let pause = Exp::new(rate).expect("a positive rate");
     let shares = WeightedIndex::new(&scenario.workspaces).expect("positive shares");
-    let popular = Zipf::new(scenario.prompts.tasks as f64, scenario.prompts.skew).expect("a positive exponent");
+    let popularity = Zipf::new(scenario.prompts.tasks as f64, scenario.prompts.skew).expect("a positive exponent");
     let mut all = Vec::new();
     let mut at = pause.sample(&mut random);
     while at < seconds {
         let workspace = shares.sample(&mut random);
-        let rank = popular.sample(&mut random) as usize - 1;
+        let rank = popularity.sample(&mut random) as usize - 1;
         let task = (rank + shift(&scenario.prompts, at)) % scenario.prompts.tasks;
         let kind = kind(&mut random, &scenario.mix, task);
         all.push(Arrival {
@@ -96,7 +96,7 @@
     all
 }
 
-/// By how many tasks the popular ones have moved on.
+/// The number of tasks by which the popularity ranking has shifted.
 fn shift(prompts: &PromptSpec, at: f64) -> usize {
     const STEP: usize = 5;
     (at / prompts.shift_seconds) as usize * STEP
@@ -119,7 +119,7 @@
 }
 
 impl Prompts {
-    /// The layers of all workspaces and tasks.
+    /// Generates the layers of all workspaces and tasks.
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let spec = &scenario.prompts;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The prompt of one call; `number` makes its question.
+    /// Builds the prompt of one call; `number` is the seed of its question.
     pub fn prompt(&self, workspace: usize, task: usize, number: usize, chat: bool) -> Prompt {
         let mut random = ChaCha8Rng::seed_from_u64(number as u64);
         let question = text(&mut random, self.question_bytes);
--- a/crates/loadtool/tests/accounting.rs
+++ b/crates/loadtool/tests/accounting.rs
@@ -1,16 +1,16 @@
-//! The tool's own verdicts: a lost or doubled execution, or a false refusal, must be an error.
+//! Tests of the accounting: a missing or duplicate execution and a false refusal must be reported.
 
-use loadtool::run::{Attempt, Counted, Outcome, Problem, check};
+use loadtool::run::{Attempt, ExecutionCounts, Outcome, Problem, check};
 use std::time::Duration;
 
-use Attempt::{Broken, NotRun, NotSent, Unknown, Whole, Wrong};
+use Attempt::{Broken, Complete, NotRun, NotSent, Unknown, Wrong};
 
 struct Case {
-    what: &'static str,
+    name: &'static str,
     /// Whether the call has the key `k`.
     keyed: bool,
     single: bool,
-    /// Attempts, and whether the caller learnt the request's id, which is `r`.
+    /// Attempts, and whether the client knows the request id, which is `r`.
     attempts: Vec<(Attempt, bool)>,
     /// Executions of `k` and of `r`.
     ran: (u64, u64),
@@ -22,8 +22,8 @@
 }
 
 fn cases() -> Vec<Case> {
-    let case = |what, keyed, attempts, ran, problem| Case {
-        what,
+    let case = |name, keyed, attempts, ran, problem| Case {
+        name,
         keyed,
         single: true,
         attempts,
@@ -31,11 +31,11 @@
         problem,
     };
     vec![
-        case("ran once and answered", true, vec![(Whole, true)], (1, 0), None),
+        case("ran once and answered", true, vec![(Complete, true)], (1, 0), None),
         case(
             "answered at the second attempt",
             true,
-            vec![(Broken, false), (Whole, true)],
+            vec![(Broken, false), (Complete, true)],
             (1, 0),
             None,
         ),
@@ -57,16 +57,16 @@
         case(
             "ran twice",
             true,
-            vec![(Broken, false), (Whole, true)],
+            vec![(Broken, false), (Complete, true)],
             (2, 0),
-            Some(Problem::Doubled(0, 2)),
+            Some(Problem::DuplicateExecution(0, 2)),
         ),
         case(
             "answered and didn't run",
             true,
-            vec![(Whole, true)],
+            vec![(Complete, true)],
             (0, 0),
-            Some(Problem::Lost(0)),
+            Some(Problem::MissingExecution(0)),
         ),
         case(
             "refused and ran",
@@ -75,17 +75,17 @@
             (1, 0),
             Some(Problem::FalseNotRun(0, 1)),
         ),
-        case("no key, ran once", false, vec![(Whole, true)], (0, 1), None),
+        case("no key, ran once", false, vec![(Complete, true)], (0, 1), None),
         case(
             "no key, ran twice",
             false,
-            vec![(Whole, true)],
+            vec![(Complete, true)],
             (0, 2),
-            Some(Problem::Doubled(0, 2)),
+            Some(Problem::DuplicateExecution(0, 2)),
         ),
         case("no key, no id, ran", false, vec![(Broken, false)], (0, 1), None),
         case(
-            "no key, ran as nobody's",
+            "no key, ran without a matching call",
             false,
             vec![(NotSent, false)],
             (0, 1),
@@ -99,10 +99,10 @@
             Some(Problem::Wrong(0, "x".to_owned())),
         ),
         Case {
-            what: "repeatable, ran twice",
+            name: "repeatable, ran twice",
             keyed: false,
             single: false,
-            attempts: vec![(Broken, false), (Whole, true)],
+            attempts: vec![(Broken, false), (Complete, true)],
             ran: (0, 2),
             problem: None,
         },
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn broken_promises_are_found() {
+fn violated_guarantees_are_reported() {
     for case in cases() {
         check_case(case);
     }
@@ -128,11 +128,11 @@
             .into_iter()
             .map(|(attempt, known)| (attempt, id(known)))
             .collect(),
-        got: None,
-        took: Duration::ZERO,
+        usage: None,
+        duration: Duration::ZERO,
     };
     let count = |name: &str, ran: u64| (ran > 0).then(|| (name.to_owned(), ran));
-    let counted = Counted {
+    let counted = ExecutionCounts {
         by_key: count("k", case.ran.0).into_iter().collect(),
         by_request: count("r", case.ran.1).into_iter().collect(),
     };
@@ -140,12 +140,12 @@
         check(&[outcome], 1, &counted),
         Vec::from_iter(case.problem),
         "{}",
-        case.what
+        case.name
     );
 }
 
-// A call that the tool forgot would look like one that was never made.
+// Without this check, a call that the tool lost would look like one that was never made.
 #[test]
-fn a_call_without_outcome_is_found() {
-    assert_eq!(check(&[], 1, &Counted::default()), [Problem::Unfinished(0)]);
+fn call_without_outcome_is_reported() {
+    assert_eq!(check(&[], 1, &ExecutionCounts::default()), [Problem::Unfinished(0)]);
 }
--- a/crates/loadtool/tests/draws.rs
+++ b/crates/loadtool/tests/draws.rs
@@ -1,4 +1,4 @@
-//! What is drawn from a seed, and the line through points.
+//! Tests of the seeded workload and faults, and of the line fit.
 
 use loadtool::faults::schedule;
 use loadtool::measure::fit;
@@ -6,7 +6,7 @@
 use loadtool::workload::{Prompts, arrivals};
 
 #[test]
-fn a_seed_always_draws_the_same() {
+fn same_seed_gives_same_arrivals_and_faults() {
     for scenario in [Scenario::board(), Scenario::kovacs()] {
         let draw = |seed| {
             (
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn levels_end_where_the_layers_do() {
+fn levels_end_at_the_layer_boundaries() {
     let scenario = Scenario::board();
     let prompts = Prompts::new(&scenario, 1);
     for chat in [false, true] {
@@ -37,7 +37,7 @@
         assert_ne!(
             one.rendered[tenant..one.levels[2]],
             other.rendered[tenant..one.levels[2]],
-            "the task layer isn't"
+            "the task layer is not shared"
         );
         assert!(one.rendered[..one.levels[2]].ends_with(&one.shared));
         assert!(one.rendered[one.levels[2]..].contains(&one.question));
@@ -45,7 +45,7 @@
         assert_eq!(
             one.rendered[..one.levels[0]],
             elsewhere.rendered[..one.levels[0]],
-            "the base is everyone's"
+            "the base is shared by all workspaces"
         );
     }
 }
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn lines_through_points() {
+fn fit_returns_the_least_squares_line() {
     let cases = [
         Case {
             points: &[(0.0, 1.0), (1.0, 3.0), (5.0, 11.0)],
--- a/crates/loadtool/tests/reader.rs
+++ b/crates/loadtool/tests/reader.rs
@@ -1,4 +1,4 @@
-//! Streams as callers read them: only a whole, ordered stream of the right request counts.
+//! Tests of the stream reader: only a complete, ordered stream of the right request is accepted.
 
 use async_std::io::Cursor;
 use async_std::task::block_on;
@@ -22,70 +22,75 @@
 use Line::{Done, Error, Piece, PieceOf, Usage};
 
 struct Case {
-    what: &'static str,
+    name: &'static str,
     lines: &'static [Line],
-    whole: bool,
+    complete: bool,
 }
 
 const CASES: &[Case] = &[
     Case {
-        what: "whole",
+        name: "complete",
         lines: &[Piece(0), Piece(1), Piece(2), Usage, Done],
-        whole: true,
+        complete: true,
     },
     Case {
-        what: "a piece missing",
+        name: "a piece missing",
         lines: &[Piece(0), Piece(2), Usage, Done],
-        whole: false,
+        complete: false,
     },
     Case {
-        what: "a piece twice",
+        name: "a piece twice",
         lines: &[Piece(0), Piece(1), Piece(1), Piece(2), Usage, Done],
-        whole: false,
+        complete: false,
     },
     Case {
-        what: "out of order",
+        name: "out of order",
         lines: &[Piece(0), Piece(2), Piece(1), Usage, Done],
-        whole: false,
+        complete: false,
     },
     Case {
-        what: "the last piece missing",
+        name: "the last piece missing",
         lines: &[Piece(0), Piece(1), Usage, Done],
-        whole: false,
+        complete: false,
     },
     Case {
-        what: "a quiet end",
+        name: "no end event",
         lines: &[Piece(0), Piece(1), Piece(2), Usage],
-        whole: false,
+        complete: false,
     },
     Case {
-        what: "more after the end",
+        name: "more after the end",
         lines: &[Piece(0), Piece(1), Usage, Done, Piece(2)],
-        whole: false,
+        complete: false,
     },
     Case {
-        what: "another request's",
+        name: "another request's",
         lines: &[Piece(0), PieceOf("other", 1), Piece(2), Usage, Done],
-        whole: false,
+        complete: false,
     },
     Case {
-        what: "an error event",
+        name: "an error event",
         lines: &[Piece(0), Error("unknown")],
-        whole: false,
+        complete: false,
     },
 ];
 
 #[test]
-fn only_a_whole_stream_counts() {
+fn only_a_complete_stream_is_accepted() {
     for case in CASES {
-        let (attempt, got) = read(case.lines);
-        assert_eq!(attempt == Attempt::Whole, case.whole, "{}: {attempt:?}", case.what);
-        assert_eq!(got.is_some(), case.whole, "{}", case.what);
+        let (attempt, usage) = read(case.lines);
+        assert_eq!(
+            attempt == Attempt::Complete,
+            case.complete,
+            "{}: {attempt:?}",
+            case.name
+        );
+        assert_eq!(usage.is_some(), case.complete, "{}", case.name);
     }
 }
 
 #[test]
-fn an_error_event_says_whether_it_ran() {
+fn error_event_states_whether_the_call_ran() {
     assert_eq!(
         read(&[Error("not_run")]).0,
         Attempt::NotRun("endpoint_failed".to_owned())
@@ -96,7 +101,7 @@
     );
 }
 
-fn read(lines: &[Line]) -> (Attempt, Option<loadtool::run::Got>) {
+fn read(lines: &[Line]) -> (Attempt, Option<loadtool::run::CompletionUsage>) {
     let text: String = lines.iter().map(render).collect();
     let expected = Expected {
         weights: WEIGHTS,
--- a/crates/standins/src/engine/pace.rs
+++ b/crates/standins/src/engine/pace.rs
@@ -9,8 +9,8 @@
 const DOUBLING_BATCH: f64 = 32.0;
 
 impl Job {
-    /// Waits for the prefill of `tokens`, then caches the blocks of the prompt. Returns false if the request was cancelled
-    /// or the engine crashed.
+    /// Waits for the prefill of `tokens`, then caches the blocks of the prompt. Returns false if the request was
+    /// cancelled or the engine crashed.
     pub(super) async fn prefill(&self, tokens: u64) -> bool {
         if self.engine.args.prefill_rate > 0 && tokens > 0 {
             let mut left = tokens as f64;
--- a/crates/standins/src/http/client.rs
+++ b/crates/standins/src/http/client.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Sends `request` and returns the head and an unread body. Read the body to its end or call [`Client::close`] before
-    /// the next call.
+    /// Sends `request` and returns the head and an unread body. Read the body to its end or call [`Client::close`]
+    /// before the next call.
     ///
     /// # Errors
     /// If no head was received.
--- a/crates/standins/tests/processes.rs
+++ b/crates/standins/tests/processes.rs
@@ -94,7 +94,8 @@
     });
 }
 
-// The platform applies a write and its answer is lost. A client that retries the write gets a conflict with its own value.
+// The platform applies a write and its answer is lost. A client that retries the write gets a conflict with its own
+// value.
 #[test]
 fn write_with_lost_answer_is_applied_and_wakes_the_watch() {
     block_on(async {
