--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -125,7 +125,7 @@
     load_backoff: LoadBackoff,
     /// Fencing token of the current lease holder.
     holder_fence: Option<Fence>,
-    /// Last load list that a lease holder wrote. Once the holder is gone, only the endpoints that it ordered matter.
+    /// Last load list that a lease holder wrote. Once the holder has left, only the endpoints that it ordered matter.
     holder_list: LoadList,
     /// Revision of the document in the store. None if it could not be parsed: such a document may revoke keys, so it
     /// confirms nothing.
@@ -420,13 +420,13 @@
 
     fn read_weights(&self, item: &Item, now: Duration) {
         match (self.shared.dialect.parse_weights)(&item.value) {
-            Ok(wanted) => {
+            Ok(target) => {
                 // These weights became the target after the store's last response without them, so the age of that
                 // response is an upper limit. A router that has just started has no such response.
                 let max_age = self.shared.freshness().age(now);
                 log::info!(
-                    model = wanted.model.as_str(),
-                    weights = wanted.weights,
+                    model = target.model.as_str(),
+                    weights = target.weights,
                     unheard_ms = max_age.map_or(-1, |age| age.as_millis() as i64);
                     "weights: wanted"
                 );
@@ -434,7 +434,7 @@
                     lower: Duration::ZERO,
                     upper: max_age,
                 };
-                self.shared.fleet().set_target(&wanted.model, wanted.weights, age, now);
+                self.shared.fleet().set_target(&target.model, target.weights, age, now);
             }
             Err(err) => log::error!(key = item.key.as_str(), why:% = err; "weights: cannot parse the target weights"),
         }
--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -75,7 +75,7 @@
         if self.lock_holder().may_order(now).is_none() {
             return;
         }
-        let wanted: Vec<(ModelId, u64)> = {
+        let targets: Vec<(ModelId, u64)> = {
             let fleet = self.shared.fleet();
             fleet
                 .targets()
@@ -83,7 +83,7 @@
                 .collect()
         };
         self.list_write.upcoming.clear();
-        for (model, weights) in wanted {
+        for (model, weights) in targets {
             let runners = self.load_candidates(&model);
             let delay = self.shared.settings.load().bounds.turn() + HANDOVER_SLACK;
             let free: Vec<LoadCandidate> = runners
--- a/crates/gateway/src/follow/backlogs.rs
+++ b/crates/gateway/src/follow/backlogs.rs
@@ -82,7 +82,7 @@
     let mut connected = None;
     while let Ok(update) = updates.recv().await {
         match send_once(connected.take(), address, update).await {
-            Ok(leader) => connected = Some(leader),
+            Ok(peer) => connected = Some(peer),
             Err(err) => {
                 log::debug!(router:% = address, why:% = err; "backlog: cannot send to a router");
                 task::sleep(RETRY_DELAY).await;
@@ -96,12 +96,12 @@
     address: SocketAddr,
     update: BacklogMessage,
 ) -> Result<Upstream, PeerError> {
-    let leader = match connected {
-        Some(leader) => leader,
+    let peer = match connected {
+        Some(peer) => peer,
         None => Upstream::connect(address, CALL_TIMEOUT).await?,
     };
-    leader.backlog(update, CALL_TIMEOUT).await?;
-    Ok(leader)
+    peer.backlog(update, CALL_TIMEOUT).await?;
+    Ok(peer)
 }
 
 /// Applies an update from another router.
@@ -130,6 +130,6 @@
     }
 }
 
-fn age(told: Duration, now: Duration) -> u64 {
-    now.saturating_sub(told).as_millis() as u64
+fn age(reported_at: Duration, now: Duration) -> u64 {
+    now.saturating_sub(reported_at).as_millis() as u64
 }
--- a/crates/gateway/src/follow/documents.rs
+++ b/crates/gateway/src/follow/documents.rs
@@ -18,6 +18,6 @@
 pub async fn newest(shared: &Shared) -> Option<Revision> {
     let request = |other: Upstream| async move { other.document(CALL_TIMEOUT).await };
     let unanswered = "configuration: cannot get the revision of a router";
-    let told = ask_others(shared, unanswered, request).await;
-    told.into_iter().flatten().max()
+    let revisions = ask_others(shared, unanswered, request).await;
+    revisions.into_iter().flatten().max()
 }
--- a/crates/gateway/src/follow/loads.rs
+++ b/crates/gateway/src/follow/loads.rs
@@ -13,14 +13,14 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Exchanges reports with the followed router. `last` is the time of the previous exchange.
-pub async fn exchange(shared: &Shared, leader: &Upstream, last: Duration) -> Result<(), PeerError> {
+pub async fn exchange(shared: &Shared, upstream: &Upstream, last: Duration) -> Result<(), PeerError> {
     let now = shared.clock.now();
     let own = shared.fleet().loads_since(last, true);
     let request = LoadExchange {
         last_ms: now.saturating_sub(last).as_millis() as u64,
         own: own.iter().map(|report| load_message(report, now)).collect(),
     };
-    let response = leader.loads(request, CALL_TIMEOUT).await?;
+    let response = upstream.loads(request, CALL_TIMEOUT).await?;
     apply(shared, &response);
     Ok(())
 }
--- a/crates/gateway/src/follow/members.rs
+++ b/crates/gateway/src/follow/members.rs
@@ -108,19 +108,19 @@
     }
 
     /// The routers to follow, best first; empty if this router watches the store directly.
-    pub fn leaders(&self, own: &VmId, domain: &DomainId) -> Vec<(VmId, SocketAddr)> {
+    pub fn upstreams(&self, own: &VmId, domain: &DomainId) -> Vec<(VmId, SocketAddr)> {
         let link_speeds: Vec<(VmId, f64)> = self
             .same_domain
             .iter()
             .map(|(vm, member)| (vm.clone(), member.link))
             .collect();
         let followed = eligible_upstreams(&link_speeds);
-        let UpdateSource::Routers(leaders) = update_source(own, domain, &followed) else {
+        let UpdateSource::Routers(upstreams) = update_source(own, domain, &followed) else {
             return Vec::new();
         };
         let member = |vm: &VmId| self.same_domain.iter().find(|(known, _)| known == vm);
-        let leaders = leaders.into_iter().filter_map(member);
-        leaders.map(|(vm, member)| (vm.clone(), member.address)).collect()
+        let upstreams = upstreams.into_iter().filter_map(member);
+        upstreams.map(|(vm, member)| (vm.clone(), member.address)).collect()
     }
 }
 
@@ -151,7 +151,7 @@
             return;
         }
         if timeout(pause, shared.restored_signal.1.recv()).await.is_ok() {
-            // The lease may be gone, or its id may now belong to another lease.
+            // The lease may no longer exist, or its id may now belong to another lease.
             log::info!("store: writing this router's entry again");
             lease = None;
         }
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -64,7 +64,7 @@
 /// How much longer another router's response may take to begin if the data is almost too old.
 const MIN_FOLLOW_GRACE: Duration = Duration::from_millis(200);
 /// How long an abandoned router is not tried again.
-const LEADER_BACKOFF: Duration = Duration::from_secs(3);
+const UPSTREAM_BACKOFF: Duration = Duration::from_secs(3);
 /// Longest wait for a page of the first read to begin.
 const READ_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// How long a router that has read all items waits before it follows another one. Routers that start together have
@@ -94,7 +94,7 @@
     shared: Arc<Shared>,
     address: SocketAddr,
     client: Client,
-    leader: Option<(VmId, Upstream)>,
+    upstream: Option<(VmId, Upstream)>,
     /// Abandoned routers, and when each may be tried again.
     backoff: HashMap<VmId, Duration>,
     /// Pause before the next watch, whose wait is shortened by it.
@@ -114,7 +114,7 @@
             shared,
             address,
             client,
-            leader: None,
+            upstream: None,
             backoff: HashMap::new(),
             pause: Duration::ZERO,
             due: Duration::ZERO,
@@ -135,8 +135,8 @@
         if remaining.is_zero() {
             return self.watch(known, Duration::ZERO, UNREACHABLE_GRACE).await;
         }
-        match self.next_leader().await {
-            Some((vm, leader)) => self.follow_leader(vm, leader, known).await,
+        match self.next_upstream().await {
+            Some((vm, upstream)) => self.follow_upstream(vm, upstream, known).await,
             None => {
                 let wait = (WATCH_WAIT - std::mem::take(&mut self.pause)).min(self.remaining_freshness());
                 self.watch(known, wait, WATCH_GRACE).await?;
@@ -169,7 +169,7 @@
     }
 
     /// The router to follow now; none if this router watches the store directly.
-    async fn next_leader(&mut self) -> Option<(VmId, Upstream)> {
+    async fn next_upstream(&mut self) -> Option<(VmId, Upstream)> {
         let settings = self.shared.settings.load_full();
         let members = Members::read(&self.shared);
         {
@@ -177,32 +177,32 @@
             fleet.set_router_count(members.count());
             fleet.set_routers(&settings.vm, &members.ids());
         }
-        let leaders = members.leaders(&settings.vm, &settings.domain);
-        self.shared.watches_store.store(leaders.is_empty(), Ordering::SeqCst);
+        let upstreams = members.upstreams(&settings.vm, &settings.domain);
+        self.shared.watches_store.store(upstreams.is_empty(), Ordering::SeqCst);
         let now = self.shared.clock.now();
         self.backoff.retain(|_, until| now < *until);
-        let leaders = leaders.into_iter().filter(|(vm, _)| !self.backoff.contains_key(vm));
-        for (vm, address) in leaders.collect::<Vec<_>>() {
-            if let Some(kept) = self.leader.take_if(|(known, _)| *known == vm) {
+        let upstreams = upstreams.into_iter().filter(|(vm, _)| !self.backoff.contains_key(vm));
+        for (vm, address) in upstreams.collect::<Vec<_>>() {
+            if let Some(kept) = self.upstream.take_if(|(known, _)| *known == vm) {
                 return Some(kept);
             }
             match Upstream::connect(address, FOLLOW_CONNECT_TIMEOUT).await {
-                Ok(leader) => {
+                Ok(upstream) => {
                     log::info!(router = vm.as_str(); "store: following another router");
-                    return Some((vm, leader));
+                    return Some((vm, upstream));
                 }
-                Err(err) => self.drop_leader(vm, &err.to_string()),
+                Err(err) => self.drop_upstream(vm, &err.to_string()),
             }
         }
         None
     }
 
-    fn drop_leader(&mut self, vm: VmId, why: &str) {
+    fn drop_upstream(&mut self, vm: VmId, why: &str) {
         log::warn!(router = vm.as_str(), why = why; "store: stopped following a router");
-        self.backoff.insert(vm, self.shared.clock.now() + LEADER_BACKOFF);
+        self.backoff.insert(vm, self.shared.clock.now() + UPSTREAM_BACKOFF);
     }
 
-    async fn follow_leader(&mut self, vm: VmId, leader: Upstream, known: Position) {
+    async fn follow_upstream(&mut self, vm: VmId, upstream: Upstream, known: Position) {
         let sent = self.shared.clock.now();
         let remaining = self.remaining_freshness();
         let wait = remaining
@@ -215,52 +215,52 @@
             unpacks: true,
         };
         let grace = remaining.saturating_sub(wait).clamp(MIN_FOLLOW_GRACE, FOLLOW_GRACE);
-        let followed = leader.follow(follow, grace).await;
-        self.count("follow", followed.is_ok());
-        let followed = match followed {
-            Ok(followed) => followed,
+        let response = upstream.follow(follow, grace).await;
+        self.count("follow", response.is_ok());
+        let response = match response {
+            Ok(response) => response,
             Err(err) => {
                 if let PeerError::ResponseTimeout(received) = err {
                     self.count_abandoned("router", received);
                 }
-                return self.drop_leader(vm, &err.to_string());
+                return self.drop_upstream(vm, &err.to_string());
             }
         };
         let now = self.shared.clock.now();
         // The request took some time to arrive, and then waited there. The response was made no earlier than this.
-        let answered_at = sent + Duration::from_millis(followed.waited_ms);
-        let uptime = followed.answers.and_then(|span| uptime::span(span, answered_at, now));
+        let answered_at = sent + Duration::from_millis(response.waited_ms);
+        let uptime = response.answers.and_then(|span| uptime::span(span, answered_at, now));
         // A slow connection does not make the other router's data old, so its age at the time of the response counts.
         let Some(uptime) = uptime.filter(|uptime| answered_at < uptime.until + MAX_STORE_AGE) else {
-            return self.drop_leader(vm, "it cannot reach the store");
+            return self.drop_upstream(vm, "it cannot reach the store");
         };
-        let position = followed.revision.map(|revision| Position {
-            era: followed.era.unwrap_or(known.era),
+        let position = response.revision.map(|revision| Position {
+            era: response.era.unwrap_or(known.era),
             revision,
         });
         let Some(position) = position.filter(|position| *position >= known) else {
-            return self.drop_leader(vm, "its data is older");
+            return self.drop_upstream(vm, "its data is older");
         };
-        let age = followed.age_ms.map(Duration::from_millis);
+        let age = response.age_ms.map(Duration::from_millis);
         let confirmed = age.and_then(|age| answered_at.checked_sub(age));
-        match self.send_followed(followed, position, confirmed, uptime).await {
-            Ok(()) => self.leader = Some((vm, leader)),
-            Err(err) => self.drop_leader(vm, &err.to_string()),
+        match self.send_followed(response, position, confirmed, uptime).await {
+            Ok(()) => self.upstream = Some((vm, upstream)),
+            Err(err) => self.drop_upstream(vm, &err.to_string()),
         }
     }
 
     async fn send_followed(
         &self,
-        followed: FollowResponse,
+        response: FollowResponse,
         position: Position,
         confirmed: Option<Duration>,
         uptime: Span,
     ) -> Result<(), PeerError> {
-        let items = followed.items.into_iter().map(relay::from_relay_item);
+        let items = response.items.into_iter().map(relay::from_relay_item);
         let mut items = items.collect::<Result<Vec<Item>, PeerError>>()?;
         // In key order, the order lease would precede the previous holder's load list.
         items.sort_by_key(|item| item.revision);
-        let event = if followed.whole {
+        let event = if response.whole {
             Event::Snapshot {
                 items,
                 position,
@@ -268,7 +268,7 @@
                 uptime,
             }
         } else {
-            let removed = followed.removed.into_iter();
+            let removed = response.removed.into_iter();
             let revision = position.revision;
             let removed = removed.map(|key| Change::Removed { key, revision });
             Event::Changes {
--- a/crates/gateway/src/follow/prefixes.rs
+++ b/crates/gateway/src/follow/prefixes.rs
@@ -41,9 +41,9 @@
 }
 
 /// A connection to the followed router.
-struct LeaderConnection {
+struct UpstreamConnection {
     vm: VmId,
-    leader: Upstream,
+    upstream: Upstream,
     /// When the last call was made.
     last: Duration,
 }
@@ -51,9 +51,9 @@
 /// Follows the prefix cache stores until the process exits.
 pub async fn follow_prefixes(shared: Arc<Shared>) {
     let watched = WatchedStores::default();
-    let mut leader = None;
+    let mut upstream = None;
     loop {
-        let interval = if leader.is_some() {
+        let interval = if upstream.is_some() {
             FOLLOW_INTERVAL
         } else {
             POLL_INTERVAL
@@ -64,7 +64,7 @@
         shared.prefixes().set_addresses(&stores);
         shared.relay.keep_prefixes(&stores);
         if !shared.watches_store.load(Ordering::SeqCst) {
-            follow_leader(&shared, &mut leader).await;
+            follow_upstream(&shared, &mut upstream).await;
             continue;
         }
         for store in stores {
@@ -137,21 +137,21 @@
 }
 
 /// Reads events from the first router that responds, and keeps that connection.
-async fn follow_leader(shared: &Shared, leader_connection: &mut Option<LeaderConnection>) {
+async fn follow_upstream(shared: &Shared, upstream_connection: &mut Option<UpstreamConnection>) {
     let settings = shared.settings.load_full();
-    let leaders = Members::read(shared).leaders(&settings.vm, &settings.domain);
-    for (vm, address) in leaders {
-        let connection = leader_connection.take().filter(|connection| connection.vm == vm);
+    let upstreams = Members::read(shared).upstreams(&settings.vm, &settings.domain);
+    for (vm, address) in upstreams {
+        let connection = upstream_connection.take().filter(|connection| connection.vm == vm);
         let last = connection
             .as_ref()
             .map(|connection| connection.last)
             .unwrap_or_default();
-        match ask_leader(shared, connection.map(|connection| connection.leader), address, last).await {
-            Ok((leader, pages, asked)) => {
-                *leader_connection = Some(LeaderConnection {
+        match call_upstream(shared, connection.map(|connection| connection.upstream), address, last).await {
+            Ok((upstream, pages, requested_at)) => {
+                *upstream_connection = Some(UpstreamConnection {
                     vm,
-                    leader,
-                    last: asked,
+                    upstream,
+                    last: requested_at,
                 });
                 let now = shared.clock.now();
                 for page in pages {
@@ -166,23 +166,23 @@
     }
 }
 
-async fn ask_leader(
+async fn call_upstream(
     shared: &Shared,
     connected: Option<Upstream>,
     address: SocketAddr,
     last: Duration,
 ) -> Result<(Upstream, Vec<PrefixPage>, Duration), PeerError> {
-    let leader = match connected {
-        Some(leader) => leader,
+    let upstream = match connected {
+        Some(upstream) => upstream,
         None => Upstream::connect(address, FOLLOW_TIMEOUT).await?,
     };
-    let asked = shared.clock.now();
-    loads::exchange(shared, &leader, last).await?;
+    let requested_at = shared.clock.now();
+    loads::exchange(shared, &upstream, last).await?;
     let follow = positions(shared);
     let pages = if follow.is_empty() {
         Vec::new()
     } else {
-        leader.prefixes(follow, FOLLOW_TIMEOUT).await?
+        upstream.prefixes(follow, FOLLOW_TIMEOUT).await?
     };
-    Ok((leader, pages, asked))
+    Ok((upstream, pages, requested_at))
 }
--- a/crates/gateway/src/follow/relay.rs
+++ b/crates/gateway/src/follow/relay.rs
@@ -127,8 +127,8 @@
         let newer = kept.events.iter().filter(|event| gap || event.number >= follow.next);
         // Only the last event of each part matters.
         let states: BTreeMap<PartKey, bool> = newer.map(|event| (event.part, event.held)).collect();
-        let parts = |wanted: bool| {
-            let parts = states.iter().filter(move |(_, held)| **held == wanted);
+        let parts = |is_held: bool| {
+            let parts = states.iter().filter(move |(_, held)| **held == is_held);
             parts.map(|(part, _)| *part).collect()
         };
         Some(PrefixPage {
@@ -277,11 +277,11 @@
             part: *part,
         }
     };
-    let gone = page.gone.iter().map(event(false));
+    let removed = page.gone.iter().map(event(false));
     PrefixEvents {
         incarnation: page.incarnation,
         next: page.next,
         gap: false,
-        events: gone.chain(page.held.iter().map(event(true))).collect(),
+        events: removed.chain(page.held.iter().map(event(true))).collect(),
     }
 }
--- a/crates/gateway/src/follow/uptime.rs
+++ b/crates/gateway/src/follow/uptime.rs
@@ -2,7 +2,7 @@
 //!
 //! After an interruption of a router's connection to the store, an endpoint's entry may be missing. If the store had an
 //! outage, the entry may have expired. If only this router, or the router it follows, was disconnected, the entry was
-//! removed on purpose. A router that the store answered throughout can tell these cases apart.
+//! deregistered. A router that the store answered throughout can tell these cases apart.
 
 use super::others::{CALL_TIMEOUT, ask_others};
 use crate::control::{Event, send};
@@ -44,17 +44,17 @@
 }
 
 /// Converts a response that was made between two times into the shortest period that it can mean.
-pub fn span(told: UptimeMessage, answered_at: Duration, now: Duration) -> Option<Span> {
-    let from = now.saturating_sub(Duration::from_millis(told.from_ms));
-    let until = answered_at.checked_sub(Duration::from_millis(told.until_ms))?;
+pub fn span(message: UptimeMessage, answered_at: Duration, now: Duration) -> Option<Span> {
+    let from = now.saturating_sub(Duration::from_millis(message.from_ms));
+    let until = answered_at.checked_sub(Duration::from_millis(message.until_ms))?;
     (from <= until).then_some(Span { from, until })
 }
 
 async fn ask(shared: &Shared) {
     let sent = shared.clock.now();
     let request = |other: Upstream| async move {
-        let told = other.uptime(CALL_TIMEOUT).await?;
-        if let Some(span) = told.and_then(|told| span(told, sent, shared.clock.now())) {
+        let message = other.uptime(CALL_TIMEOUT).await?;
+        if let Some(span) = message.and_then(|message| span(message, sent, shared.clock.now())) {
             send(shared, Event::PeerUptime(span)).await;
         }
         Ok(())
--- a/crates/gateway/src/follow/weight_ages.rs
+++ b/crates/gateway/src/follow/weight_ages.rs
@@ -60,16 +60,16 @@
     let now = shared.clock.now();
     let transit = now.saturating_sub(sent);
     let mut fleet = shared.fleet();
-    for told in ages {
+    for message in ages {
         let age = TargetAge {
-            lower: Duration::from_millis(told.lower_ms),
-            upper: told.upper_ms.map(|most| Duration::from_millis(most) + transit),
+            lower: Duration::from_millis(message.lower_ms),
+            upper: message.upper_ms.map(|upper| Duration::from_millis(upper) + transit),
         };
-        if fleet.merge_target_age(&told.model, told.weights, age, now) {
+        if fleet.merge_target_age(&message.model, message.weights, age, now) {
             log::info!(
-                model = told.model.as_str(),
-                weights = told.weights,
-                least_ms = told.lower_ms,
+                model = message.model.as_str(),
+                weights = message.weights,
+                least_ms = message.lower_ms,
                 most_ms = age.upper.unwrap_or_default().as_millis() as u64;
                 "weights: age received from another router"
             );
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -81,7 +81,7 @@
     started: impl FnOnce(Addresses),
     signals: Receiver<Signal>,
 ) -> Result<(), RunError> {
-    let callers = listen(settings.callers).await?;
+    let clients = listen(settings.callers).await?;
     let readiness = listen(settings.readiness).await?;
     let peers = listen(settings.peers).await?;
     let metrics = match settings.metrics {
@@ -89,13 +89,13 @@
         None => None,
     };
     let addresses = Addresses {
-        callers: bound_address(&callers, settings.callers),
+        callers: bound_address(&clients, settings.callers),
         readiness: bound_address(&readiness, settings.readiness),
         peers: bound_address(&peers, settings.peers),
         metrics: metrics
             .as_ref()
             .zip(settings.metrics)
-            .map(|(listener, wanted)| bound_address(listener, wanted)),
+            .map(|(listener, configured)| bound_address(listener, configured)),
     };
     log::info!(vm = settings.vm.as_str(), domain = settings.domain.as_str(), store:% = settings.store; "start");
     let (sender, events) = async_channel::bounded(EVENT_QUEUE);
@@ -103,7 +103,7 @@
     start_control(&shared, events)?;
     task::spawn(serve_followers(peers, handlers(&shared)));
     task::spawn(register(shared.clone(), addresses.peers));
-    task::spawn(serve_clients(shared.clone(), callers));
+    task::spawn(serve_clients(shared.clone(), clients));
     let state = shared.clone();
     task::spawn(serve_page(readiness, move || readiness_page(&state)));
     if let Some(listener) = metrics {
@@ -121,8 +121,8 @@
         .map_err(|err| RunError::Listen(address, err))
 }
 
-fn bound_address(listener: &TcpListener, wanted: SocketAddr) -> SocketAddr {
-    listener.local_addr().unwrap_or(wanted)
+fn bound_address(listener: &TcpListener, configured: SocketAddr) -> SocketAddr {
+    listener.local_addr().unwrap_or(configured)
 }
 
 fn readiness_page(shared: &Shared) -> (u16, Vec<u8>) {
--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -35,7 +35,7 @@
     /// A stream that broke after the client had received a part of it.
     Interrupted(&'static str),
     /// The client closed the connection.
-    ClientGone,
+    ClientDisconnected,
     /// No response. The state tells whether the request may have been executed.
     Refused(Cause, RequestState),
 }
@@ -241,7 +241,7 @@
                 in_flight.outcome(Outcome::ConnectFailed);
                 return AttemptResult::Failed(Failure::NotSent);
             }
-            WaitOutcome::ClientGone => return AttemptResult::Ended(self.client_gone()),
+            WaitOutcome::ClientDisconnected => return AttemptResult::Ended(self.client_disconnected()),
             WaitOutcome::TimedOut => return AttemptResult::Ended(self.give_up(Cause::Deadline)),
         };
         if self.weights_outdated(picked) {
@@ -272,9 +272,9 @@
                 self.lifecycle.on(RequestEvent::SendFailed);
                 AttemptResult::Failed(Failure::Broken)
             }
-            WaitOutcome::ClientGone => {
+            WaitOutcome::ClientDisconnected => {
                 self.record_wait(in_flight.began);
-                AttemptResult::Ended(self.client_gone())
+                AttemptResult::Ended(self.client_disconnected())
             }
             WaitOutcome::TimedOut => {
                 self.record_wait(in_flight.began);
@@ -498,7 +498,7 @@
         let body = match wait(&conn, self.remaining(), reading).await {
             WaitOutcome::Done(Ok(body)) => body,
             WaitOutcome::Done(Err(_)) => return self.response_broken(in_flight),
-            WaitOutcome::ClientGone => return AttemptResult::Ended(self.client_gone()),
+            WaitOutcome::ClientDisconnected => return AttemptResult::Ended(self.client_disconnected()),
             WaitOutcome::TimedOut => return AttemptResult::Ended(self.give_up(Cause::Deadline)),
         };
         let status = answer.head.status;
@@ -524,9 +524,9 @@
     }
 
     /// The client closed the connection. There is nobody to respond to, but the request's state must be ended.
-    pub(super) fn client_gone(&mut self) -> RequestOutcome {
+    pub(super) fn client_disconnected(&mut self) -> RequestOutcome {
         self.lifecycle.on(RequestEvent::GiveUp);
-        RequestOutcome::ClientGone
+        RequestOutcome::ClientDisconnected
     }
 }
 
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -110,7 +110,7 @@
             record.end(shared, 200, why);
             ConnectionAction::Abort
         }
-        RequestOutcome::ClientGone => {
+        RequestOutcome::ClientDisconnected => {
             record.end(shared, 0, "caller_gone");
             ConnectionAction::Abort
         }
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -96,7 +96,7 @@
         }
         let total = shared.clock.now().saturating_sub(self.arrived);
         shared.metrics.requests.with_label_values(&[&self.route, outcome]).inc();
-        let (weights, behind) = self.weights.map_or((0, Staleness::Current), |weights| weights);
+        let (weights, staleness) = self.weights.map_or((0, Staleness::Current), |weights| weights);
         log::info!(
             id = self.id.as_str(),
             route = self.route.as_str(),
@@ -111,7 +111,7 @@
             read = self.prompt.read,
             prefix = format!("{:x}", self.prompt.prefix).as_str(),
             weights = weights,
-            behind_ms = behind_ms(behind),
+            behind_ms = staleness_ms(staleness),
             revision = self.revision.0,
             age_ms = self.age.unwrap_or_default().as_millis() as u64;
             "request"
@@ -120,8 +120,8 @@
 }
 
 /// How long weights have been outdated, in milliseconds; -1 if that is unknown.
-fn behind_ms(behind: Staleness) -> i64 {
-    match behind {
+fn staleness_ms(staleness: Staleness) -> i64 {
+    match staleness {
         Staleness::Current => 0,
         Staleness::Stale(time) => time.as_millis() as i64,
         Staleness::Unknown => -1,
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -24,7 +24,7 @@
 #[derive(PartialEq, Eq)]
 enum WriteResult {
     Done,
-    ClientGone,
+    ClientDisconnected,
 }
 
 impl<'r, 'a, 'f> StreamRelay<'r, 'a, 'f> {
@@ -64,15 +64,15 @@
                     started = true;
                     self.first_event();
                     self.attempts.record.part(self.attempts.shared);
-                    if self.write(&answer, &whole.bytes, false).await == WriteResult::ClientGone {
-                        return AttemptResult::Ended(self.attempts.client_gone());
+                    if self.write(&answer, &whole.bytes, false).await == WriteResult::ClientDisconnected {
+                        return AttemptResult::Ended(self.attempts.client_disconnected());
                     }
                 }
                 WaitOutcome::Done(Ok(None)) => return self.finish(&answer, source, info).await,
                 WaitOutcome::Done(Err(_)) => return self.attempts.response_broken(self.in_flight),
-                WaitOutcome::ClientGone => {
+                WaitOutcome::ClientDisconnected => {
                     self.attempts.record_wait(self.in_flight.began);
-                    return AttemptResult::Ended(self.attempts.client_gone());
+                    return AttemptResult::Ended(self.attempts.client_disconnected());
                 }
                 WaitOutcome::TimedOut if self.attempts.remaining().is_zero() => {
                     return AttemptResult::Ended(self.attempts.give_up(Cause::Deadline));
@@ -108,8 +108,8 @@
     /// Handles the end of the endpoint's response.
     async fn finish(mut self, answer: &Answer, source: Source, info: &ResponseInfo) -> AttemptResult {
         let rest = self.attempts.events.finish();
-        if self.write(answer, &rest, true).await == WriteResult::ClientGone {
-            return AttemptResult::Ended(self.attempts.client_gone());
+        if self.write(answer, &rest, true).await == WriteResult::ClientDisconnected {
+            return AttemptResult::Ended(self.attempts.client_disconnected());
         }
         self.attempts.lifecycle.on(RequestEvent::AnswerComplete);
         if answer.clean && answer.head.keeps() {
@@ -139,6 +139,6 @@
         if matches!(written, Ok(Ok(()))) {
             return WriteResult::Done;
         }
-        WriteResult::ClientGone
+        WriteResult::ClientDisconnected
     }
 }
--- a/crates/gateway/src/serve/wait.rs
+++ b/crates/gateway/src/serve/wait.rs
@@ -10,7 +10,7 @@
 /// How a wait ended.
 pub(super) enum WaitOutcome<T> {
     Done(T),
-    ClientGone,
+    ClientDisconnected,
     TimedOut,
 }
 
@@ -20,11 +20,11 @@
 
 /// Waits until `future` completes, the client closes its connection, or the time is over.
 pub(super) async fn wait<T>(conn: &Conn, within: Duration, future: impl Future<Output = T>) -> WaitOutcome<T> {
-    let gone = pin!(conn.peer_gone());
+    let disconnected = pin!(conn.peer_gone());
     let future = pin!(future);
-    match timeout(within, select(future, gone)).await {
+    match timeout(within, select(future, disconnected)).await {
         Ok(Either::Left((done, _))) => WaitOutcome::Done(done),
-        Ok(Either::Right(_)) => WaitOutcome::ClientGone,
+        Ok(Either::Right(_)) => WaitOutcome::ClientDisconnected,
         Err(_) => WaitOutcome::TimedOut,
     }
 }
