--- a/crates/admission/examples/admission_scenarios.rs
+++ b/crates/admission/examples/admission_scenarios.rs
@@ -1,4 +1,4 @@
-//! Prints the results of callers in each scenario, with the mechanism on and off. Run with `--release`.
+//! Prints the results of clients in each scenario, with the mechanism on and off. Run with `--release`.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
--- a/crates/admission/src/endpoint_limit.rs
+++ b/crates/admission/src/endpoint_limit.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: an engine slows down, shrinks its cache or is shared with others while routers keep sending. Without
 //! an adaptive limit requests queue inside the endpoint, where fairness, priorities and deadlines do not apply. Time to
-//! first token grows for all callers, and work of cancelled callers is still done. The symptom is a time to first token
+//! first token grows for all clients, and work of cancelled clients is still done. The symptom is a time to first token
 //! that is a multiple of the usual one for prompts of equal length, while the routers' queues are empty.
 //!
 //! The limit grows by one per round (as many answers as the limit) while the smoothed ratio of time to first token to
--- a/crates/admission/src/job.rs
+++ b/crates/admission/src/job.rs
@@ -10,14 +10,14 @@
 pub struct Tokens {
     /// Prompt tokens that are not cached.
     pub uncached: u64,
-    /// Output tokens. For an offered request, the maximum that the caller allows; the share that answers use is learnt.
+    /// Output tokens. For an offered request, the maximum that the client allows; the share that answers use is learnt.
     pub output: u64,
 }
 
 /// A request for one slot of the pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
-    /// Workspace of the caller.
+    /// Workspace of the client.
     pub workspace: WorkspaceId,
     /// The workspace's weight in fair sharing, 1 to 1000.
     pub weight: u32,
@@ -25,7 +25,7 @@
     pub priority: Priority,
     /// Tokens, from which the slot time is estimated.
     pub tokens: Tokens,
-    /// When the caller stops waiting for the complete answer, on the clock of `now`.
+    /// When the client stops waiting for the complete answer, on the clock of `now`.
     pub deadline: Option<Duration>,
 }
 
--- a/crates/admission/src/output_model.rs
+++ b/crates/admission/src/output_model.rs
@@ -1,6 +1,6 @@
-//! Expected output length, learnt from the lengths that callers allow and use.
+//! Expected output length, learnt from the lengths that clients allow and use.
 //!
-//! Load pattern: callers allow thousands of tokens and use some dozens, or state no maximum and get the default.
+//! Load pattern: clients allow thousands of tokens and use some dozens, or state no maximum and get the default.
 //! Without this model the allowed length is taken as the expected one. Jobs then look several times as long as they
 //! are, the queue looks full while slots are idle, and jobs with short deadlines are refused although they would end in
 //! time. The symptom is refusals for the deadline at a load well below the pool's capacity.
--- a/crates/admission/src/pool/counts.rs
+++ b/crates/admission/src/pool/counts.rs
@@ -24,7 +24,7 @@
     ///
     /// # Panics
     ///
-    /// If a job was lost or counted twice. Its caller would get no answer or two, or its slot would never be freed.
+    /// If a job was lost or counted twice. Its client would get no answer or two, or its slot would never be freed.
     pub(super) fn check(&self, queued: usize, running: usize) {
         let ended = self.refused + self.expired + self.finished + self.cancelled;
         assert_eq!(
--- a/crates/admission/src/pool/feasibility.rs
+++ b/crates/admission/src/pool/feasibility.rs
@@ -14,7 +14,7 @@
 /// ten misses it. Shorter waits also give earlier first tokens, and a queue of seconds keeps the slots as busy as a
 /// longer one.
 const WAIT_SHARE: f64 = 0.5;
-/// Interval between checks of the waiting jobs. A refusal delayed by this much is still useful to a caller with seconds
+/// Interval between checks of the waiting jobs. A refusal delayed by this much is still useful to a client with seconds
 /// left. A check of 10,000 jobs in 250 workspaces takes about half a millisecond, a hundredth of a core.
 pub(super) const CHECK_PERIOD: Duration = Duration::from_millis(50);
 /// How long a pool without slots keeps its queue: restarting endpoints are back within about a second.
@@ -49,7 +49,7 @@
         deadline.saturating_sub(self.min_time(lane, tokens))
     }
 
-    /// Lower bound of the time that a job needs, from observed jobs only. A new router has no observations, and callers
+    /// Lower bound of the time that a job needs, from observed jobs only. A new router has no observations, and clients
     /// allow more output than they use. If its initial assumptions were applied to deadlines, it would refuse jobs that
     /// would end in time, and would never observe them.
     fn min_time(&self, lane: LaneIndex, tokens: Tokens) -> Duration {
--- a/crates/admission/src/pool/mod.rs
+++ b/crates/admission/src/pool/mod.rs
@@ -152,7 +152,7 @@
         Ok(())
     }
 
-    /// Ends a queued or running job whose caller disconnected. The slot of a running job is freed.
+    /// Ends a queued or running job whose client disconnected. The slot of a running job is freed.
     pub fn cancel(&mut self, ticket: Ticket) -> Cancelled {
         let cancelled = self.remove(ticket);
         if cancelled != Cancelled::Ended {
--- a/crates/admission/src/pool/running.rs
+++ b/crates/admission/src/pool/running.rs
@@ -15,7 +15,7 @@
     pub cost: u64,
     /// Short or long.
     pub length: Length,
-    /// Maximum output that the caller allows, tokens.
+    /// Maximum output that the client allows, tokens.
     pub allowed: u64,
     /// Time of its start.
     pub started_at: Duration,
--- a/crates/admission/src/queue/lane.rs
+++ b/crates/admission/src/queue/lane.rs
@@ -19,13 +19,13 @@
 pub struct QueuedJob {
     /// Expected slot time, microseconds.
     pub cost: u64,
-    /// Maximum output that the caller allows, tokens.
+    /// Maximum output that the client allows, tokens.
     pub allowed: u64,
     /// Urgency, 0 the most urgent.
     pub rank: u8,
     /// Short or long.
     pub length: Length,
-    /// Latest start that lets it end before the caller's deadline.
+    /// Latest start that lets it end before the client's deadline.
     pub latest_start: Option<Duration>,
 }
 
--- a/crates/admission/src/retry.rs
+++ b/crates/admission/src/retry.rs
@@ -60,9 +60,9 @@
     pub count: u32,
     /// Whether the call may run twice: it is idempotent, or the service executes its idempotency key at most once.
     pub repeatable: bool,
-    /// Whether the caller has received a part of the answer that another attempt cannot continue.
+    /// Whether the client has received a part of the answer that another attempt cannot continue.
     pub streamed: bool,
-    /// When the caller stops waiting, on the clock of `now`.
+    /// When the client stops waiting, on the clock of `now`.
     pub deadline: Option<Duration>,
     /// Expected duration of a new attempt.
     pub expected: Duration,
@@ -92,7 +92,7 @@
 pub enum RetryDecision {
     /// Try another endpoint after this backoff.
     Retry(Duration),
-    /// Return the failure to the caller.
+    /// Return the failure to the client.
     GiveUp(NoRetry),
 }
 
@@ -101,7 +101,7 @@
 pub enum NoRetry {
     /// The call may have run and must not run twice.
     NotRepeatable,
-    /// The caller has received a part of an answer that cannot be continued.
+    /// The client has received a part of an answer that cannot be continued.
     Streamed,
     /// The maximum number of attempts is reached.
     Attempts,
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Longest expected wait that a job may be admitted to. Applications show an answer to a person or control a fan: after
-/// ten seconds callers have given up or retried, and their place in the queue only delays others.
+/// ten seconds clients have given up or retried, and their place in the queue only delays others.
 const MAX_WAIT: Duration = Duration::from_secs(10);
 /// Maximum number of queued jobs. This bounds memory only (about 200 bytes a job); the effective limit is the expected
 /// wait.
--- a/crates/admission/src/share_limiter.rs
+++ b/crates/admission/src/share_limiter.rs
@@ -1,6 +1,6 @@
 //! Distributed rate limits of a workspace over all routers, without a coordinator.
 //!
-//! Load pattern: the callers of a workspace send more than its limit through several routers. If each router granted
+//! Load pattern: the clients of a workspace send more than its limit through several routers. If each router granted
 //! the whole limit, the workspace would get its limit as many times as there are routers. The symptom is a counted rate
 //! over all routers above the limit.
 //!
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// Fraction of a limit that is split evenly, so that a router grants the first requests of a workspace it has not
-/// served before. The rest follows demand. At a tenth, callers that all use one of 14 routers get 0.91 of their limit
+/// served before. The rest follows demand. At a tenth, clients that all use one of 14 routers get 0.91 of their limit
 /// there.
 const EVEN_FRACTION: f64 = 0.1;
 /// Maximum growth factor of a share from one exchange of demand to the next. A share below the even one may rise to it
--- a/crates/admission/tests/learnt.rs
+++ b/crates/admission/tests/learnt.rs
@@ -205,7 +205,7 @@
 }
 
 /// Engines answer within a fraction of a millisecond, plus scheduling delays of some milliseconds. When these delays
-/// were taken for queueing, the limit of each engine fell to one request, and callers were refused while engines were
+/// were taken for queueing, the limit of each engine fell to one request, and clients were refused while engines were
 /// idle.
 #[test]
 fn millisecond_jitter_does_not_shrink_the_limit() {
--- a/crates/admission/tests/queue_order.rs
+++ b/crates/admission/tests/queue_order.rs
@@ -215,8 +215,8 @@
     seeded().tests(10_000).quickcheck(same as fn(Vec<Step>, bool) -> bool);
 }
 
-/// Callers arrive, disconnect and retry while capacity changes. A ticket that ended twice would answer a caller twice
-/// or free a slot in use; one that never ended would leave a caller without an answer. The pool also checks its own
+/// Clients arrive, disconnect and retry while capacity changes. A ticket that ended twice would answer a client twice
+/// or free a slot in use; one that never ended would leave a client without an answer. The pool also checks its own
 /// counts at every step.
 #[test]
 fn every_ticket_ends_once() {
--- a/crates/admission/tests/refusals.rs
+++ b/crates/admission/tests/refusals.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// A wrong reason would mislead the caller about whether to retry, to allow more time or to ask for less.
+/// A wrong reason would mislead the client about whether to retry, to allow more time or to ask for less.
 #[test]
 fn refusals_name_their_reason() {
     let case = |name, slots, preceding, slack: Option<u64>, reason| {
@@ -115,8 +115,8 @@
     ]);
 }
 
-/// A refused caller retries after the returned delay, and no other job has arrived meanwhile. If it were refused again,
-/// the delay would be useless and callers would retry all the time.
+/// A refused client retries after the returned delay, and no other job has arrived meanwhile. If it were refused again,
+/// the delay would be useless and clients would retry all the time.
 #[test]
 fn retry_after_leads_to_admission() {
     for (preceding, slack) in [(20, 2_000), (40, 2_000), (40, 4_000), (60, 1_000)] {
@@ -163,7 +163,7 @@
     }
 }
 
-/// All endpoints leave permanently. Queued callers must not be held until their deadlines.
+/// All endpoints leave permanently. Queued clients must not be held until their deadlines.
 #[test]
 fn pool_without_endpoints_refuses_its_queue() {
     let (mut pool, _) = filled_pool(SLOTS, 20);
@@ -179,7 +179,7 @@
     assert_eq!((pool.next(later), pool.next_check()), (Next::Wait, None));
 }
 
-/// A router starts while callers allow 4,000 tokens within five seconds and use 25. The initial assumption for 4,000
+/// A router starts while clients allow 4,000 tokens within five seconds and use 25. The initial assumption for 4,000
 /// tokens is more than a minute. Applied to the deadline, it would refuse all of these jobs permanently. Jobs whose
 /// answers do use the allowed length are refused once that has been observed, and admitted again once it has changed.
 #[test]
--- a/crates/admission/tests/retries.rs
+++ b/crates/admission/tests/retries.rs
@@ -156,7 +156,7 @@
 }
 
 /// All endpoints fail most requests for some time. Three attempts for each request would triple the load on endpoints
-/// that fail under load. With the budget most failures are returned to the callers, and the endpoints can recover.
+/// that fail under load. With the budget most failures are returned to the clients, and the endpoints can recover.
 #[test]
 fn budget_bounds_retries() {
     let mut random = ChaCha8Rng::seed_from_u64(5);
--- a/crates/admission/tests/scenarios.rs
+++ b/crates/admission/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Results of callers under load, with and without the mechanism for it.
+//! Results of clients under load, with and without the mechanism for it.
 
 mod support;
 
@@ -70,7 +70,7 @@
 }
 
 /// Five times the pool's capacity arrives for four seconds. Without early refusals the queue grows to half a minute.
-/// During that time all callers, including later ones, get answers after they have stopped waiting.
+/// During that time all clients, including later ones, get answers after they have stopped waiting.
 #[test]
 fn burst_is_refused_early() {
     check(&[
@@ -116,7 +116,7 @@
 }
 
 /// One of four endpoints becomes ten times slower, or all are configured for eight times the requests that they can
-/// process. With fixed limits requests queue inside the endpoints, and callers wait there past their deadlines.
+/// process. With fixed limits requests queue inside the endpoints, and clients wait there past their deadlines.
 #[test]
 fn adaptive_limits_bound_endpoint_queues() {
     check(&[
@@ -129,7 +129,7 @@
 }
 
 /// Eight routers send to the same endpoints, and each knows only its own requests. With fixed limits they overload the
-/// endpoints several times, and callers wait there past their deadlines.
+/// endpoints several times, and clients wait there past their deadlines.
 #[test]
 fn adaptive_limits_with_many_routers() {
     check(&[
@@ -174,8 +174,8 @@
     ]);
 }
 
-/// Callers allow eight times the output that they use, at four fifths of the capacity and at twice the capacity. If all
-/// of it were expected, two of five callers would be refused for their deadlines by a pool with idle slots.
+/// Clients allow eight times the output that they use, at four fifths of the capacity and at twice the capacity. If all
+/// of it were expected, two of five clients would be refused for their deadlines by a pool with idle slots.
 #[test]
 fn high_estimates_do_not_cause_refusals() {
     check(&[
@@ -185,8 +185,8 @@
     ]);
 }
 
-/// One and a half times the capacity, a fifth of it urgent. Without ranks urgent callers are refused like all others.
-/// With ranks the other callers must still be served from the remaining capacity.
+/// One and a half times the capacity, a fifth of it urgent. Without ranks urgent clients are refused like all others.
+/// With ranks the other clients must still be served from the remaining capacity.
 #[test]
 fn urgent_jobs_are_served_first() {
     check(&[
--- a/crates/admission/tests/shares.rs
+++ b/crates/admission/tests/shares.rs
@@ -129,7 +129,7 @@
 }
 
 /// A workspace asks each router for four times its even share. If each router granted the whole limit, the workspace
-/// would get several times its limit. If shares were lost with routers, callers would be refused below the limit.
+/// would get several times its limit. If shares were lost with routers, clients would be refused below the limit.
 #[test]
 fn shares_sum_to_the_limit() {
     let even = |_, _| 40.0;
--- a/crates/admission/tests/support/load.rs
+++ b/crates/admission/tests/support/load.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Request of one caller.
+/// Request of one client.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
     pub at: Duration,
--- a/crates/admission/tests/support/mod.rs
+++ b/crates/admission/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Discrete-event simulation of a pool with its endpoints and callers, which records the result of each caller.
+//! Discrete-event simulation of a pool with its endpoints and clients, which records the result of each client.
 
 mod load;
 pub mod scenarios;
@@ -55,7 +55,7 @@
     pub routers: usize,
     /// Whether the endpoints' limits are adaptive.
     pub adaptive: bool,
-    /// Delay after which refused callers retry once, from their retry-after.
+    /// Delay after which refused clients retry once, from their retry-after.
     pub retry_policy: fn(Option<Duration>) -> Option<Duration>,
 }
 
@@ -71,19 +71,19 @@
     }
 }
 
-/// Result of a caller's request.
+/// Result of a client's request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum CallerResult {
+pub enum ClientResult {
     Answer { first: Duration },
     Late,
     Refused(Refusal),
 }
 
-/// A caller's request and its result.
+/// A client's request and its result.
 #[derive(Debug, Clone, Copy)]
 pub struct Record {
     pub arrival: Arrival,
-    pub result: CallerResult,
+    pub result: ClientResult,
     /// Time from the request to the end of its answer or refusal.
     pub after: Duration,
     /// Whether this is the retry of a refused request.
@@ -140,7 +140,7 @@
     assert_eq!(
         driver.records.len(),
         driver.requests.len(),
-        "a caller got no answer, or two"
+        "a client got no answer, or two"
     );
     assert!(driver.tickets.is_empty() && driver.running.is_empty());
     driver.records
@@ -254,7 +254,7 @@
 
     fn refuse(&mut self, index: usize, refusal: Refusal, now: Duration) {
         let (arrival, is_retry) = (self.requests[index].arrival, self.requests[index].is_retry);
-        self.end(index, CallerResult::Refused(refusal), now);
+        self.end(index, ClientResult::Refused(refusal), now);
         if let Some(after) = (self.setup.retry_policy)(refusal.retry_after)
             && !is_retry
         {
@@ -335,16 +335,16 @@
         self.end(
             index,
             if late {
-                CallerResult::Late
+                ClientResult::Late
             } else {
-                CallerResult::Answer { first }
+                ClientResult::Answer { first }
             },
             now,
         );
         self.work(endpoint, now);
     }
 
-    fn end(&mut self, index: usize, result: CallerResult, now: Duration) {
+    fn end(&mut self, index: usize, result: ClientResult, now: Duration) {
         let Request { arrival, is_retry, .. } = self.requests[index];
         self.records.push(Record {
             arrival,
@@ -360,7 +360,7 @@
     let (mut all, mut answered) = (0.0, 0.0);
     for one in records.iter().filter(|one| of(one)) {
         all += 1.0;
-        answered += f64::from(u8::from(matches!(one.result, CallerResult::Answer { .. })));
+        answered += f64::from(u8::from(matches!(one.result, ClientResult::Answer { .. })));
     }
     assert!(all > 0.0, "no such requests");
     answered / all
@@ -371,7 +371,7 @@
 pub fn goodput(records: &[Record], slots: u32, span: (f64, f64)) -> f64 {
     let within = |one: &&Record| {
         let end = (one.arrival.at + one.after).as_secs_f64();
-        matches!(one.result, CallerResult::Answer { .. }) && end >= span.0 && end < span.1
+        matches!(one.result, ClientResult::Answer { .. }) && end >= span.0 && end < span.1
     };
     let work: f64 = records
         .iter()
@@ -384,9 +384,9 @@
 /// Quantile of the time to first token of the answered requests, seconds.
 pub fn first_quantile(records: &[Record], quantile: f64, of: impl Fn(&Record) -> bool) -> f64 {
     let first = |one: &Record| match one.result {
-        CallerResult::Answer { first } => Some(first.as_secs_f64()),
-        CallerResult::Late => Some(one.after.as_secs_f64()),
-        CallerResult::Refused(_) => None,
+        ClientResult::Answer { first } => Some(first.as_secs_f64()),
+        ClientResult::Late => Some(one.after.as_secs_f64()),
+        ClientResult::Refused(_) => None,
     };
     let mut all: Vec<f64> = records.iter().filter(|one| of(one)).filter_map(first).collect();
     assert!(!all.is_empty(), "none answered");
--- a/crates/admission/tests/support/scenarios.rs
+++ b/crates/admission/tests/support/scenarios.rs
@@ -1,6 +1,6 @@
 //! Load scenarios, each run with a mechanism off and on.
 
-use super::{CallerResult, Endpoint, Record, Setup, Stream, arrivals, first_quantile, goodput, in_time, run, seconds};
+use super::{ClientResult, Endpoint, Record, Setup, Stream, arrivals, first_quantile, goodput, in_time, run, seconds};
 use admission::{Mechanisms, Settings};
 
 /// Slots of the pools. At half a second per request they serve 32 per second.
@@ -28,7 +28,7 @@
         let evaluated: Vec<Record> = records.iter().filter(warm).copied().collect();
         let mut figures = (self.measure)(&evaluated);
         figures.push(("goodput", goodput(&records, SLOTS, EVALUATED_SPAN)));
-        let waited = |one: &Record| matches!(one.result, CallerResult::Refused(_)) && !one.after.is_zero();
+        let waited = |one: &Record| matches!(one.result, ClientResult::Refused(_)) && !one.after.is_zero();
         figures.push(("refused after waiting", share(&evaluated, waited)));
         figures
     }
@@ -43,8 +43,8 @@
         measure,
     };
     vec![
-        scenario("burst", refuse, burst, all_callers),
-        scenario("burst, callers retry", callers_retry, burst, retries),
+        scenario("burst", refuse, burst, all_clients),
+        scenario("burst, callers retry", clients_retry, burst, retries),
         scenario("overloading workspace", fair, || overloading(5), other_workspaces),
         scenario(
             "urgent overloading workspace",
@@ -52,17 +52,17 @@
             || overloading(0),
             other_workspaces,
         ),
-        scenario("no overloading workspace", fair, || even(0.5), all_callers),
-        scenario("slow endpoint", slow_endpoint, || even(0.7), all_callers),
-        scenario("full endpoints", full_endpoints, || even(2.0), all_callers),
-        scenario("eight routers", eight_routers, || even(2.0), all_callers),
-        scenario("pool slows down", slow_pool, || even(0.8), all_callers),
+        scenario("no overloading workspace", fair, || even(0.5), all_clients),
+        scenario("slow endpoint", slow_endpoint, || even(0.7), all_clients),
+        scenario("full endpoints", full_endpoints, || even(2.0), all_clients),
+        scenario("eight routers", eight_routers, || even(2.0), all_clients),
+        scenario("pool slows down", slow_pool, || even(0.8), all_clients),
         scenario("long among short", lengths, long_short, by_length),
-        scenario("overload 2x", refuse, || even(2.0), all_callers),
-        scenario("overload 4x", refuse, || even(4.0), all_callers),
-        scenario("mixed lengths 4x", refuse, mixed, all_callers),
-        scenario("high estimates 0.8x", learn, || high(0.8), all_callers),
-        scenario("high estimates 2x", learn, || high(2.0), all_callers),
+        scenario("overload 2x", refuse, || even(2.0), all_clients),
+        scenario("overload 4x", refuse, || even(4.0), all_clients),
+        scenario("mixed lengths 4x", refuse, mixed, all_clients),
+        scenario("high estimates 0.8x", learn, || high(0.8), all_clients),
+        scenario("high estimates 2x", learn, || high(2.0), all_clients),
         scenario("priorities", priorities, ranks, by_rank),
     ]
 }
@@ -95,8 +95,8 @@
     pool(|all| all.learn = false, on)
 }
 
-/// Refused callers retry after the returned delay, or always after a second.
-fn callers_retry(on: bool) -> Setup {
+/// Refused clients retry after the returned delay, or always after a second.
+fn clients_retry(on: bool) -> Setup {
     let mut setup = pool(|_| (), true);
     setup.retry_policy = if on {
         |retry_after| retry_after
@@ -145,7 +145,7 @@
     (1..=8).map(|workspace| Stream::of(workspace, load * 4.0)).collect()
 }
 
-/// Callers allow eight times the actual output.
+/// Clients allow eight times the actual output.
 fn high(load: f64) -> Vec<Stream> {
     let mut streams = even(load);
     streams.iter_mut().for_each(|stream| stream.estimate_ratio = 8.0);
@@ -187,20 +187,20 @@
     records.iter().filter(|one| of(one)).count() as f64 / records.len() as f64
 }
 
-fn all_callers(records: &[Record]) -> Figures {
+fn all_clients(records: &[Record]) -> Figures {
     vec![
         ("in time", in_time(records, |_| true)),
-        ("late", share(records, |one| one.result == CallerResult::Late)),
+        ("late", share(records, |one| one.result == ClientResult::Late)),
         ("p99 first token, s", first_quantile(records, 0.99, |_| true)),
     ]
 }
 
 fn retries(records: &[Record]) -> Figures {
-    let callers = share(records, |one| !one.is_retry);
-    let answered = share(records, |one| matches!(one.result, CallerResult::Answer { .. }));
+    let clients = share(records, |one| !one.is_retry);
+    let answered = share(records, |one| matches!(one.result, ClientResult::Answer { .. }));
     let retried = in_time(records, |one| one.is_retry);
     vec![
-        ("callers served eventually", answered / callers),
+        ("callers served eventually", answered / clients),
         ("retries in time", retried),
     ]
 }
--- a/crates/placement/src/identity_hasher.rs
+++ b/crates/placement/src/identity_hasher.rs
@@ -1,6 +1,6 @@
 //! Pass-through hasher for keys that are already uniformly distributed: hashing them again would only cost time. Block
 //! hashes, level hashes and endpoint keys are outputs of xxh3. Endpoints and prompts come from the operators and
-//! callers of this system, who could at worst slow down their own lookups within the bounds of the maps.
+//! clients of this system, who could at worst slow down their own lookups within the bounds of the maps.
 
 use std::hash::{BuildHasherDefault, Hasher};
 
--- a/crates/placement/tests/chain.rs
+++ b/crates/placement/tests/chain.rs
@@ -32,7 +32,7 @@
 const OWN_SCOPE: [&str; 3] = ["granary", "advisor", "7"];
 
 // If hashes of another workspace or of older weights matched, the router would send the request to a cache that the
-// engine must not use, and the caller would wait for a prefill that was not expected.
+// engine must not use, and the client would wait for a prefill that was not expected.
 #[test]
 fn scopes_share_no_hashes() {
     let prompt = vec![b'p'; 64];
--- a/crates/placement/tests/choices.rs
+++ b/crates/placement/tests/choices.rs
@@ -22,7 +22,7 @@
 }
 
 // Fourteen routers start at the same time without state. If they did not agree, each prefix would be computed at many
-// endpoints, and callers would wait for prefills that were just done at another endpoint.
+// endpoints, and clients would wait for prefills that were just done at another endpoint.
 #[test]
 fn new_routers_agree_on_homes() {
     let candidates = candidates(12);
@@ -78,7 +78,7 @@
 }
 
 // The home of a hot prefix is busy. Spilling too early recomputes the prefix repeatedly. Spilling too late makes
-// callers wait in a queue of seconds while other endpoints are idle.
+// clients wait in a queue of seconds while other endpoints are idle.
 #[test]
 fn busy_home_spills_when_cheaper() {
     let cases = [
@@ -188,7 +188,7 @@
 }
 
 // A reply showed the prefix at an endpoint that is not its home. Then the engine crashes, its events have a gap, or
-// enough time passes for an eviction. If requests were still sent there, callers would wait for an unexpected prefill.
+// enough time passes for an eviction. If requests were still sent there, clients would wait for an unexpected prefill.
 #[test]
 fn outdated_index_entries_are_ignored() {
     let cases = [
--- a/crates/placement/tests/load.rs
+++ b/crates/placement/tests/load.rs
@@ -128,7 +128,7 @@
 }
 
 // Co-located load slows a runner down: its tokens take five times as long. It completes little and therefore appears
-// idle, and callers sent there wait several times as long. After it has recovered, it must get its share back.
+// idle, and clients sent there wait several times as long. After it has recovered, it must get its share back.
 #[test]
 fn slow_endpoint_is_detected_and_probed() {
     let mut view = LoadView::new(RATE);
