--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -112,8 +112,8 @@
 /// Share of the remaining time after which a repeatable request is tried on another endpoint. It leaves a slow endpoint
 /// time to respond, and the second endpoint still gets more than half of the time.
 const TIMEOUT_SHARE: f64 = 0.45;
-/// [`TIMEOUT_SHARE`] for streams. It is longer because an engine at capacity responds late, and another one would have
-/// to repeat the prefill that it has done by then.
+/// [`TIMEOUT_SHARE`] for streams. It is longer because an engine at capacity responds late, and another one would
+/// have to repeat the prefill already done.
 const STREAM_TIMEOUT_SHARE: f64 = 0.65;
 /// Time without an event after which a stream is resumed on another endpoint. Clients accept two seconds. An engine
 /// that preempts a request needs some hundred milliseconds to repeat its prefill.
@@ -237,8 +237,8 @@
 const RETRY_NOT_READY: Duration = Duration::from_millis(500);
 /// `Retry-After` if all endpoints are at capacity: within about this time a third of the running streams end.
 const RETRY_FULL: Duration = Duration::from_millis(300);
-/// `Retry-After` of a shed request: by then a queue of one second is drained, since only half as many requests enter
-/// it.
+/// `Retry-After` of a shed request: a queue of one second drains within this time, since only half as many requests
+/// enter it.
 const RETRY_OVERLOADED: Duration = Duration::from_millis(1_000);
 /// `Retry-After` if no endpoint could be reached: a crash is detected or the endpoint replaced within this time.
 const RETRY_NO_ENDPOINT: Duration = Duration::from_millis(250);
--- a/crates/dispatch/src/fleet/lanes.rs
+++ b/crates/dispatch/src/fleet/lanes.rs
@@ -26,7 +26,7 @@
 /// Smallest share of prompt tokens for which a kind of request gets a lane of its own.
 const MIN_SHARE: f64 = 0.05;
 /// Endpoints of the decode lane in proportion to its share of prompt tokens. Below 1 because its prompts are short,
-/// and so is the wait behind one of them.
+/// and so is the wait for one of them.
 const DECODE_LANE_WEIGHT: f64 = 0.7;
 /// Pools with fewer slots per endpoint are not split: long answers would fill the slots of a few endpoints long
 /// before their prompts use the endpoints' time.
--- a/crates/dispatch/src/fleet/targets.rs
+++ b/crates/dispatch/src/fleet/targets.rs
@@ -2,7 +2,7 @@
 //!
 //! The store holds the target weights, but not since when they are the target. A router that has just started finds
 //! the target there, and a router that was frozen or cut off learns of it late. If it counted from that moment, it
-//! would take the target for younger than it is, and clients would get answers on weights that were replaced long
+//! would underestimate the age of the target, and clients would get answers on weights that were replaced long
 //! before. So a target's age has two bounds: the target is at least as old as the first time any router saw it, and
 //! at most as old as the last read of the store without it. A missing upper bound counts as too old.
 
--- a/crates/dispatch/src/loading.rs
+++ b/crates/dispatch/src/loading.rs
@@ -11,7 +11,7 @@
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Orders in a row that are repeated without a pause. With half of them unanswered, seven in eight endpoints have
-/// answered by then.
+/// answered after these retries.
 const IMMEDIATE_RETRIES: u32 = 2;
 /// Longest pause before another order: about the time of a load, which may keep the endpoint busy.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_200);
--- a/crates/dispatch/src/pressure.rs
+++ b/crates/dispatch/src/pressure.rs
@@ -37,7 +37,7 @@
 }
 
 impl Pressure {
-    /// Records that a first event arrived `waited` after its request was sent, or has not arrived by then.
+    /// Records that a first event arrived `waited` after its request was sent, or has not arrived within that time.
     pub fn record(&mut self, waited: Duration, objective: Duration, now: Duration) {
         let factor = self.decay(now);
         let ratio = waited.as_secs_f64() / objective.as_secs_f64().max(f64::MIN_POSITIVE);
--- a/crates/dispatch/src/roster.rs
+++ b/crates/dispatch/src/roster.rs
@@ -235,7 +235,7 @@
     }
 
     /// Until when an endpoint with a missing entry stays in service, if the entry may have expired. `None` once the
-    /// store has been available for long enough: by then the endpoint was deregistered or failed to register again.
+    /// store has been available long enough to conclude that the endpoint was deregistered or failed to register again.
     fn retained_until(&self, now: Duration) -> Option<Duration> {
         let registered = self.uptime.last_break()?.until + REREGISTER_TIMEOUT;
         let overdue = self.uptime.overdue_at();
--- a/crates/dispatch/tests/fleet_weights.rs
+++ b/crates/dispatch/tests/fleet_weights.rs
@@ -181,7 +181,7 @@
 }
 
 /// Engines with old weights have queues of seconds. If all prompts moved off them at one moment, the queued requests
-/// would begin on weights that are too old by then. So prompts move off gradually, and the queues are short when the
+/// would begin on weights that have become too old. So prompts move off gradually, and the queues are short when the
 /// last ones do.
 #[test]
 fn prompts_move_off_stale_weights_gradually() {
--- a/crates/dispatch/tests/lease_model.rs
+++ b/crates/dispatch/tests/lease_model.rs
@@ -300,14 +300,14 @@
     /// Executes a call at the store, even if the router that sent it has restarted.
     fn arrive_at_store(&mut self, pending: Pending) {
         let router = pending.router;
-        let alive = self.routers[router].incarnation == pending.incarnation;
+        let is_current = self.routers[router].incarnation == pending.incarnation;
         let nothing = Message::Deliver(Event::Tick);
         match pending.message {
             Message::Grant { requested } => {
                 self.store.granted += 1;
                 let lease = self.store.granted;
                 self.store.leases.insert(lease, self.now + self.store.ttl);
-                if alive {
+                if is_current {
                     self.respond(
                         router,
                         requested,
@@ -318,7 +318,7 @@
             }
             Message::Claim { name, lease } => {
                 let done = self.store.claim(&name, lease);
-                if alive && !done {
+                if is_current && !done {
                     let requested = self.now;
                     self.respond(router, requested, Message::GiveUp { lease }, nothing);
                 }
@@ -336,7 +336,7 @@
                     requested: ms(requested),
                 };
                 let event = if renewable { renewed } else { Event::LeaseExpired(lease) };
-                if alive {
+                if is_current {
                     self.respond(router, requested, Message::Deliver(event), nothing);
                 }
             }
@@ -344,7 +344,7 @@
                 self.store.released.insert(lease);
                 self.store.remove(lease);
             }
-            Message::Read if alive => {
+            Message::Read if is_current => {
                 let (changed, key) = (self.store.changed, self.store.key.clone());
                 let requested = self.now;
                 self.respond(router, requested, Message::Key { changed, key }, Message::Read);
--- a/crates/dispatch/tests/target_ages.rs
+++ b/crates/dispatch/tests/target_ages.rs
@@ -191,7 +191,7 @@
 }
 
 /// A frozen router missed a target, because the store shows only the newest one. A peer's answer that the newest
-/// target is a second old must not allow engines that are two targets behind.
+/// target is a second old must not allow engines whose weights are two targets old.
 #[test]
 fn missed_target_counts_towards_staleness() {
     struct Case {
