--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -58,22 +58,15 @@
             registry.register(Box::new(gauge.clone())).expect("a unique name");
             gauge
         };
-        let restored = IntCounter::new(
-            "store_restored_total",
-            "Number of times the store was restored from a backup",
-        );
+        let restored = IntCounter::new("store_restored_total", "Times that the store came back from a copy");
         let restored = restored.expect("a valid counter");
         registry.register(Box::new(restored.clone())).expect("a unique name");
-        let options = HistogramOpts::new("first_byte_seconds", "Time to the first byte of the response, by route");
+        let options = HistogramOpts::new("first_byte_seconds", "Time until the answer's first byte, by route");
         let first = HistogramVec::new(options.buckets(FIRST_BOUNDS.into()), &["route"]).expect("a valid histogram");
         registry.register(Box::new(first.clone())).expect("a unique name");
         Self {
             requests: counters("requests_total", "Requests by route and outcome", &["route", "outcome"]),
-            attempts: counters(
-                "attempts_failed_total",
-                "Failed attempts by kind of failure",
-                &["failure"],
-            ),
+            attempts: counters("attempts_failed_total", "Failed attempts by how", &["failure"]),
             store: counters(
                 "store_calls_total",
                 "Calls to the store by kind and outcome",
@@ -81,20 +74,20 @@
             ),
             given_up: counters(
                 "given_up_bytes_total",
-                "Received bytes of responses that were abandoned, by sender",
+                "Bytes that had arrived of answers that were given up, by sender",
                 &["sender"],
             ),
             orders: counters("orders_total", "Orders to endpoints by outcome", &["outcome"]),
             connections: counters("connections_total", "Connections to endpoints by outcome", &["outcome"]),
             revision: gauge("config_revision", "Revision of the document in force"),
-            age: gauge(
-                "config_age_ms",
-                "Milliseconds since the document was last confirmed to be current",
-            ),
+            age: gauge("config_age_ms", "Age of the newest confirmation of the document"),
             endpoints: gauge("endpoints", "Endpoints in service"),
             missing: gauge("endpoints_missing", "Endpoints in service whose entries are missing"),
             restored,
-            rated: gauge("endpoints_rated", "Endpoints that currently limit their request rate"),
+            rated: gauge(
+                "endpoints_rated",
+                "Endpoints that name the requests a second that they take",
+            ),
             in_flight: gauge("requests_in_flight", "Requests in flight"),
             first,
             registry,
--- a/crates/router/src/client/refusal.rs
+++ b/crates/router/src/client/refusal.rs
@@ -11,73 +11,73 @@
 #[derive(Debug, Display)]
 pub enum Cause {
     /// The body is not a valid JSON request.
-    #[display("invalid request body: {_0}")]
+    #[display("the body cannot be read: {_0}")]
     Json(serde_json::Error),
     /// Both `prompt` and `messages` are missing.
     #[display("the body has neither `prompt` nor `messages`")]
     NoPrompt,
     /// A header has an invalid value.
-    #[display("the header {_0} has an invalid value")]
+    #[display("the header {_0} cannot be read")]
     Header(&'static str),
     /// The configuration has no priority of that name.
-    #[display("unknown priority {_0}")]
+    #[display("there is no priority {_0}")]
     Priority(String),
     /// The body exceeds the limit, bytes.
-    #[display("the request body exceeds {_0} bytes")]
+    #[display("the body is longer than {_0} bytes")]
     TooLarge(u64),
     /// The body was cut off, arrived too slowly or is shorter than declared.
-    #[display("the request body is incomplete")]
+    #[display("the body did not arrive whole")]
     BodyIncomplete,
     /// The bearer key is missing or unknown.
-    #[display("the bearer key is missing or unknown")]
+    #[display("a bearer key of a workspace is needed")]
     Unauthorized,
     /// The workspace has no such model.
-    #[display("this workspace has no model {_0}")]
+    #[display("there is no model {_0} for this workspace")]
     Model(ModelId),
     /// The workspace has no such service.
-    #[display("this workspace has no service {_0}")]
+    #[display("there is no service {_0} for this workspace")]
     Service(ServiceId),
     /// The service has no operation at this path.
     #[display("the service has no operation at this path")]
     Operation,
     /// Unknown path.
-    #[display("unknown path")]
+    #[display("there is nothing at this path")]
     NoPath,
     /// The path does not support the method.
-    #[display("this path does not support the method")]
+    #[display("this path needs another method")]
     Method,
     /// The workspace's rate limit is exceeded.
-    #[display("the workspace's rate limit is exceeded")]
+    #[display("the workspace's limit is reached")]
     Limit,
     /// Admission refused the request.
     #[display("{_0}")]
     Admission(admission::Reason),
     /// The bodies of requests in flight use up their memory budget.
-    #[display("the memory for request bodies is exhausted")]
+    #[display("the router holds too many bodies")]
     BodyMemory,
     /// No endpoint is available.
-    #[display("no endpoint is available")]
+    #[display("no endpoint can serve this now")]
     NoEndpoint,
     /// The deadline passed.
     #[display("the deadline has passed")]
     Deadline,
     /// The endpoint failed before its response was complete.
-    #[display("the endpoint failed before its response was complete")]
+    #[display("the endpoint failed before its answer was whole")]
     EndpointFailed,
     /// The idempotency key was used for a different request.
-    #[display("the idempotency key {_0} was used for a different request")]
+    #[display("the idempotency key {_0} stands for another call")]
     KeyReused(IdempotencyKey),
     /// A request with this idempotency key is in progress.
-    #[display("a request with the idempotency key {_0} is in progress")]
+    #[display("a call with the idempotency key {_0} is running")]
     InProgress(IdempotencyKey),
     /// The request with this idempotency key may have run, and its result cannot be determined.
-    #[display("the request with the idempotency key {_0} may have run and will not be run again")]
+    #[display("the call with the idempotency key {_0} may have run, and will not be run again")]
     Abandoned(IdempotencyKey),
     /// The request with this idempotency key ran; its response was too large to store. Size in bytes.
-    #[display("the request with the idempotency key {_0} ran; its response of {_1} bytes was not stored")]
+    #[display("the call with the idempotency key {_0} ran; its answer of {_1} bytes was not kept")]
     AnswerNotStored(IdempotencyKey, u64),
     /// The idempotency key cannot be claimed.
-    #[display("the idempotency key cannot be claimed while the platform is unreachable")]
+    #[display("the idempotency key cannot be claimed while the platform is out of reach")]
     ClaimUnavailable,
     /// The router is shutting down.
     #[display("this router is shutting down")]
--- a/crates/router/src/metrics/mod.rs
+++ b/crates/router/src/metrics/mod.rs
@@ -65,15 +65,11 @@
         registry.register(Box::new(revision.clone())).expect("a name used once");
         let routers = IntGauge::new("live_routers", "Live routers of the failure domain").expect("a valid gauge");
         registry.register(Box::new(routers.clone())).expect("a name used once");
-        let fence = IntGauge::new(
-            "order_fence",
-            "Fencing number of this router's orders, 0 without the order lease",
-        )
-        .expect("a valid gauge");
+        let fence =
+            IntGauge::new("order_fence", "Fencing number of this router's orders, 0 without").expect("a valid gauge");
         registry.register(Box::new(fence.clone())).expect("a name used once");
-        let endpoints =
-            prometheus::IntGaugeVec::new(Opts::new("endpoints", "Endpoints by availability"), &["standing"])
-                .expect("a valid gauge");
+        let endpoints = prometheus::IntGaugeVec::new(Opts::new("endpoints", "Endpoints by standing"), &["standing"])
+            .expect("a valid gauge");
         registry
             .register(Box::new(endpoints.clone()))
             .expect("a name used once");
@@ -84,11 +80,8 @@
             cached_tokens: counter("cached_tokens_total", "Prompt tokens found in engines' caches"),
             placements: counters("placements_total", "Placements by reason", &["reason"]),
             retries: counters("retries_total", "Attempts after the first", &["why"]),
-            resumed: counter("streams_resumed_total", "Streams resumed after a connection failure"),
-            clients_gone: counter(
-                "callers_gone_total",
-                "Clients that disconnected before their response was complete",
-            ),
+            resumed: counter("streams_resumed_total", "Streams resumed after a break"),
+            clients_gone: counter("callers_gone_total", "Callers that went away before the end"),
             platform: counters("platform_calls_total", "Calls to the platform by outcome", &["outcome"]),
             first_token,
             revision,
